--- a/crates/stairstall-core/benches/planner.rs
+++ b/crates/stairstall-core/benches/planner.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{EndKind, Resources, Shape, TaskKey};
+use stairstall_core::batch::{Resources, RunEndKind, Shape, TaskKey};
 
 #[path = "../tests/batch/harness.rs"]
 mod harness;
@@ -187,7 +187,7 @@
         fleet.at_ms += 1;
         let worker = fleet.workers.get_mut(id)?;
         let task: TaskKey = worker.running.keys().next()?.clone();
-        worker.end(&task, EndKind::Done);
+        worker.end(&task, RunEndKind::Done);
         Some(timed(|| {
             hold(&mut fleet, id);
             settle(&mut fleet);
--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -15,9 +15,9 @@
 mod explanation;
 mod learnt;
 mod load;
+mod peers;
 mod planner;
 mod policy;
-mod reach;
 mod record;
 mod resources;
 mod run_time;
@@ -28,16 +28,17 @@
 mod worker;
 mod worker_pace;
 
-pub use admission::{Admission, AdmissionReason, AdmissionRefusal, KnownLoad};
+pub use admission::{Admission, AdmissionRefusal, AdmissionRefusalReason, KnownLoad};
 pub use catalog::{Access, Catalog, Customer, Queue, Route};
 pub use decision::{Decision, DecisionKind};
-pub use demand::{Outlook, UrgentDemand, UrgentWork};
+pub use demand::{DemandHorizon, UrgentDemand, UrgentWork};
 pub use explanation::{JobExplanation, StepExplanation, WaitExplanation};
 pub use learnt::Learnt;
 pub use load::{
     BusyRoom, CustomerBacklog, FleetMemory, LoadSummary, QueuePace, RoomTime, Shape, StartForecast,
     TotalRoom, WaitingWork, WorkerKind,
 };
+pub use peers::{PeerAddress, PeerTable};
 pub use planner::{
     AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, VmLimits, Write,
 };
@@ -47,9 +48,9 @@
     ReachPolicy, ReportPolicy, RolePolicy, RunTimePolicy, TakeoverPolicy, TurnPolicy, VictimPolicy,
     WorkerPacePolicy, WritePolicy,
 };
-pub use reach::{PeerAddress, Reach};
 pub use record::{
-    AcceptedJob, CallerState, GroupProgress, Outcome, Place, Progress, SilentWorker, TaskLosses,
+    AcceptedJob, CallerState, GroupProgress, Outcome, Progress, RunPlacement, SilentWorker,
+    TaskLosses,
 };
 pub use resources::Resources;
 pub use run_time::{EstimatedWork, KeptRatios, RunSoFar, RunTime, RunTimes};
@@ -60,7 +61,7 @@
     Aged, CustomerUsage, CustomerUse, FleetSize, Timeliness, Turn, WaitReason, Waiting, Wanted,
 };
 pub use worker::{
-    End, EndKind, HoldReport, HoldRequest, Incarnation, ListedWorker, RefusalReason, RunningTask,
-    StartOutcome, StopOutcome,
+    Incarnation, ListedWorker, RefusalReason, ReportRequest, RunEnd, RunEndKind, RunningTask,
+    StartOutcome, StopOutcome, WorkerReport,
 };
 pub use worker_pace::{KeptPace, PaceSummary, RunShown, Stretch, WorkerPace, WorkerPaces};
--- a/crates/stairstall-core/src/batch/admission.rs
+++ b/crates/stairstall-core/src/batch/admission.rs
@@ -9,7 +9,7 @@
 
 /// Why a job is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum AdmissionReason {
+pub enum AdmissionRefusalReason {
     /// A task is larger than every worker, or a gang than all of them.
     TooLarge,
     /// No worker has a label that a task must have.
@@ -18,7 +18,7 @@
     TooLate,
 }
 
-impl AdmissionReason {
+impl AdmissionRefusalReason {
     /// Returns the word used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -34,11 +34,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRefusal {
     /// Why.
-    pub reason: AdmissionReason,
+    pub reason: AdmissionRefusalReason,
     /// When it would start; none where it never could.
     pub forecast: Option<StartForecast>,
     /// When it would have to start to be of any use.
-    pub start_by: Duration,
+    pub latest_start: Duration,
     /// How old the word is that this is decided by.
     pub age: Duration,
 }
@@ -83,7 +83,8 @@
     policy: &AdmissionPolicy,
 ) -> Option<AdmissionRefusal> {
     let observed = Duration::from_millis(load.summary.observed_ms);
-    let is_known = load.age <= policy.impossible_fresh_for && observed >= policy.impossible_after;
+    let is_known =
+        load.age <= policy.impossible_max_age && observed >= policy.impossible_min_observed;
     if !policy.refuses_impossible || !is_known {
         return None;
     }
@@ -95,7 +96,7 @@
     Some(AdmissionRefusal {
         reason,
         forecast: None,
-        start_by: Duration::ZERO,
+        latest_start: Duration::ZERO,
         age: load.age,
     })
 }
@@ -104,13 +105,17 @@
 fn is_steady(job: &AcceptedJob, summary: &LoadSummary, policy: &AdmissionPolicy) -> bool {
     let kinds = summary.workers.iter();
     let kinds = kinds.filter(|kind| kind.service == job.queue.service);
-    let is_steady = |ms| Duration::from_millis(ms) >= policy.impossible_after;
+    let is_steady = |ms| Duration::from_millis(ms) >= policy.impossible_min_observed;
     let least = kinds.map(|kind| kind.steady_ms).min();
     least.is_some_and(is_steady)
 }
 
 /// Returns why a step can never run, where that is so.
-fn obstacle(step: &StepSpec, job: &AcceptedJob, summary: &LoadSummary) -> Option<AdmissionReason> {
+fn obstacle(
+    step: &StepSpec,
+    job: &AcceptedJob,
+    summary: &LoadSummary,
+) -> Option<AdmissionRefusalReason> {
     let service = &job.queue.service;
     let kinds = || {
         summary
@@ -118,19 +123,19 @@
             .iter()
             .filter(|kind| kind.service == *service)
     };
-    let most = step.spread.unwrap_or(u32::MAX);
-    let room = step.room();
+    let most = step.max_per_worker.unwrap_or(u32::MAX);
+    let room = step.reserved_resources();
     let places = kinds().fold(0, |sum: u32, kind| {
-        let each = room.times_in(&kind.capacity, most);
+        let each = room.copies_in(&kind.capacity, most);
         sum.saturating_add(kind.count.saturating_mul(each))
     });
     let needed = if step.gang { step.count } else { 1 };
     if places < needed {
-        return Some(AdmissionReason::TooLarge);
+        return Some(AdmissionRefusalReason::TooLarge);
     }
     let label = step.required_label.as_ref()?;
     let labels = summary.labels.as_ref()?;
-    (!labels.contains(label)).then_some(AdmissionReason::NoSuchLabel)
+    (!labels.contains(label)).then_some(AdmissionRefusalReason::NoSuchLabel)
 }
 
 fn hopeless(
@@ -139,15 +144,15 @@
     policy: &AdmissionPolicy,
 ) -> Option<AdmissionRefusal> {
     let observed = Duration::from_millis(load.summary.observed_ms);
-    let is_known = load.age <= policy.hopeless_fresh_for && observed >= policy.hopeless_after;
-    let lasts = job.spec.steps.iter().any(|step| step.lasts);
+    let is_known = load.age <= policy.too_late_max_age && observed >= policy.too_late_min_observed;
+    let lasts = job.spec.steps.iter().any(|step| step.long_running);
     // Urgent work may be its customer's own share, of which the summary says nothing.
     let is_judged = job.queue.priority > 0 && job.spec.schedule.is_none() && !lasts;
-    if !policy.refuses_hopeless || !is_known || !is_judged {
+    if !policy.refuses_too_late || !is_known || !is_judged {
         return None;
     }
     let late_bound = job.objective_span().saturating_mul(policy.late_objectives);
-    if late_bound > policy.waits_from {
+    if late_bound > policy.max_judged_span {
         return None;
     }
     let margin = policy.margin.max(late_bound * policy.margin_percent / 100);
@@ -158,9 +163,9 @@
         let forecast = load.summary.forecast(&Shape::of(step, job))?;
         let is_hopeless = forecast.earliest.saturating_sub(load.age) > start_by + margin;
         is_hopeless.then_some(AdmissionRefusal {
-            reason: AdmissionReason::TooLate,
+            reason: AdmissionRefusalReason::TooLate,
             forecast: Some(forecast),
-            start_by,
+            latest_start: start_by,
             age: load.age,
         })
     })
@@ -169,7 +174,7 @@
 /// Returns the steps that wait for no others, each with the longest chain of estimates that begins
 /// with it.
 fn first_steps(job: &AcceptedJob) -> impl Iterator<Item = (&StepSpec, Duration)> {
-    let chains = job.spec.chains_ms(|step| step.estimate_ms);
+    let chains = job.spec.critical_paths_ms(|step| step.estimate_ms);
     let steps = job.spec.steps.iter().zip(chains);
     let first = steps.filter(|(step, _)| step.depends_on.is_empty());
     first.map(|(step, chain_ms)| (step, Duration::from_millis(chain_ms)))
--- a/crates/stairstall-core/src/batch/decision.rs
+++ b/crates/stairstall-core/src/batch/decision.rs
@@ -65,7 +65,7 @@
     /// Why, in words.
     pub why: String,
     /// How long the job had waited, where its first task began.
-    pub after: Option<Duration>,
+    pub waited: Option<Duration>,
 }
 
 impl Decision {
@@ -79,7 +79,7 @@
             worker: None,
             zone: None,
             why: why.into(),
-            after: None,
+            waited: None,
         }
     }
 
@@ -112,10 +112,10 @@
 
     /// Says that a job's first task began, so long after the planner heard of the job.
     #[must_use]
-    pub fn of_begin(job: &JobId, after: Duration) -> Self {
+    pub fn of_first_start(job: &JobId, after: Duration) -> Self {
         let why = format!("its first task began after {} ms", after.as_millis());
         Self {
-            after: Some(after),
+            waited: Some(after),
             ..Self::of_job(DecisionKind::Begin, job, why)
         }
     }
--- a/crates/stairstall-core/src/batch/demand.rs
+++ b/crates/stairstall-core/src/batch/demand.rs
@@ -23,18 +23,18 @@
     /// Accelerators that it takes at a time, at most.
     pub accelerators: u32,
     /// How long it holds them, as far as that is known.
-    pub held: Option<Duration>,
+    pub hold_time: Option<Duration>,
 }
 
 /// For what room is kept, and from how long a look.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Outlook {
+pub struct DemandHorizon {
     /// Room is kept for what arrives within this time.
     pub span: Duration,
     /// How long it takes until others have given way.
-    pub stop: Duration,
+    pub stop_time: Duration,
     /// How long arrivals have been watched: whoever has just begun can't tell much from more.
-    pub watched: Duration,
+    pub observed: Duration,
 }
 
 /// What urgent work of all zones and queues has asked for lately.
@@ -69,7 +69,7 @@
 
 impl UrgentDemand {
     /// Notes work that has arrived; what is older than `window` is forgotten.
-    pub fn note(&mut self, work: &UrgentWork<'_>, window: Duration, at: Timestamp) {
+    pub fn record(&mut self, work: &UrgentWork<'_>, window: Duration, at: Timestamp) {
         let mut source = Source {
             zone: work.zone.cloned(),
             queue: work.queue.to_owned(),
@@ -95,7 +95,7 @@
 
     /// Returns how many accelerators to keep free for what is to come.
     #[must_use]
-    pub fn room(&self, outlook: &Outlook, policy: &HeadroomPolicy, at: Timestamp) -> f64 {
+    pub fn headroom(&self, outlook: &DemandHorizon, policy: &HeadroomPolicy, at: Timestamp) -> f64 {
         let sources = self.sources.values();
         sources
             .map(|arrivals| room_of(arrivals, outlook, policy, at))
@@ -116,23 +116,23 @@
             at,
             jobs: 1,
             accelerators: work.accelerators,
-            held: work.held,
+            held: work.hold_time,
         }
     }
 
     fn add(&mut self, work: &UrgentWork<'_>) {
         self.jobs = self.jobs.saturating_add(1);
         self.accelerators = self.accelerators.saturating_add(work.accelerators);
-        let both = self.held.zip(work.held);
+        let both = self.held.zip(work.hold_time);
         self.held = both.map(|(one, other)| one.max(other));
     }
 
     /// Returns accelerators times the seconds for which they are to be kept: no longer than they are
     /// held and a stop beside, since what is free again serves the next.
-    fn room(&self, outlook: &Outlook, policy: &HeadroomPolicy) -> f64 {
+    fn room(&self, outlook: &DemandHorizon, policy: &HeadroomPolicy) -> f64 {
         let held = self.held.filter(|_| policy.bounded_by_run_time);
         let span = outlook.span;
-        let seconds = held.map_or(span, |held| span.min(held + outlook.stop));
+        let seconds = held.map_or(span, |held| span.min(held + outlook.stop_time));
         f64::from(self.accelerators) * seconds.as_secs_f64()
     }
 }
@@ -140,7 +140,7 @@
 /// Returns the room to be kept for what one source will ask.
 fn room_of(
     arrivals: &VecDeque<Arrivals>,
-    outlook: &Outlook,
+    outlook: &DemandHorizon,
     policy: &HeadroomPolicy,
     at: Timestamp,
 ) -> f64 {
@@ -154,7 +154,7 @@
     };
     let all = until(window);
     let mean = all.room / window.as_secs_f64().max(0.001);
-    let before = outlook.watched.min(window).saturating_sub(recent);
+    let before = outlook.observed.min(window).saturating_sub(recent);
     if !policy.follows_change || recent.is_zero() || before < recent {
         return mean;
     }
@@ -163,12 +163,12 @@
     let usual_jobs = (all.jobs - now.jobs) * part;
     let change = deviations(now.jobs, usual_jobs, part);
     let rate = now.room / recent.as_secs_f64();
-    if change > policy.sure_from {
+    if change > policy.change_threshold {
         let earlier_room = until(recent * 2).room - now.room;
         let growth = (now.room - earlier_room).max(0.0) / recent.as_secs_f64();
-        let ahead = growth * outlook.stop.div_duration_f64(recent);
+        let ahead = growth * outlook.stop_time.div_duration_f64(recent);
         (rate + ahead).min(rate * MOST_GROWTH).max(mean)
-    } else if change < -policy.sure_from {
+    } else if change < -policy.change_threshold {
         rate.min(mean)
     } else {
         mean
--- a/crates/stairstall-core/src/batch/load.rs
+++ b/crates/stairstall-core/src/batch/load.rs
@@ -55,7 +55,7 @@
             service: &job.queue.service,
             priority: job.queue.priority,
             customer: job.customer.as_ref(),
-            needs: step.room(),
+            needs: step.reserved_resources(),
             width: if step.gang { step.count } else { 1 },
         }
     }
--- a/crates/stairstall-core/src/batch/load/fleet.rs
+++ b/crates/stairstall-core/src/batch/load/fleet.rs
@@ -94,7 +94,7 @@
             let is_full = kinds.len() >= MAX_ENTRIES;
             let same = kinds.iter_mut().rev().find(|kind| kind.service == *service);
             if let Some(kind) = same.filter(|_| is_full) {
-                kind.capacity = kind.capacity.larger(capacity);
+                kind.capacity = kind.capacity.component_max(capacity);
                 kind.count += seen.most;
                 kind.away += away;
                 kind.steady_ms = kind.steady_ms.min(steady_ms);
--- a/crates/stairstall-core/src/batch/load/forecast.rs
+++ b/crates/stairstall-core/src/batch/load/forecast.rs
@@ -81,7 +81,7 @@
             && waiting.priority < shape.priority
             && waiting.gang == is_gang
             && waiting.width <= shape.width
-            && waiting.needs.fits(&shape.needs)
+            && waiting.needs.fits_in(&shape.needs)
             && !overtakes
     }
 
--- a/crates/stairstall-core/src/batch/load/work.rs
+++ b/crates/stairstall-core/src/batch/load/work.rs
@@ -191,7 +191,7 @@
 impl WaitingWork {
     /// Adds other work of its kind.
     pub fn add(&mut self, other: &Self) {
-        self.needs = self.needs.larger(&other.needs);
+        self.needs = self.needs.component_max(&other.needs);
         self.width = self.width.max(other.width);
         self.longest_ms = self.longest_ms.max(other.longest_ms);
         self.rest = self.rest.plus(&other.rest);
--- a/crates/stairstall-core/src/batch/reach.rs
+++ b/crates/stairstall-core/src/batch/peers.rs
@@ -23,7 +23,8 @@
     /// Where it answers other daemons, as `IP:PORT`.
     pub rpc: String,
     /// How much its processor and link lack to plan for many workers, in percent.
-    pub weakness: u32,
+    #[serde(rename = "weakness")]
+    pub capacity_shortfall_percent: u32,
 }
 
 #[derive(Debug, Clone)]
@@ -46,13 +47,13 @@
 /// then it asks them whether the store serves them, and passes work on to
 /// those that said so a moment ago.
 #[derive(Debug, Clone)]
-pub struct Reach {
+pub struct PeerTable {
     policy: ReachPolicy,
     zone: ZoneId,
     peers: BTreeMap<String, Peer>,
 }
 
-impl Reach {
+impl PeerTable {
     /// Creates the knowledge of a daemon in `zone` that has heard of nobody.
     #[must_use]
     pub const fn new(zone: ZoneId, policy: ReachPolicy) -> Self {
@@ -66,18 +67,18 @@
     /// Returns how long a daemon should wait before it calls the planner again, by how many there
     /// are: the planner's traffic stays the same.
     #[must_use]
-    pub fn pause(&self) -> Duration {
+    pub fn introduction_interval(&self) -> Duration {
         let daemons = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
         let shared = Duration::from_secs(1) * daemons / u32::from(self.policy.introductions_per_s);
-        shared.max(self.policy.introduce_every)
+        shared.max(self.policy.min_introduction_interval)
     }
 
     fn forget_after(&self) -> Duration {
-        self.pause() * u32::from(self.policy.forget_after_pauses)
+        self.introduction_interval() * u32::from(self.policy.forget_after_intervals)
     }
 
     /// Takes word that a daemon exists; the one heard of longest ago makes room for it.
-    pub fn introduce(&mut self, address: PeerAddress, at: Timestamp) {
+    pub fn record_introduction(&mut self, address: PeerAddress, at: Timestamp) {
         if let Some(known) = self.peers.get_mut(&address.rpc) {
             known.address = address;
             known.introduced_at = at;
@@ -100,9 +101,9 @@
 
     /// Takes a call from a peer itself: it is there, and can be asked again. Daemons that were not
     /// heard of for long go.
-    pub fn called(&mut self, address: PeerAddress, at: Timestamp) {
+    pub fn record_call(&mut self, address: PeerAddress, at: Timestamp) {
         let rpc = address.rpc.clone();
-        self.introduce(address, at);
+        self.record_introduction(address, at);
         let gone_after = self.forget_after() * 2;
         self.peers
             .retain(|_, peer| at - peer.introduced_at <= gone_after);
@@ -112,7 +113,7 @@
     }
 
     /// Takes a peer's answer, and whether the store serves it.
-    pub fn answered(&mut self, rpc: &str, is_served: bool, at: Timestamp) {
+    pub fn record_answer(&mut self, rpc: &str, is_served: bool, at: Timestamp) {
         if let Some(peer) = self.peers.get_mut(rpc) {
             peer.answered_at = Some(at);
             peer.has_failed = false;
@@ -121,7 +122,7 @@
     }
 
     /// Takes word that a peer did not answer, or turned work away.
-    pub fn failed(&mut self, rpc: &str) {
+    pub fn record_failure(&mut self, rpc: &str) {
         if let Some(peer) = self.peers.get_mut(rpc) {
             peer.has_failed = true;
             peer.answered_at = None;
@@ -132,7 +133,7 @@
     /// Returns peers to introduce to a daemon of `zone`: of each zone in turn, the one heard of
     /// last first, beginning after `turn`, so that not all daemons are told of the same ones.
     #[must_use]
-    pub fn introductions(
+    pub fn peers_to_introduce(
         &self,
         asker: &PeerAddress,
         turn: usize,
@@ -161,26 +162,26 @@
     /// Returns the peers to offer the planner's role to, the best first: strong ones, of other
     /// zones, that were heard of last.
     #[must_use]
-    pub fn successors(&self, at: Timestamp) -> Vec<PeerAddress> {
+    pub fn successor_candidates(&self, at: Timestamp) -> Vec<PeerAddress> {
         let forget_after = self.forget_after();
         let is_recent = |peer: &&Peer| at - peer.introduced_at <= forget_after;
         let mut peers: Vec<&Peer> = self.peers.values().filter(is_recent).collect();
         peers.sort_by_key(|peer| {
             let is_home = peer.address.zone == self.zone;
             (
-                peer.address.weakness,
+                peer.address.capacity_shortfall_percent,
                 is_home,
                 std::cmp::Reverse(peer.introduced_at),
             )
         });
-        let successors = peers.iter().take(self.policy.max_helpers.into());
+        let successors = peers.iter().take(self.policy.max_relays.into());
         successors.map(|peer| peer.address.clone()).collect()
     }
 
     /// Returns the peers to ask whether the store serves them: those that said so last first,
     /// then those of other zones.
     #[must_use]
-    pub fn to_ask(&self) -> Vec<String> {
+    pub fn peers_to_probe(&self) -> Vec<String> {
         let mut peers: Vec<&Peer> = self.peers.values().collect();
         peers.sort_by_key(|peer| {
             let is_home = peer.address.zone == self.zone;
@@ -190,17 +191,17 @@
                 std::cmp::Reverse(peer.introduced_at),
             )
         });
-        let asked = peers.iter().take(self.policy.asked_at_once.into());
+        let asked = peers.iter().take(self.policy.peers_per_probe.into());
         asked.map(|peer| peer.address.rpc.clone()).collect()
     }
 
     /// Returns the peers that work can be passed on to, the one that answered last first.
     #[must_use]
-    pub fn helpers(&self, at: Timestamp) -> Vec<String> {
+    pub fn relays(&self, at: Timestamp) -> Vec<String> {
         let is_fresh = |peer: &&Peer| is_within(peer.served_at, at, self.policy.fresh_for);
         let mut peers: Vec<&Peer> = self.peers.values().filter(is_fresh).collect();
         peers.sort_by_key(|peer| std::cmp::Reverse(peer.served_at));
-        let helpers = peers.iter().take(self.policy.max_helpers.into());
+        let helpers = peers.iter().take(self.policy.max_relays.into());
         helpers.map(|peer| peer.address.rpc.clone()).collect()
     }
 
@@ -225,7 +226,7 @@
         let hears_others = self.peers.values().any(|peer| {
             is_elsewhere(&peer) && is_within(peer.answered_at, at, self.policy.fresh_for)
         });
-        let has_helper = !self.helpers(at).is_empty();
+        let has_helper = !self.relays(at).is_empty();
         has_asked_others && !hears_others && !has_helper
     }
 }
--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -2,7 +2,7 @@
 
 use super::pool::{Run, RunState, Worker};
 use super::{Now, Planner};
-use crate::batch::{Decision, DecisionKind, Place, Progress, RunningTask, TaskKey};
+use crate::batch::{Decision, DecisionKind, Progress, RunPlacement, RunningTask, TaskKey};
 use crate::{JobId, WorkerId};
 
 impl Planner {
@@ -60,7 +60,7 @@
     /// What is done or ended holds no room: if anything of it still runs, the
     /// worker's first report says so, and nothing is placed there before.
     pub(super) fn restore_runs(&mut self, job: &JobId, progress: &Progress, now: Now) {
-        for (key, group) in progress.open_groups(job) {
+        for (key, group) in progress.unfinished_groups(job) {
             for (index, place) in &group.places {
                 let task = key.task(*index);
                 let is_done = self.task(&task).is_some_and(|task| task.done);
@@ -81,7 +81,7 @@
         self.workers.get_mut(id).expect("it is known")
     }
 
-    fn restore_run(&mut self, place: &Place, task: &TaskKey, now: Now) {
+    fn restore_run(&mut self, place: &RunPlacement, task: &TaskKey, now: Now) {
         let id = &place.worker;
         let running = RunningTask {
             task: task.clone(),
@@ -93,7 +93,7 @@
         run.restored = true;
         run.resumes = true;
         run.incarnation = place.incarnation;
-        run.taken = place.taken;
+        run.taken = place.start_confirmed;
         run.is_listed = false;
         let lease_until = now.at + Self::lease_span(self.bounds.hold_max);
         self.recorded_worker(id, now).extend_lease(lease_until);
@@ -127,14 +127,14 @@
             .unwrap_or_default();
         let mut run = Run {
             number: running.run,
-            room: step.room(),
+            room: step.reserved_resources(),
             state: RunState::Running,
             rank: job.map_or(u8::MAX, |job| job.accepted.queue.priority.saturating_add(1)),
             gang: step.gang,
             checkpoints: step.checkpoints,
-            lasts: step.lasts,
-            serves: step.serves(),
-            fills: step.fills,
+            lasts: step.long_running,
+            serves: step.has_latency_target(),
+            fills: step.uses_spare_cpu,
             expected_ms: self.expected_ms(key, &step, id, now),
             since: now.at,
             ordered_at: now.at,
--- a/crates/stairstall-core/src/batch/planner/advice.rs
+++ b/crates/stairstall-core/src/batch/planner/advice.rs
@@ -36,9 +36,9 @@
 
     fn may_ask(&self, at: Timestamp, policy: &AdvicePolicy) -> bool {
         let pause = if self.is_asking {
-            policy.answer_patience
+            policy.answer_timeout
         } else {
-            policy.ask_again
+            policy.retry_pause
         };
         self.asked_at.is_none_or(|asked| at - asked >= pause)
     }
--- a/crates/stairstall-core/src/batch/planner/answers.rs
+++ b/crates/stairstall-core/src/batch/planner/answers.rs
@@ -2,7 +2,7 @@
 
 use super::pool::RunState;
 use super::{Now, Order, Planner};
-use crate::batch::{Decision, DecisionKind, EndKind, RefusalReason, StartOutcome, TaskKey};
+use crate::batch::{Decision, DecisionKind, RefusalReason, RunEndKind, StartOutcome, TaskKey};
 use crate::{JobId, Timestamp, WorkerId};
 
 impl Planner {
@@ -81,7 +81,7 @@
             return;
         };
         job.begun = true;
-        let mut decision = Decision::of_begin(id, now.at - job.arrived_at);
+        let mut decision = Decision::of_first_start(id, now.at - job.arrived_at);
         decision.why.push_str(&self.take_forecast(id));
         self.decisions.push(decision);
     }
@@ -112,7 +112,7 @@
             self.drop_ticket(&task.group, id);
         }
         if did_nothing && first_try {
-            self.run_over(id, task, EndKind::Stopped, "it was not started", now);
+            self.run_over(id, task, RunEndKind::Stopped, "it was not started", now);
         } else if matches!(outcome, StartOutcome::Unknown | StartOutcome::NotSent) {
             self.try_again(order, now);
         } else if outcome == StartOutcome::Refused(RefusalReason::OldRun) {
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -4,14 +4,16 @@
 
 use super::pool::{Answerer, Run, RunState};
 use super::{Now, Planner, Worker};
-use crate::batch::{Decision, EndKind, HoldReport, HoldRequest, Incarnation, RunningTask, TaskKey};
+use crate::batch::{
+    Decision, Incarnation, ReportRequest, RunEndKind, RunningTask, TaskKey, WorkerReport,
+};
 use crate::{Timestamp, WorkerId, ZoneId};
 
 impl Planner {
     /// Returns what to ask of a worker now; none where there is nothing to ask.
     ///
     /// A deadline counts as sent from this moment on.
-    pub fn hold_request(&mut self, id: &WorkerId, now: Now) -> Option<HoldRequest> {
+    pub fn hold_request(&mut self, id: &WorkerId, now: Now) -> Option<ReportRequest> {
         let longest_wait = self.longest_wait();
         let jobs = &self.jobs;
         let worker = self.workers.get_mut(id)?;
@@ -43,9 +45,9 @@
     pub fn take_hold(
         &mut self,
         id: &WorkerId,
-        request: &HoldRequest,
+        request: &ReportRequest,
         sent_at: Timestamp,
-        report: HoldReport,
+        report: WorkerReport,
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(id) else {
@@ -56,7 +58,7 @@
             worker.set_asked(false);
         }
         let told = match worker.life.answerer(report.incarnation, sent_at) {
-            Answerer::Known => request.last_seen,
+            Answerer::Known => request.acknowledged_end,
             Answerer::Later => {
                 self.begin_life(id, report.incarnation, now);
                 0
@@ -99,7 +101,7 @@
             self.touch_runs_at(id);
         }
         self.settle_silence(id, &silent_under, now);
-        if !report.more {
+        if !report.truncated {
             self.take_absent(id, absent, now);
         }
         self.update_stories(now);
@@ -127,7 +129,7 @@
         }
         for task in absent {
             let why = "the worker does not know it";
-            self.run_over(id, &task, EndKind::Lapsed, why, now);
+            self.run_over(id, &task, RunEndKind::LeaseExpired, why, now);
         }
     }
 
@@ -200,7 +202,7 @@
         let of_zone = |w: &&Worker| w.is_listed && w.listed.zone == zone;
         let silent = self.workers.values().filter(of_zone);
         let silent = silent.filter(|w| !w.is_in_contact()).count();
-        if silent >= usize::from(self.policy.health.doubtful_zone) {
+        if silent >= usize::from(self.policy.health.suspect_zone_workers) {
             self.doubt_zone(&zone, now);
         }
     }
@@ -216,7 +218,7 @@
         };
         let ordered_at = worker.runs.get(task).map(|run| run.ordered_at);
         let was_heard = ordered_at.is_some_and(|at| worker.life.heard_at > Some(at));
-        if !(was_heard && self.policy.health.reports_count) {
+        if !(was_heard && self.policy.health.trusts_reports) {
             self.doubt(id, now);
         }
     }
@@ -235,7 +237,7 @@
     }
 
     fn doubt_unheard_where(&mut self, test: impl Fn(&Worker) -> bool, now: Now) {
-        let heard_lately = self.policy.health.heard_lately;
+        let heard_lately = self.policy.health.recent_contact;
         let doubtful = self
             .workers
             .values_mut()
@@ -260,7 +262,13 @@
         for (id, runs) in over {
             self.count_silence(&id, &runs);
             for (task, _) in runs {
-                self.run_over(&id, &task, EndKind::Lapsed, "its lease is over", now);
+                self.run_over(
+                    &id,
+                    &task,
+                    RunEndKind::LeaseExpired,
+                    "its lease is over",
+                    now,
+                );
             }
             self.forget_if_gone(&id, now);
         }
--- a/crates/stairstall-core/src/batch/planner/crashes.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes.rs
@@ -25,7 +25,7 @@
     ) -> Vec<TaskKey> {
         let blamed = self.blamed(heard_at, runs);
         for (task, answered) in &blamed {
-            self.change_losses(task, |losses| losses.note_crash(*answered));
+            self.change_losses(task, |losses| losses.record_crash(*answered));
         }
         self.tell_losses(id, runs);
         blamed.into_iter().map(|(task, _)| task).collect()
@@ -42,7 +42,7 @@
             let silent = SilentWorker {
                 worker: id.clone(),
                 incarnation: self.run_at(id, task).and_then(|run| run.incarnation),
-                answered: *answered,
+                start_confirmed: *answered,
             };
             self.change_losses(task, |losses| losses.silent.push(silent));
         }
@@ -56,7 +56,7 @@
     pub(super) fn forgive(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
             self.change_losses(task, |losses| {
-                losses.settle(id);
+                losses.take_silent(id);
             });
         }
         self.replan |= !tasks.is_empty();
@@ -66,8 +66,8 @@
     pub(super) fn confirm(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
             self.change_losses(task, |losses| {
-                for silent in losses.settle(id) {
-                    losses.note_crash(silent.answered);
+                for silent in losses.take_silent(id) {
+                    losses.record_crash(silent.start_confirmed);
                 }
             });
         }
@@ -82,11 +82,11 @@
         let life = worker.life.clone();
         for task in tasks {
             self.change_losses(task, |losses| {
-                let settled = losses.settle(id);
+                let settled = losses.take_silent(id);
                 let crashed = settled
                     .iter()
                     .filter(|silent| life.differs(silent.incarnation));
-                crashed.for_each(|silent| losses.note_crash(silent.answered));
+                crashed.for_each(|silent| losses.record_crash(silent.start_confirmed));
             });
         }
         self.replan = true;
@@ -130,7 +130,7 @@
 
     /// Takes the losses that an earlier planner could not settle.
     pub(super) fn restore_losses(&mut self, job: &JobId, progress: &Progress, now: Now) {
-        for (key, group) in progress.open_groups(job) {
+        for (key, group) in progress.unfinished_groups(job) {
             for (index, losses) in &group.losses {
                 for silent in &losses.silent {
                     let worker = self.recorded_worker(&silent.worker, now);
@@ -192,7 +192,7 @@
 
     /// Tells whether a task must not start until it is known whether workers have crashed under it.
     pub(super) fn is_held(&self, task: &Task) -> bool {
-        self.is_too_much(&task.losses.at_worst())
+        self.is_too_much(&task.losses.assuming_crashed())
     }
 }
 
--- a/crates/stairstall-core/src/batch/planner/crashes/apart.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes/apart.rs
@@ -18,8 +18,8 @@
         if losses.is_empty() {
             return Suspicion::None;
         }
-        let mut next = losses.at_worst();
-        next.note_crash(true);
+        let mut next = losses.assuming_crashed();
+        next.record_crash(true);
         if self.is_too_much(&next) {
             Suspicion::LastChance
         } else {
--- a/crates/stairstall-core/src/batch/planner/ends.rs
+++ b/crates/stairstall-core/src/batch/planner/ends.rs
@@ -4,13 +4,13 @@
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
-use crate::batch::{Decision, DecisionKind, End, EndKind, Outcome, Setback, TaskKey};
+use crate::batch::{Decision, DecisionKind, Outcome, RunEnd, RunEndKind, Setback, TaskKey};
 use crate::time::millis;
 use crate::{JobId, Timestamp, WorkerId};
 
 impl Planner {
     /// Takes an end that a worker lists; it is told to forget it once the change lasts.
-    pub(super) fn take_end(&mut self, id: &WorkerId, end: &End, now: Now) {
+    pub(super) fn take_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) {
         let change = self.apply_end(id, end, now);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.life.note_end(end.number, change);
@@ -18,7 +18,7 @@
         self.replan = true;
     }
 
-    fn apply_end(&mut self, id: &WorkerId, end: &End, now: Now) -> Option<(JobId, u64)> {
+    fn apply_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) -> Option<(JobId, u64)> {
         self.workers.get(id)?;
         let is_present = self
             .run_at(id, &end.task)
@@ -45,7 +45,7 @@
             format!("{}; {detail}", end.kind.as_str()),
         ));
         match end.kind {
-            EndKind::Done => {
+            RunEndKind::Done => {
                 self.note_span(id, &end.task, run.as_ref(), now);
                 if let Some(run) = &run {
                     self.learn_pace_from_end(id, &end.task, run, now);
@@ -53,18 +53,18 @@
                 }
                 self.take_done(&end.task, now);
             }
-            EndKind::Failed => {
+            RunEndKind::Failed => {
                 self.note_setback(&end.task.group.job, Setback::Failed);
                 self.take_failure(id, &end.task, end.run, now);
             }
-            EndKind::Lapsed => self.note_setback(&end.task.group.job, Setback::Lost),
+            RunEndKind::LeaseExpired => self.note_setback(&end.task.group.job, Setback::Lost),
             _ => {}
         }
         self.keep_checkpoint(end);
         if let Some(run) = run {
             self.release(id, &end.task, &run, end.kind.as_str());
         }
-        if end.kind != EndKind::Done {
+        if end.kind != RunEndKind::Done {
             self.stop_gang(&end.task, end.run, "another member of its gang ended", now);
         }
         self.last_change(&end.task.group.job)
@@ -72,18 +72,18 @@
 
     /// Takes the ends that a worker listed which is no longer known: what is done is not started
     /// again, and what failed counts.
-    pub(super) fn take_late_ends(&mut self, id: &WorkerId, ended: &[End], now: Now) {
+    pub(super) fn take_late_ends(&mut self, id: &WorkerId, ended: &[RunEnd], now: Now) {
         for end in ended {
             if self.task(&end.task).is_none_or(|task| task.done) {
                 continue;
             }
-            if !matches!(end.kind, EndKind::Done | EndKind::Failed) {
+            if !matches!(end.kind, RunEndKind::Done | RunEndKind::Failed) {
                 continue;
             }
             let why = format!("{}; its worker is no longer known", end.kind.as_str());
             let heard = Decision::of_run(DecisionKind::End, &end.task, end.run, id, why);
             self.decisions.push(heard);
-            if end.kind == EndKind::Done {
+            if end.kind == RunEndKind::Done {
                 self.take_done(&end.task, now);
             } else {
                 self.take_failure(id, &end.task, end.run, now);
@@ -99,7 +99,7 @@
         Some((id.clone(), job.changes))
     }
 
-    fn keep_checkpoint(&mut self, end: &End) {
+    fn keep_checkpoint(&mut self, end: &RunEnd) {
         if end.checkpoint.is_none() {
             return;
         }
@@ -115,18 +115,18 @@
     ///
     /// Work that fails by its own fault fails at any point; a worker that
     /// fails all it starts does so at once.
-    fn note_health(&mut self, id: &WorkerId, end: &End, early: bool, now: Now) {
+    fn note_health(&mut self, id: &WorkerId, end: &RunEnd, early: bool, now: Now) {
         let policy = self.policy.health;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         match end.kind {
-            EndKind::Done => {
+            RunEndKind::Done => {
                 worker.life.succeeded_at = Some(now.at);
                 worker.life.failed_jobs.clear();
                 worker.life.suspect_until = None;
             }
-            EndKind::Failed => {
+            RunEndKind::Failed => {
                 let job = &end.task.group.job;
                 if !worker.life.failed_jobs.contains(job) {
                     worker.life.failed_jobs.push(job.clone());
@@ -173,7 +173,8 @@
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        let Some((is_gang, lasts)) = job.step(key).map(|step| (step.gang, step.lasts)) else {
+        let Some((is_gang, lasts)) = job.step(key).map(|step| (step.gang, step.long_running))
+        else {
             return;
         };
         if job.outcome.is_some() || lasts {
@@ -230,7 +231,8 @@
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        let Some((is_gang, lasts)) = job.step(key).map(|step| (step.gang, step.lasts)) else {
+        let Some((is_gang, lasts)) = job.step(key).map(|step| (step.gang, step.long_running))
+        else {
             return;
         };
         if job.outcome.is_some() || lasts {
@@ -290,7 +292,7 @@
         &mut self,
         id: &WorkerId,
         task: &TaskKey,
-        kind: EndKind,
+        kind: RunEndKind,
         why: &str,
         now: Now,
     ) {
@@ -305,7 +307,7 @@
             format!("{}; {why}; {}", kind.as_str(), describe(&run, now)),
         ));
         if run.state != RunState::Planned {
-            let is_lost = kind == EndKind::Lapsed;
+            let is_lost = kind == RunEndKind::LeaseExpired;
             let setback = if is_lost {
                 Setback::Lost
             } else {
--- a/crates/stairstall-core/src/batch/planner/fit.rs
+++ b/crates/stairstall-core/src/batch/planner/fit.rs
@@ -72,7 +72,7 @@
             }
         }
         let waited = now.at - ready_since;
-        if step.gang && !waiting.is_empty() && waited >= self.policy.places.hold_back_after {
+        if step.gang && !waiting.is_empty() && waited >= self.policy.places.reserve_after {
             self.hold_back(candidate, &step, &mut pass.held_back, now);
         }
     }
@@ -150,7 +150,7 @@
 
     pub(super) fn estimate_ms(&self, step: &StepSpec) -> u64 {
         step.estimate_ms
-            .max(crate::time::millis(self.policy.places.min_expected))
+            .max(crate::time::millis(self.policy.places.min_run_time))
     }
 
     /// Returns how long a task should take at a worker, in milliseconds.
@@ -190,7 +190,7 @@
             .and_then(|job| job.accepted.zone.clone())
             .filter(|_| self.policy.places.prefers_callers_zone);
         let spares = self.spared_for(candidate, now);
-        let needs = step.room();
+        let needs = step.reserved_resources();
         let is_advised = self.ticket_validity(key).is_some();
         let costs = self.place_costs(step, key);
         if scope.preempts {
@@ -203,7 +203,7 @@
         let knows_paces = self.paces.is_uneven();
         self.workers
             .iter()
-            .filter(|(_, w)| scope.preempts || is_advised || needs.fits(&w.free()))
+            .filter(|(_, w)| scope.preempts || is_advised || needs.fits_in(&w.free()))
             .filter(|(_, w)| w.takes_tasks() && w.suits(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
             .filter(|(_, w)| w.is_quiet_for(step))
@@ -254,9 +254,9 @@
     /// Returns how long work waits for the workers that suit it best after what has gone wrong.
     pub(super) const fn suspect_patience(&self, urgent: bool) -> Duration {
         if urgent {
-            self.policy.places.suspect_patience_urgent
+            self.policy.places.suspect_wait_urgent
         } else {
-            self.policy.places.suspect_patience
+            self.policy.places.suspect_wait
         }
     }
 
@@ -367,14 +367,14 @@
     ) -> Run {
         Run {
             number,
-            room: step.room(),
+            room: step.reserved_resources(),
             state: RunState::Planned,
             rank: candidate.rank,
             gang: step.gang,
             checkpoints: step.checkpoints,
-            lasts: step.lasts,
-            serves: step.serves(),
-            fills: step.fills,
+            lasts: step.long_running,
+            serves: step.has_latency_target(),
+            fills: step.uses_spare_cpu,
             expected_ms: self.expected_ms(&candidate.key, step, id, now),
             since: now.at,
             ordered_at: now.at,
@@ -405,7 +405,7 @@
 }
 
 fn spread_left(worker: &Worker, step: &StepSpec, key: &GroupKey) -> u32 {
-    let Some(most) = step.spread else {
+    let Some(most) = step.max_per_worker else {
         return u32::MAX;
     };
     let there = worker.runs.keys().filter(|task| task.group == *key).count();
--- a/crates/stairstall-core/src/batch/planner/fit/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/choose.rs
@@ -36,7 +36,7 @@
     if count == 0 {
         return None;
     }
-    let needs = step.room();
+    let needs = step.reserved_resources();
     if step.gang && step.same_rack && scope.near {
         return by_rack(sites)
             .into_values()
@@ -128,8 +128,8 @@
 fn might_hold(sites: &[Site], needs: &Resources, count: usize) -> bool {
     let most = u32::try_from(count).unwrap_or(u32::MAX);
     let times = sites.iter().map(|site| {
-        let room = site.room.plus(&site.victims.room());
-        needs.times_in(&room, most.min(site.spread_left))
+        let room = site.room.saturating_add(&site.victims.room());
+        needs.copies_in(&room, most.min(site.spread_left))
     });
     times.fold(0_u32, u32::saturating_add) >= most
 }
@@ -166,9 +166,9 @@
         if self.spread_left == 0 {
             return None;
         }
-        let wanted = needs.plus(&self.shortage);
+        let wanted = needs.saturating_add(&self.shortage);
         let (cost, victims) = self.victims.to_fit(&wanted, &self.room)?;
-        let left = self.room.minus(needs);
+        let left = self.room.saturating_sub(needs);
         Some(Offer {
             rank: (
                 cost + self.penalty,
@@ -214,7 +214,7 @@
             choice.victims.push((sites[index].worker.clone(), victim));
         }
         let site = &mut sites[index];
-        site.room = site.room.minus(needs);
+        site.room = site.room.saturating_sub(needs);
         site.spread_left -= 1;
         choice.slowest = choice.slowest.max(site.pace.factor);
         choice.places.push(site.worker.clone());
--- a/crates/stairstall-core/src/batch/planner/fit/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/cost.rs
@@ -85,7 +85,7 @@
     }
 
     fn needed_ms(&self, factor: f64) -> f64 {
-        as_f64(self.usual_ms) * factor * fraction(self.policy.margin_percent)
+        as_f64(self.usual_ms) * factor * fraction(self.policy.slack_percent)
     }
 
     /// Returns what a place costs a task that goes at such a pace there, in core-milliseconds.
@@ -107,10 +107,10 @@
     fn when_pressed(&self, site: &Site, factor: f64) -> f64 {
         let mut times = factor;
         if self.is_late_by_pace(factor) {
-            times += fraction(self.policy.late_percent);
+            times += fraction(self.policy.late_cost_percent);
         }
         if !site.pace.is_known {
-            times += fraction(self.policy.doubt_percent);
+            times += fraction(self.policy.unknown_pace_cost_percent);
         }
         times
     }
@@ -122,7 +122,7 @@
             return 0.0;
         }
         let here = site.pace.factor;
-        fraction(self.policy.spare_percent) * factor / (here * here)
+        fraction(self.policy.usual_pace_cost_percent) * factor / (here * here)
     }
 
     fn explores(&self, site: &Site) -> bool {
@@ -151,7 +151,7 @@
         now: Now,
     ) -> Option<PaceCosts> {
         let key = &candidate.key;
-        if !self.paces.is_uneven() || step.lasts {
+        if !self.paces.is_uneven() || step.long_running {
             return None;
         }
         let job = self.jobs.get(&key.job)?;
@@ -168,9 +168,13 @@
         };
         let left_ms = objective_ms.saturating_sub(now.unix_ms);
         Some(PaceCosts {
-            work: step.room().weight().saturating_mul(self.estimate_ms(step)) / 1000,
+            work: step
+                .reserved_resources()
+                .weight()
+                .saturating_mul(self.estimate_ms(step))
+                / 1000,
             usual_ms: millis(time),
-            left_ms: left_ms.saturating_sub(job.accepted.spec.after_ms(key.step)),
+            left_ms: left_ms.saturating_sub(job.accepted.spec.downstream_path_ms(key.step)),
             is_pressed,
             is_overdue: now.unix_ms > late_bound_ms,
             is_gang: step.gang,
@@ -183,7 +187,11 @@
         let group = self.group_of(key);
         let tasks = group.map_or(&[][..], |group| &group.tasks);
         PlaceCosts {
-            work: step.room().weight().saturating_mul(self.estimate_ms(step)) / 1000,
+            work: step
+                .reserved_resources()
+                .weight()
+                .saturating_mul(self.estimate_ms(step))
+                / 1000,
             has_failed: group.is_some_and(|group| group.worst_failures() > 0),
             failed_at: tasks.iter().filter_map(|t| t.failed_at.as_ref()).collect(),
             suspect: tasks
--- a/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
@@ -52,7 +52,7 @@
     ) {
         let key = &candidate.key;
         let known = self.reservations.get(key);
-        let most = usize::from(self.policy.places.max_held_back);
+        let most = usize::from(self.policy.places.max_reservations);
         // What is late already is not worth the work that the room could do while it is kept.
         let is_timely = candidate.turn.timeliness == Timeliness::InTime;
         if known.is_none() && (!is_timely || self.reservations.len() >= most) {
@@ -90,7 +90,7 @@
         now: Now,
     ) -> HeldBack {
         let mut held_back = HeldBack::default();
-        let keeps_dates = self.policy.places.keeps_dates;
+        let keeps_dates = self.policy.places.keeps_reservations;
         self.reservations.retain(|key, reservation| {
             let candidate = candidates.iter().find(|one| one.key == *key);
             let is_over = now.at > reservation.filled_until + KEPT_AFTER_DATE;
@@ -137,7 +137,7 @@
         id: &WorkerId,
         now: Now,
     ) -> bool {
-        if !self.policy.places.fills_in || step.lasts {
+        if !self.policy.places.backfills || step.long_running {
             return false;
         }
         let usual_ms = crate::time::millis(self.run_time(&candidate.key, step, now).long);
@@ -178,8 +178,8 @@
         held_back: &HeldBack,
     ) -> Vec<DatedSite<'_>> {
         let service = self.service_of(&candidate.key);
-        let shown_percent = self.policy.places.shown_percent;
-        let room = step.room();
+        let shown_percent = self.policy.places.min_progress_percent;
+        let room = step.reserved_resources();
         let mut sites: Vec<DatedSite<'_>> = self
             .workers
             .iter()
@@ -187,12 +187,12 @@
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
             .filter(|(id, _)| held_back.is_free_for(id, &candidate.key))
             .filter_map(|(id, w)| {
-                let times = room.times_in(&w.room_beside_lasting(), step.count);
+                let times = room.copies_in(&w.room_beside_lasting(), step.count);
                 (times > 0).then(|| DatedSite {
                     busy_ms: w.busy_ms(shown_percent),
                     rack: &w.listed.rack,
                     id,
-                    times: times.min(step.spread.unwrap_or(u32::MAX)),
+                    times: times.min(step.max_per_worker.unwrap_or(u32::MAX)),
                 })
             })
             .collect();
@@ -286,7 +286,9 @@
     /// Returns the room that nothing takes once all has ended that will.
     fn room_beside_lasting(&self) -> Resources {
         let lasting = self.runs.values().filter(|run| run.lasts);
-        let taken = lasting.fold(Resources::default(), |sum, run| sum.plus(&run.room));
-        self.listed.capacity.minus(&taken)
+        let taken = lasting.fold(Resources::default(), |sum, run| {
+            sum.saturating_add(&run.room)
+        });
+        self.listed.capacity.saturating_sub(&taken)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/fit/scope.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/scope.rs
@@ -35,10 +35,10 @@
         let patience = if candidate.rank == CLAIM {
             self.policy
                 .places
-                .near_patience_urgent
+                .locality_wait_urgent
                 .max(self.claim_patience())
         } else if urgent {
-            self.policy.places.near_patience_urgent
+            self.policy.places.locality_wait_urgent
         } else {
             Duration::from_millis(self.estimate_ms(step))
         };
--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -79,7 +79,7 @@
         let carried = self.flow.reports_per_s(&self.policy.flow);
         let per_s = u32::try_from(carried)
             .unwrap_or(u32::MAX)
-            .min(policy.looks_per_s);
+            .min(policy.reports_per_s);
         (Duration::from_secs(1) * workers / per_s).clamp(policy.shortest_wait, policy.longest_wait)
     }
 
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -6,7 +6,7 @@
 use super::pass::Pass;
 use super::{Now, Planner};
 use crate::JobId;
-use crate::batch::{AcceptedJob, GroupKey, Outlook, Timeliness, UrgentWork};
+use crate::batch::{AcceptedJob, DemandHorizon, GroupKey, Timeliness, UrgentWork};
 
 impl Planner {
     /// Notes what a job asks for that has arrived, if it is urgent.
@@ -22,9 +22,10 @@
             zone: accepted.zone.as_ref(),
             queue: &accepted.queue.name,
             accelerators: accelerators_at_once(accepted),
-            held: self.holds_room_for(id, accepted, now),
+            hold_time: self.holds_room_for(id, accepted, now),
         };
-        self.demand.note(&work, self.policy.headroom.window, now.at);
+        self.demand
+            .record(&work, self.policy.headroom.window, now.at);
     }
 
     /// Returns how long the longest step of a job should hold its room; none while that is a guess.
@@ -68,14 +69,14 @@
         let policy = &self.policy.headroom;
         let stop = self.bounds.stop_max;
         let seconds = policy.kept_seconds + policy.kept_per_stop * stop.as_secs_f64();
-        let outlook = Outlook {
+        let outlook = DemandHorizon {
             span: Duration::from_secs_f64(seconds.max(0.0)),
-            stop,
-            watched: self.first_tick_at.map_or(Duration::ZERO, |at| now.at - at),
+            stop_time: stop,
+            observed: self.first_tick_at.map_or(Duration::ZERO, |at| now.at - at),
         };
         *pass
             .room_for_urgent
-            .get_or_insert_with(|| self.demand.room(&outlook, policy, now.at))
+            .get_or_insert_with(|| self.demand.headroom(&outlook, policy, now.at))
     }
 
     /// Returns which part of the room to be kept free is kept from a step: less from a gang whose
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -3,7 +3,7 @@
 
 use crate::batch::story::{Span, Story};
 use crate::batch::{
-    AcceptedJob, GroupKey, Incarnation, Outcome, Place, StepSpec, TaskKey, TaskLosses,
+    AcceptedJob, GroupKey, Incarnation, Outcome, RunPlacement, StepSpec, TaskKey, TaskLosses,
 };
 use crate::{JobId, Timestamp, WorkerId};
 
@@ -41,12 +41,12 @@
 
 impl Task {
     /// Returns its current run's place as it is written down.
-    pub(super) fn kept_place(&self) -> Option<Place> {
-        Some(Place {
+    pub(super) fn kept_place(&self) -> Option<RunPlacement> {
+        Some(RunPlacement {
             worker: self.place.clone()?,
             run: self.run,
             incarnation: self.incarnation,
-            taken: self.taken,
+            start_confirmed: self.taken,
         })
     }
 
@@ -190,7 +190,9 @@
 
     /// Returns the next time that is due later, in milliseconds since the Unix epoch.
     pub(super) fn next_due_unix_ms(&self) -> Option<u64> {
-        if self.outcome.is_some() || self.occurrences.len() >= self.accepted.spec.times() as usize {
+        if self.outcome.is_some()
+            || self.occurrences.len() >= self.accepted.spec.occurrences() as usize
+        {
             return None;
         }
         let next = u32::try_from(self.occurrences.len()).unwrap_or(u32::MAX);
@@ -200,7 +202,7 @@
     /// Adds the times that are due; true where there were any.
     pub(super) fn add_due_occurrences(&mut self, now: Now) -> bool {
         let before = self.occurrences.len();
-        while self.occurrences.len() < self.accepted.spec.times() as usize {
+        while self.occurrences.len() < self.accepted.spec.occurrences() as usize {
             let is_due = self.next_due_unix_ms().is_none_or(|due| due <= now.unix_ms);
             if !is_due || self.outcome.is_some() {
                 break;
@@ -262,7 +264,7 @@
 
     /// Tells whether every task of every time is done.
     pub(super) fn is_complete(&self) -> bool {
-        self.occurrences.len() >= self.accepted.spec.times() as usize
+        self.occurrences.len() >= self.accepted.spec.occurrences() as usize
             && self.occurrences.iter().flatten().all(Group::is_done)
     }
 
@@ -293,12 +295,12 @@
 
     /// Returns until when a time should be done, in milliseconds since the Unix epoch.
     pub(super) fn objective_unix_ms(&self, occurrence: u32) -> u64 {
-        let span_ms = self.objective_span_ms(self.accepted.spec.chain_ms());
+        let span_ms = self.objective_span_ms(self.accepted.spec.critical_path_ms());
         self.due_unix_ms(occurrence).saturating_add(span_ms)
     }
 
     /// Returns from when a time is due to its objective, where its longest chain takes so long.
     pub(super) fn objective_span_ms(&self, chain_ms: u64) -> u64 {
-        crate::time::millis(self.accepted.objective_span_of(chain_ms))
+        crate::time::millis(self.accepted.objective_span_for(chain_ms))
     }
 }
--- a/crates/stairstall-core/src/batch/planner/leaving.rs
+++ b/crates/stairstall-core/src/batch/planner/leaving.rs
@@ -37,7 +37,7 @@
 
     /// Returns how much longer a run should take, in milliseconds: a gang ends with its slowest.
     fn needs_ms(&self, task: &TaskKey, run: &Run) -> u64 {
-        let shown_percent = self.policy.places.shown_percent;
+        let shown_percent = self.policy.places.min_progress_percent;
         if !run.gang {
             return run.left_ms(shown_percent);
         }
--- a/crates/stairstall-core/src/batch/planner/lives.rs
+++ b/crates/stairstall-core/src/batch/planner/lives.rs
@@ -58,7 +58,7 @@
     ///
     /// One that may have crashed under tasks is asked on for a while: its answer tells that it did not.
     pub(super) fn forget_if_gone(&mut self, id: &WorkerId, now: Now) {
-        let vanished_after = self.policy.health.vanished_after;
+        let vanished_after = self.policy.health.presumed_crashed_after;
         let Some(worker) = self.workers.get(id) else {
             return;
         };
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -47,7 +47,7 @@
     /// Returns how full the fleet is at this moment, or was a moment ago.
     pub fn load_summary(&mut self, now: Now) -> LoadSummary {
         let is_fresh = |(at, _): &&(Timestamp, LoadSummary)| {
-            now.at - *at < self.policy.admission.sums_up_every
+            now.at - *at < self.policy.admission.summary_interval
         };
         if let Some((_, last)) = self.load.last.as_ref().filter(is_fresh) {
             return last.clone();
@@ -95,7 +95,7 @@
                 fleet.note_label(label, now.at);
             }
         }
-        fleet.end(self.policy.admission.remembers_workers_for, now.at);
+        fleet.end(self.policy.admission.worker_retention, now.at);
     }
 
     fn busy(&self, now: Now) -> Vec<BusyRoom> {
@@ -154,13 +154,16 @@
             if count == 0 {
                 continue;
             }
-            let room = TotalRoom::of(&step.room(), u32::try_from(count).unwrap_or(u32::MAX));
+            let room = TotalRoom::of(
+                &step.reserved_resources(),
+                u32::try_from(count).unwrap_or(u32::MAX),
+            );
             let work = WaitingWork {
                 service: service.clone(),
                 priority: job.accepted.queue.priority,
                 takes_any,
                 gang: step.gang,
-                needs: step.room(),
+                needs: step.reserved_resources(),
                 width: if step.gang { step.count } else { 1 },
                 longest_ms,
                 rest: RoomTime::of(&room, longest_ms),
@@ -281,11 +284,11 @@
 const fn is_tied(step: &StepSpec) -> bool {
     step.required_label.is_some()
         || step.near_rack.is_some()
-        || step.spread.is_some()
+        || step.max_per_worker.is_some()
         || step.same_rack
-        || step.lasts
-        || step.fills
-        || step.serves()
+        || step.long_running
+        || step.uses_spare_cpu
+        || step.has_latency_target()
 }
 
 /// Returns how much longer a run should take, in milliseconds.
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -132,7 +132,7 @@
         if !self.paces.is_on() {
             return;
         }
-        let told_percent = self.paces.policy().told_percent;
+        let told_percent = self.paces.policy().min_progress_percent;
         let mut by_step = HashMap::<&GroupKey, Vec<Shown<'_>>>::new();
         for (id, worker) in self.workers.iter().filter(|(_, w)| w.is_in_contact()) {
             for (task, run) in worker.runs.iter().filter(|(_, run)| run.shows_progress()) {
@@ -175,7 +175,7 @@
     /// Returns what a run shows, as if it were near its data.
     fn shown_near<'a>(&self, key: &GroupKey, shown: &Shown<'a>, now: Now) -> Option<RunShown<'a>> {
         let (usual, slowdown) = self.usual_at(key, shown.worker, now)?;
-        let whole = shown.run.whole_span(self.policy.pace.judged_after);
+        let whole = shown.run.whole_span(self.policy.pace.min_judged_work);
         Some(RunShown {
             worker: shown.worker,
             whole: whole.map(|whole| whole / slowdown.max(1)),
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -120,10 +120,10 @@
         let shape = Shape {
             kind,
             service: self.service_of(key),
-            needs: step.room(),
+            needs: step.reserved_resources(),
             required_label: step.required_label.clone(),
             near_rack: step.near_rack.clone().filter(|_| near),
-            spread: step.spread,
+            spread: step.max_per_worker,
         };
         if let Some(known) = pass.ceilings.get(&shape) {
             return *known;
@@ -134,7 +134,7 @@
     }
 
     fn count_room(&self, shape: &Shape, step: &StepSpec, near: bool) -> Ceiling {
-        let most = step.spread.unwrap_or(u32::MAX);
+        let most = step.max_per_worker.unwrap_or(u32::MAX);
         let mut ceiling = Ceiling::default();
         let mut by_rack = BTreeMap::<&RackId, u32>::new();
         let workers = self
@@ -143,7 +143,7 @@
             .filter(|w| w.takes_tasks() && w.suits(step) && (!near || w.is_near(step)))
             .filter(|w| shape.service.as_ref() == Some(&w.listed.service));
         for worker in workers {
-            let times = shape.needs.times_in(&worker.room_of(shape.kind), most);
+            let times = shape.needs.copies_in(&worker.room_of(shape.kind), most);
             if times > 0 {
                 let rack = by_rack.entry(&worker.listed.rack).or_default();
                 *rack = rack.saturating_add(times);
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::batch::{HoldRequest, ListedWorker, Resources, StepSpec, TaskKey};
+use crate::batch::{ListedWorker, ReportRequest, Resources, StepSpec, TaskKey};
 use crate::{RackId, ServiceId, Timestamp, WorkerId, ZoneId};
 
 mod life;
@@ -146,16 +146,16 @@
     }
 
     pub(super) fn insert(&mut self, task: TaskKey, run: Run) {
-        self.claimed = self.claimed.plus(&run.room);
+        self.claimed = self.claimed.saturating_add(&run.room);
         self.has_unsettled = true;
         if let Some(old) = self.runs.insert(task, run) {
-            self.claimed = self.claimed.minus(&old.room);
+            self.claimed = self.claimed.saturating_sub(&old.room);
         }
     }
 
     pub(super) fn remove(&mut self, task: &TaskKey) -> Option<Run> {
         let run = self.runs.remove(task)?;
-        self.claimed = self.claimed.minus(&run.room);
+        self.claimed = self.claimed.saturating_sub(&run.room);
         Some(run)
     }
 
@@ -169,8 +169,8 @@
     ///
     /// A start on a worker that does not guard its room would bring it further over.
     fn left_beside(&self, used: &Resources) -> Resources {
-        if used.fits(&self.listed.capacity) {
-            self.listed.capacity.minus(used)
+        if used.fits_in(&self.listed.capacity) {
+            self.listed.capacity.saturating_sub(used)
         } else {
             Resources::default()
         }
@@ -178,21 +178,21 @@
 
     /// Returns the room that is free once what is being stopped has ended.
     pub(super) fn free_soon(&self) -> Resources {
-        self.listed.capacity.minus(&self.claimed_soon())
+        self.listed.capacity.saturating_sub(&self.claimed_soon())
     }
 
     /// Returns what it will have too little of once what is being stopped has ended, because its
     /// room has shrunk.
     pub(super) fn shortage(&self) -> Resources {
-        if self.claimed.fits(&self.listed.capacity) {
+        if self.claimed.fits_in(&self.listed.capacity) {
             return Resources::default();
         }
-        self.claimed_soon().minus(&self.listed.capacity)
+        self.claimed_soon().saturating_sub(&self.listed.capacity)
     }
 
     fn claimed_soon(&self) -> Resources {
         let leaving = self.sum(|run| run.state == RunState::Stopping);
-        self.claimed.minus(&leaving)
+        self.claimed.saturating_sub(&leaving)
     }
 
     /// Returns the room that is free once all that may give way to `rank` has ended.
@@ -211,7 +211,9 @@
         self.runs
             .values()
             .filter(|run| test(run))
-            .fold(Resources::default(), |sum, run| sum.plus(&run.room))
+            .fold(Resources::default(), |sum, run| {
+                sum.saturating_add(&run.room)
+            })
     }
 
     /// Tells whether it may be given tasks; its entry must be its present life's, which may be of
@@ -245,9 +247,9 @@
     /// Tells whether nothing there would be disturbed by the step, nor disturb it: what fills
     /// shares no worker with what serves.
     pub(super) fn is_quiet_for(&self, step: &StepSpec) -> bool {
-        self.runs
-            .values()
-            .all(|run| !(step.fills && run.serves || step.serves() && run.fills))
+        self.runs.values().all(|run| {
+            !(step.uses_spare_cpu && run.serves || step.has_latency_target() && run.fills)
+        })
     }
 
     /// Tells whether the step's data lies on its rack, or nowhere.
@@ -285,7 +287,7 @@
     pub(super) fn release_room(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
             let room = std::mem::take(&mut run.room);
-            self.claimed = self.claimed.minus(&room);
+            self.claimed = self.claimed.saturating_sub(&room);
         }
     }
 
@@ -300,19 +302,19 @@
         last_seen: u64,
         deadline_ms: Option<u64>,
         longest_wait: Duration,
-    ) -> Option<HoldRequest> {
+    ) -> Option<ReportRequest> {
         let asks_only = !self.life.fenced || !self.contact;
         let present = self.is_busy();
         if !asks_only && !present && self.life.knows_all_seen() {
             return None;
         }
         let waits = present && !asks_only && !self.life.has_unsaved();
-        Some(HoldRequest {
+        Some(ReportRequest {
             token: self.fence,
             deadline_ms: if asks_only { None } else { deadline_ms },
             // Whoever answers after a silence may be another life, with other ends.
-            last_seen: if asks_only { 0 } else { last_seen },
-            wait: if waits { longest_wait } else { Duration::ZERO },
+            acknowledged_end: if asks_only { 0 } else { last_seen },
+            max_wait: if waits { longest_wait } else { Duration::ZERO },
         })
     }
 }
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -203,7 +203,7 @@
                 task.place = Some(place.worker.clone());
                 task.run = place.run;
                 task.incarnation = place.incarnation;
-                task.taken = place.taken;
+                task.taken = place.start_confirmed;
             }
         }
         for (index, run) in &kept.counted_runs {
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -42,7 +42,7 @@
         now: Now,
     ) -> Option<GroupKey> {
         let policy = &self.policy.turns;
-        let gap = policy.aged_gap;
+        let gap = policy.aged_interval;
         if self.aged_turn_at.is_some_and(|at| now.at - at < gap) {
             return None;
         }
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -9,7 +9,7 @@
 impl Planner {
     /// Sends stops again that should have ended, and gives up places whose room stays taken.
     pub(super) fn resend(&mut self, now: Now) {
-        let patience = self.bounds.stop_max + self.policy.orders.stop_again;
+        let patience = self.bounds.stop_max + self.policy.orders.stop_retry_after;
         let mut again = Vec::new();
         let mut in_vain = Vec::new();
         let mut unwanted = Vec::new();
@@ -23,7 +23,7 @@
                 }
                 let done_since = run.unwanted_since.map(|since| now.at - since);
                 if run.state != RunState::Stopping
-                    && done_since > Some(self.policy.orders.unwanted_patience)
+                    && done_since > Some(self.policy.orders.unwanted_grace)
                 {
                     unwanted.push((id.clone(), task.clone()));
                 }
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -7,7 +7,7 @@
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
 use crate::WorkerId;
-use crate::batch::{Decision, EndKind, Incarnation, Order, TaskKey};
+use crate::batch::{Decision, Incarnation, Order, RunEndKind, TaskKey};
 
 impl Planner {
     /// Returns which life of a worker is known.
@@ -106,7 +106,7 @@
         let never_begun = worker.tasks_where(|run| is_first_try(run) && run.ordered_at >= sent_at);
         for task in never_begun {
             let why = "its worker's life was over before";
-            self.run_over(&refused.worker, &task, EndKind::Stopped, why, now);
+            self.run_over(&refused.worker, &task, RunEndKind::Stopped, why, now);
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -129,7 +129,7 @@
         now: Now,
     ) -> Option<Worked<'a>> {
         let step = self.step(&task.group)?;
-        if step.lasts || step.fills {
+        if step.long_running || step.uses_spare_cpu {
             return None;
         }
         let mut since = self.undisturbed_since(id, step, run)?;
--- a/crates/stairstall-core/src/batch/planner/site.rs
+++ b/crates/stairstall-core/src/batch/planner/site.rs
@@ -86,7 +86,7 @@
     /// Returns the room of all of them.
     pub(super) fn room(&self) -> Resources {
         let rooms = self.0.iter().map(|victim| &victim.room);
-        rooms.fold(Resources::default(), |sum, room| sum.plus(room))
+        rooms.fold(Resources::default(), |sum, room| sum.saturating_add(room))
     }
 
     /// Returns the cost and the runs that must go so that `needs` fits; none where it can't.
@@ -98,13 +98,13 @@
         let mut free = *room;
         let mut chosen: Vec<&Victim> = Vec::new();
         for victim in &self.0 {
-            if needs.fits(&free) {
+            if needs.fits_in(&free) {
                 break;
             }
-            free = free.plus(&victim.room);
+            free = free.saturating_add(&victim.room);
             chosen.push(victim);
         }
-        if !needs.fits(&free) {
+        if !needs.fits_in(&free) {
             return None;
         }
         spare_needless(&mut chosen, needs, &mut free);
@@ -133,8 +133,8 @@
 /// Drops those, dearest first, whose room is not needed after all.
 fn spare_needless(chosen: &mut Vec<&Victim>, needs: &Resources, free: &mut Resources) {
     for index in (0..chosen.len()).rev() {
-        let without = free.minus(&chosen[index].room);
-        if needs.fits(&without) {
+        let without = free.saturating_sub(&chosen[index].room);
+        if needs.fits_in(&without) {
             *free = without;
             chosen.remove(index);
         }
@@ -168,7 +168,7 @@
         self.victims.0.retain(|victim| {
             let goes = goes(victim);
             if goes {
-                *room = room.plus(&victim.room);
+                *room = room.saturating_add(&victim.room);
             }
             !goes
         });
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -80,10 +80,10 @@
             .iter()
             .filter_map(|task| worker.runs.get(*task))
             .fold(crate::batch::Resources::default(), |sum, run| {
-                sum.plus(&run.room)
+                sum.saturating_add(&run.room)
             });
         let takes_starts = worker.is_in_contact() && !worker.in_evacuated_zone;
-        is_recorded && takes_starts && needed.fits(&worker.free_now())
+        is_recorded && takes_starts && needed.fits_in(&worker.free_now())
     }
 
     /// Tells whether a run's place is written down, so that a later planner knows of it.
--- a/crates/stairstall-core/src/batch/planner/story.rs
+++ b/crates/stairstall-core/src/batch/planner/story.rs
@@ -121,7 +121,7 @@
         outcome: job.outcome?,
         whole: Duration::from_millis(now.unix_ms.saturating_sub(accepted.accepted_unix_ms)),
         work,
-        estimate: Duration::from_millis(accepted.spec.chain_ms()),
+        estimate: Duration::from_millis(accepted.spec.critical_path_ms()),
         aim: work.mul_f64(accepted.queue.stretch.max(0.0))
             + Duration::from_millis(accepted.queue.target_ms),
         spans: job.story.spans(),
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -38,7 +38,7 @@
 impl Pace {
     /// Returns how long the whole work takes at this pace, near its data, in milliseconds.
     fn span_ms(&self, policy: &PacePolicy) -> Option<u64> {
-        let is_judged = self.worked_ms >= millis(policy.judged_after) && self.gained > 0;
+        let is_judged = self.worked_ms >= millis(policy.min_judged_work) && self.gained > 0;
         is_judged.then(|| shortened(self.worked_ms * 100 / u64::from(self.gained), self.slowdown))
     }
 
@@ -46,7 +46,7 @@
     /// percentage is cut to a whole number.
     fn least_span_ms(&self, policy: &PacePolicy) -> Option<u64> {
         let gained = u64::from(self.gained) + 1;
-        (self.worked_ms >= millis(policy.judged_after)).then(|| self.worked_ms * 100 / gained)
+        (self.worked_ms >= millis(policy.min_judged_work)).then(|| self.worked_ms * 100 / gained)
     }
 
     /// Judges a run; `is_sure` tells whether it is known to have had the chance to work, and
@@ -74,9 +74,9 @@
 
     fn still_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
         let (least, divisor) = match (is_sure, self.gained) {
-            (false, _) => (policy.unsure_still, policy.unsure_still_divisor),
-            (true, 0) => (policy.still_from_start, policy.still_divisor),
-            (true, _) => (policy.still_later, policy.still_divisor),
+            (false, _) => (policy.unconfirmed_stall, policy.unconfirmed_stall_divisor),
+            (true, 0) => (policy.stall_from_start, policy.stall_divisor),
+            (true, _) => (policy.stall_later, policy.stall_divisor),
         };
         millis(least).max(self.expected_ms / divisor)
     }
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -15,7 +15,7 @@
         if !self.replan || self.hurries {
             return is_due || self.hurries;
         }
-        let gap = self.policy.flow.pass_gap(self.workers.len());
+        let gap = self.policy.flow.pass_interval(self.workers.len());
         let may_from = self.planned_at.map(|at| at + gap);
         let is_too_soon = may_from.is_some_and(|at| now.at < at);
         if is_too_soon {
@@ -37,7 +37,7 @@
             .last_new_report_at
             .is_some_and(|at| now.at - at >= self.policy.takeover.reports_quiet);
         is_quiet
-            || now.at - first_tick_at >= self.policy.takeover.reports_patience
+            || now.at - first_tick_at >= self.policy.takeover.reports_wait
             || self.workers.values().all(|w| w.life.fenced || !w.is_listed)
     }
 
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -57,10 +57,12 @@
         let counted = groups.filter(|(key, _)| !self.is_claim(key));
         let holdings = counted.filter_map(|(key, runs)| {
             let job = self.jobs.get(&key.job)?;
-            let room = job.step(key)?.room();
+            let room = job.step(key)?.reserved_resources();
             let first = runs.first();
             let run = first.and_then(|(index, id)| self.run_at(id, &key.task(*index)));
-            let left_ms = run.map_or(0, |run| run.left_ms(self.policy.places.shown_percent));
+            let left_ms = run.map_or(0, |run| {
+                run.left_ms(self.policy.places.min_progress_percent)
+            });
             Some(Holding {
                 customer: job.accepted.customer.clone(),
                 share_ppm: self.usage.fleet().share_ppm(&room, runs.len() as u64),
@@ -88,7 +90,10 @@
         }
         let key = &candidate.key;
         let takes = self.run_time(key, step, now).typical;
-        let share_ppm = self.usage.fleet().share_ppm(&step.room(), tasks as u64);
+        let share_ppm = self
+            .usage
+            .fleet()
+            .share_ppm(&step.reserved_resources(), tasks as u64);
         let customer = self.jobs.get(&key.job).map(|job| &job.accepted.customer);
         if let Some(customer) = customer {
             self.usage.commit(customer.as_ref(), share_ppm, takes);
@@ -98,7 +103,7 @@
     /// Returns what decides between a step and others of its rank, but for its customer's use.
     pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> Turn {
         // What was turned away before goes before later work of its rank and customer.
-        let asked_before_ms = job.accepted.asked_before_ms();
+        let asked_before_ms = job.accepted.requested_before_ms();
         if rank <= URGENT {
             let objective_unix_ms = job
                 .objective_unix_ms(key.occurrence)
@@ -111,7 +116,7 @@
         }
         let (wanted, left_ms) = self.wanted(key, job, now);
         let mut turn = wanted.turn(left_ms, now.unix_ms, self.usage.policy());
-        if job.step(key).is_some_and(|step| step.lasts) {
+        if job.step(key).is_some_and(|step| step.long_running) {
             turn.timeliness = Timeliness::InTime;
         }
         turn.start_by_unix_ms = turn.start_by_unix_ms.saturating_sub(asked_before_ms);
@@ -120,8 +125,8 @@
 
     /// Returns until when a time of a job is wanted, and how long it would take from a step on.
     pub(super) fn wanted(&self, key: &GroupKey, job: &Job, now: Now) -> (Wanted, u64) {
-        let chains = job.accepted.spec.chains_ms(|step| {
-            if step.lasts {
+        let chains = job.accepted.spec.critical_paths_ms(|step| {
+            if step.long_running {
                 return 0;
             }
             millis(self.run_time(key, step, now).typical)
@@ -154,7 +159,7 @@
     /// Puts candidates in order: each step counts what stands before it in its customer's own line.
     pub(super) fn put_in_order(&self, candidates: &mut [Candidate], now: Now) {
         candidates.sort_unstable();
-        if !self.usage.policy().is_fair {
+        if !self.usage.policy().fair_share {
             return;
         }
         let mut lines: BTreeMap<Option<&CustomerId>, (u64, u64)> = BTreeMap::new();
@@ -186,6 +191,7 @@
         };
         let waiting = group.tasks.iter().filter(|task| task.is_waiting()).count();
         let takes = self.run_time(key, step, now).typical;
-        self.usage.cost_ms(&step.room(), waiting as u64, takes)
+        self.usage
+            .cost_ms(&step.reserved_resources(), waiting as u64, takes)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -71,9 +71,9 @@
             return 0;
         };
         let policy = &self.policy.victims;
-        let weight = step.room().weight() * u64::from(step.count);
-        let again_ms = millis(policy.again_cost) * u64::from(group.gave_way);
-        let late_ms = if policy.counts_lateness && self.would_become_late(key, job, now) {
+        let weight = step.reserved_resources().weight() * u64::from(step.count);
+        let again_ms = millis(policy.repeat_preemption_cost) * u64::from(group.gave_way);
+        let late_ms = if policy.counts_caused_lateness && self.would_become_late(key, job, now) {
             millis(self.run_time(key, step, now).typical)
         } else {
             0
@@ -87,7 +87,9 @@
         let objective_unix_ms = wanted.objective_unix_ms();
         let runs = self.run_index.of_group(key);
         let run = runs.first().and_then(|(id, task)| self.run_at(id, task));
-        let left_ms = run.map_or(anew_ms, |run| run.left_ms(self.policy.places.shown_percent));
+        let left_ms = run.map_or(anew_ms, |run| {
+            run.left_ms(self.policy.places.min_progress_percent)
+        });
         now.unix_ms + left_ms <= objective_unix_ms && now.unix_ms + anew_ms > objective_unix_ms
     }
 
@@ -101,7 +103,7 @@
         pass: &Pass,
         now: Now,
     ) -> bool {
-        let most = self.policy.victims.most_lost;
+        let most = self.policy.victims.max_lost_factor;
         let Some(losses) = pass.gang_losses.as_ref().filter(|_| most > 0) else {
             return true;
         };
@@ -122,7 +124,7 @@
             }
         }
         let tasks = choice.places.len() as u64;
-        let work = step.room().weight() * tasks * millis(takes) / 1000;
+        let work = step.reserved_resources().weight() * tasks * millis(takes) / 1000;
         lost <= work.saturating_mul(most.into())
     }
 
@@ -157,7 +159,7 @@
         let stopped = group.and_then(|group| Some((group.gave_way, group.gave_way_at?)));
         stopped.is_some_and(|(times, at)| {
             let doublings = u32::from(times.saturating_sub(1)).min(MOST_DOUBLINGS);
-            now.at - at < self.policy.victims.returns_after * (1 << doublings)
+            now.at - at < self.policy.victims.restart_backoff * (1 << doublings)
         })
     }
 
--- a/crates/stairstall-core/src/batch/policy.rs
+++ b/crates/stairstall-core/src/batch/policy.rs
@@ -120,18 +120,21 @@
             self.headroom.window,
             ("headroom.recent", "headroom.window"),
         )?;
-        positive(self.reports.looks_per_s, "reports.looks_per_s")?;
+        positive(self.reports.reports_per_s, "reports.looks_per_s")?;
         positive(self.flow.message_us, "flow.message_us")?;
         positive(self.flow.message_bytes, "flow.message_bytes")?;
         positive(self.flow.start_bytes, "flow.start_bytes")?;
         positive(self.reach.introductions_per_s, "reach.introductions_per_s")?;
         positive(self.health.max_crashes, "health.max_crashes")?;
         positive(self.health.max_losses, "health.max_losses")?;
-        positive(self.pace.still_divisor, "pace.still_divisor")?;
-        positive(self.pace.unsure_still_divisor, "pace.unsure_still_divisor")?;
+        positive(self.pace.stall_divisor, "pace.still_divisor")?;
+        positive(
+            self.pace.unconfirmed_stall_divisor,
+            "pace.unsure_still_divisor",
+        )?;
         positive(self.pace.gain_divisor, "pace.gain_divisor")?;
         positive(self.role.renewals_per_lease, "role.renewals_per_lease")?;
-        positive(self.writing.max_under_way, "writing.max_under_way")?;
+        positive(self.writing.max_in_flight, "writing.max_under_way")?;
         positive(self.writing.jobs_per_write, "writing.jobs_per_write")
     }
 }
--- a/crates/stairstall-core/src/batch/policy/daemon.rs
+++ b/crates/stairstall-core/src/batch/policy/daemon.rs
@@ -16,8 +16,8 @@
     #[serde(with = "super::millis")]
     pub outage_settle_limit: Duration,
     /// Pause between two tries of a write.
-    #[serde(with = "super::millis")]
-    pub try_again: Duration,
+    #[serde(rename = "try_again", with = "super::millis")]
+    pub retry_pause: Duration,
     /// How long calls to the store must have failed without a success before callers' calls are
     /// answered without asking it.
     #[serde(with = "super::millis")]
@@ -26,7 +26,8 @@
     #[serde(with = "super::millis")]
     pub peer_timeout: Duration,
     /// Part of its caller's time that a call may take, so that the answer still arrives.
-    pub answer_share: f64,
+    #[serde(rename = "answer_share")]
+    pub response_time_fraction: f64,
 }
 
 impl Default for AcceptancePolicy {
@@ -34,10 +35,10 @@
         Self {
             settle_limit: Duration::from_secs(1),
             outage_settle_limit: Duration::from_millis(350),
-            try_again: Duration::from_millis(40),
+            retry_pause: Duration::from_millis(40),
             silent_after: Duration::from_millis(250),
             peer_timeout: Duration::from_millis(800),
-            answer_share: 0.9,
+            response_time_fraction: 0.9,
         }
     }
 }
@@ -49,7 +50,8 @@
     /// Whether a daemon that is cut off calls itself not ready.
     pub says_cut_off: bool,
     /// Whether peers that the store serves are asked to pass work on, beside the planner.
-    pub asks_peers: bool,
+    #[serde(rename = "asks_peers")]
+    pub probes_peers: bool,
     /// How long the store may be without an answered call before it is asked whether it serves:
     /// with `silent_after`, a silence shows well within a second.
     #[serde(with = "super::millis")]
@@ -59,44 +61,47 @@
     #[serde(with = "super::millis")]
     pub silent_after: Duration,
     /// How often peers are asked while the store does not serve.
-    #[serde(with = "super::millis")]
-    pub ask_interval: Duration,
+    #[serde(rename = "ask_interval", with = "super::millis")]
+    pub probe_interval: Duration,
     /// Longest wait for a peer's answer to that.
-    #[serde(with = "super::millis")]
-    pub ask_timeout: Duration,
+    #[serde(rename = "ask_timeout", with = "super::millis")]
+    pub probe_timeout: Duration,
     /// Peers that are asked at a time.
-    pub asked_at_once: u16,
+    #[serde(rename = "asked_at_once")]
+    pub peers_per_probe: u16,
     /// How long a peer's answer counts.
     #[serde(with = "super::millis")]
     pub fresh_for: Duration,
     /// Peers that one job is passed on to, in turn.
-    pub max_helpers: u16,
+    #[serde(rename = "max_helpers")]
+    pub max_relays: u16,
     /// How often a daemon tells the planner that it is there, at the least; with many daemons less
     /// often.
-    #[serde(with = "super::millis")]
-    pub introduce_every: Duration,
+    #[serde(rename = "introduce_every", with = "super::millis")]
+    pub min_introduction_interval: Duration,
     /// Daemons that tell the planner so in a second, over all: with letter 1's 24 daemons these
     /// calls take 8 KB a second of the planner's 21.
     pub introductions_per_s: u16,
     /// A daemon that was not heard of for so many times that pause is introduced to others no more.
-    pub forget_after_pauses: u16,
+    #[serde(rename = "forget_after_pauses")]
+    pub forget_after_intervals: u16,
 }
 
 impl Default for ReachPolicy {
     fn default() -> Self {
         Self {
             says_cut_off: true,
-            asks_peers: true,
+            probes_peers: true,
             ping_after: Duration::from_millis(250),
             silent_after: Duration::from_millis(350),
-            ask_interval: Duration::from_millis(150),
-            ask_timeout: Duration::from_millis(250),
-            asked_at_once: 4,
+            probe_interval: Duration::from_millis(150),
+            probe_timeout: Duration::from_millis(250),
+            peers_per_probe: 4,
             fresh_for: Duration::from_millis(500),
-            max_helpers: 2,
-            introduce_every: Duration::from_secs(1),
+            max_relays: 2,
+            min_introduction_interval: Duration::from_secs(1),
             introductions_per_s: 8,
-            forget_after_pauses: 5,
+            forget_after_intervals: 5,
         }
     }
 }
@@ -106,8 +111,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct RolePolicy {
     /// Longest time by which daemons put off their tries differently.
-    #[serde(with = "super::millis")]
-    pub spread: Duration,
+    #[serde(rename = "spread", with = "super::millis")]
+    pub max_jitter: Duration,
     /// How much longer a VM puts it off that is too weak to plan for many workers.
     #[serde(with = "super::millis")]
     pub weak_delay: Duration,
@@ -126,7 +131,7 @@
 impl Default for RolePolicy {
     fn default() -> Self {
         Self {
-            spread: Duration::from_millis(60),
+            max_jitter: Duration::from_millis(60),
             weak_delay: Duration::from_millis(250),
             strong_cpu_percent: 25,
             strong_link_mbps: 100,
@@ -141,13 +146,14 @@
 #[serde(default, deny_unknown_fields)]
 pub struct WritePolicy {
     /// How long ends are gathered before they are written together.
-    #[serde(with = "super::millis")]
-    pub gather: Duration,
+    #[serde(rename = "gather", with = "super::millis")]
+    pub batch_delay: Duration,
     /// How long a write may be without an answer before the next one is sent beside it.
-    #[serde(with = "super::millis")]
-    pub overtake_after: Duration,
+    #[serde(rename = "overtake_after", with = "super::millis")]
+    pub pipeline_after: Duration,
     /// Most writes that are under way at a time.
-    pub max_under_way: u16,
+    #[serde(rename = "max_under_way")]
+    pub max_in_flight: u16,
     /// Jobs in one write: the store takes 32 entries, two a job and one for the role.
     pub jobs_per_write: u16,
     /// How long the link may need for all that is being written: well below the time after which
@@ -159,9 +165,9 @@
 impl Default for WritePolicy {
     fn default() -> Self {
         Self {
-            gather: Duration::from_millis(3),
-            overtake_after: Duration::from_millis(25),
-            max_under_way: 6,
+            batch_delay: Duration::from_millis(3),
+            pipeline_after: Duration::from_millis(25),
+            max_in_flight: 6,
             jobs_per_write: 15,
             link_window: Duration::from_millis(60),
         }
@@ -173,30 +179,30 @@
 #[serde(default, deny_unknown_fields)]
 pub struct LinkPolicy {
     /// What a report may take beside the time that the worker was told to wait.
-    #[serde(with = "super::millis")]
-    pub hold_timeout: Duration,
+    #[serde(rename = "hold_timeout", with = "super::millis")]
+    pub report_timeout: Duration,
     /// Pause after a worker did not answer.
-    #[serde(with = "super::millis")]
-    pub silent_pause: Duration,
+    #[serde(rename = "silent_pause", with = "super::millis")]
+    pub pause_after_timeout: Duration,
     /// Longest wait for ends to be written before the worker is asked again.
-    #[serde(with = "super::millis")]
-    pub write_patience: Duration,
+    #[serde(rename = "write_patience", with = "super::millis")]
+    pub write_wait: Duration,
     /// Longest wait for the answer to a start or stop.
     #[serde(with = "super::millis")]
     pub order_timeout: Duration,
     /// How long an order may be without an answer before the next one is sent beside it.
-    #[serde(with = "super::millis")]
-    pub overtake_after: Duration,
+    #[serde(rename = "overtake_after", with = "super::millis")]
+    pub pipeline_after: Duration,
 }
 
 impl Default for LinkPolicy {
     fn default() -> Self {
         Self {
-            hold_timeout: Duration::from_millis(500),
-            silent_pause: Duration::from_millis(250),
-            write_patience: Duration::from_millis(250),
+            report_timeout: Duration::from_millis(500),
+            pause_after_timeout: Duration::from_millis(250),
+            write_wait: Duration::from_millis(250),
             order_timeout: Duration::from_millis(350),
-            overtake_after: Duration::from_millis(60),
+            pipeline_after: Duration::from_millis(60),
         }
     }
 }
--- a/crates/stairstall-core/src/batch/policy/health.rs
+++ b/crates/stairstall-core/src/batch/policy/health.rs
@@ -24,12 +24,14 @@
     #[serde(with = "super::millis")]
     pub suspect_after_stall: Duration,
     /// Silent workers of a zone that cast doubt on all of it.
-    pub doubtful_zone: u16,
+    #[serde(rename = "doubtful_zone")]
+    pub suspect_zone_workers: u16,
     /// Whether a worker that reports is not in doubt, though an order got no answer.
-    pub reports_count: bool,
+    #[serde(rename = "reports_count")]
+    pub trusts_reports: bool,
     /// A worker that answered within this time is not in doubt with its zone.
-    #[serde(with = "super::millis")]
-    pub heard_lately: Duration,
+    #[serde(rename = "heard_lately", with = "super::millis")]
+    pub recent_contact: Duration,
     /// Workers that may crash under a task before it is given up. Two crashes may be chance: each
     /// takes a seventh of the fleet in the troubles of the first sites.
     pub max_crashes: u32,
@@ -43,8 +45,8 @@
     pub fresh_start: Duration,
     /// How long a worker that was lost must be missing in the directory, and silent, to be taken for
     /// crashed: those that are well list themselves again within 2 s of the store's return.
-    #[serde(with = "super::millis")]
-    pub vanished_after: Duration,
+    #[serde(rename = "vanished_after", with = "super::millis")]
+    pub presumed_crashed_after: Duration,
     /// How long a task that lasts must be at work until earlier crashes count no longer.
     #[serde(with = "super::millis")]
     pub crashes_forgiven_after: Duration,
@@ -58,13 +60,13 @@
             suspect_after_failure: Duration::from_secs(6),
             suspect_after_refusal: Duration::from_secs(2),
             suspect_after_stall: Duration::from_secs(6),
-            doubtful_zone: 3,
-            reports_count: true,
-            heard_lately: Duration::from_millis(200),
+            suspect_zone_workers: 3,
+            trusts_reports: true,
+            recent_contact: Duration::from_millis(200),
             max_crashes: 3,
             max_losses: 5,
             fresh_start: Duration::from_secs(1),
-            vanished_after: Duration::from_secs(10),
+            presumed_crashed_after: Duration::from_secs(10),
             crashes_forgiven_after: Duration::from_secs(600),
         }
     }
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -9,29 +9,33 @@
 #[serde(default, deny_unknown_fields)]
 pub struct PlacePolicy {
     /// Shortest time that a task is taken to need: estimates go down to nothing.
-    #[serde(with = "super::millis")]
-    pub min_expected: Duration,
+    #[serde(rename = "min_expected", with = "super::millis")]
+    pub min_run_time: Duration,
     /// How long urgent work waits for room near its data before it goes elsewhere: a third of
     /// the work of most urgent jobs on the first sites.
-    #[serde(with = "super::millis")]
-    pub near_patience_urgent: Duration,
+    #[serde(rename = "near_patience_urgent", with = "super::millis")]
+    pub locality_wait_urgent: Duration,
     /// How long other work waits for a worker that is not suspect.
-    #[serde(with = "super::millis")]
-    pub suspect_patience: Duration,
+    #[serde(rename = "suspect_patience", with = "super::millis")]
+    pub suspect_wait: Duration,
     /// How long urgent work waits for a worker that is not suspect.
-    #[serde(with = "super::millis")]
-    pub suspect_patience_urgent: Duration,
+    #[serde(rename = "suspect_patience_urgent", with = "super::millis")]
+    pub suspect_wait_urgent: Duration,
     /// How long a gang waits before room is held back for it.
-    #[serde(with = "super::millis")]
-    pub hold_back_after: Duration,
+    #[serde(rename = "hold_back_after", with = "super::millis")]
+    pub reserve_after: Duration,
     /// Most gangs that room is held back for at a time; none switches it off.
-    pub max_held_back: u16,
+    #[serde(rename = "max_held_back")]
+    pub max_reservations: u16,
     /// Whether room that is held back stays so until the gang has it or can't be as timely any more.
-    pub keeps_dates: bool,
+    #[serde(rename = "keeps_dates")]
+    pub keeps_reservations: bool,
     /// Whether smaller work may have room that is held back if it surely ends before the gang's date.
-    pub fills_in: bool,
+    #[serde(rename = "fills_in")]
+    pub backfills: bool,
     /// Part of the work, in percent, after which a run's pace is relied on.
-    pub shown_percent: u8,
+    #[serde(rename = "shown_percent")]
+    pub min_progress_percent: u8,
     /// What a suspect worker costs, in times the work of the task.
     pub suspect_penalty: u16,
     /// The same for a worker where nothing has ended done, for work that has failed.
@@ -48,15 +52,15 @@
 impl Default for PlacePolicy {
     fn default() -> Self {
         Self {
-            min_expected: Duration::from_millis(200),
-            near_patience_urgent: Duration::from_millis(900),
-            suspect_patience: Duration::from_secs(3),
-            suspect_patience_urgent: Duration::from_secs(1),
-            hold_back_after: Duration::from_millis(1_500),
-            max_held_back: 2,
-            keeps_dates: true,
-            fills_in: true,
-            shown_percent: 5,
+            min_run_time: Duration::from_millis(200),
+            locality_wait_urgent: Duration::from_millis(900),
+            suspect_wait: Duration::from_secs(3),
+            suspect_wait_urgent: Duration::from_secs(1),
+            reserve_after: Duration::from_millis(1_500),
+            max_reservations: 2,
+            keeps_reservations: true,
+            backfills: true,
+            min_progress_percent: 5,
             suspect_penalty: 4,
             unproven_penalty: 1,
             failed_here_penalty: 2,
@@ -83,17 +87,19 @@
     #[serde(with = "super::millis")]
     pub restore_cost: Duration,
     /// Whether stopping a gang that only then would be late costs its whole work beside.
-    pub counts_lateness: bool,
+    #[serde(rename = "counts_lateness")]
+    pub counts_caused_lateness: bool,
     /// What stopping a gang costs beside for each time that it gave way before, as time of its room.
-    #[serde(with = "super::millis")]
-    pub again_cost: Duration,
+    #[serde(rename = "again_cost", with = "super::millis")]
+    pub repeat_preemption_cost: Duration,
     /// How many times its own work urgent work may throw away; 0 is any. A claim on a customer's own share
     /// keeps to that for as long as it can still begin in time.
-    pub most_lost: u32,
+    #[serde(rename = "most_lost")]
+    pub max_lost_factor: u32,
     /// How long a gang that gave way waits before it returns to room that urgent work may take back;
     /// doubled each time.
-    #[serde(with = "super::millis")]
-    pub returns_after: Duration,
+    #[serde(rename = "returns_after", with = "super::millis")]
+    pub restart_backoff: Duration,
 }
 
 impl Default for VictimPolicy {
@@ -103,10 +109,10 @@
             claims_wait: true,
             claim_margin: Duration::from_secs(1),
             restore_cost: Duration::from_millis(300),
-            counts_lateness: true,
-            again_cost: Duration::from_secs(1),
-            most_lost: 1,
-            returns_after: Duration::from_secs(1),
+            counts_caused_lateness: true,
+            repeat_preemption_cost: Duration::from_secs(1),
+            max_lost_factor: 1,
+            restart_backoff: Duration::from_secs(1),
         }
     }
 }
@@ -131,7 +137,8 @@
     #[serde(with = "super::millis")]
     pub recent: Duration,
     /// Standard deviations of a random count from which a change counts as one.
-    pub sure_from: f64,
+    #[serde(rename = "sure_from")]
+    pub change_threshold: f64,
     /// Whether room is kept for a job no longer than it holds it, where that is known.
     pub bounded_by_run_time: bool,
 }
@@ -145,7 +152,7 @@
             kept_per_stop: 5.3,
             follows_change: false,
             recent: Duration::from_secs(2),
-            sure_from: 2.5,
+            change_threshold: 2.5,
             bounded_by_run_time: false,
         }
     }
@@ -161,21 +168,23 @@
     /// Most moves of one task, or of one gang; none switches them off.
     pub max_moves: u8,
     /// Shortest time without any progress since the start that counts as standing still.
-    #[serde(with = "super::millis")]
-    pub still_from_start: Duration,
+    #[serde(rename = "still_from_start", with = "super::millis")]
+    pub stall_from_start: Duration,
     /// Shortest time without further progress that counts as standing still.
-    #[serde(with = "super::millis")]
-    pub still_later: Duration,
+    #[serde(rename = "still_later", with = "super::millis")]
+    pub stall_later: Duration,
     /// Part of the expected time, as a divisor, that counts as standing still.
-    pub still_divisor: u64,
+    #[serde(rename = "still_divisor")]
+    pub stall_divisor: u64,
     /// The shortest time where nothing shows that the whole gang works.
-    #[serde(with = "super::millis")]
-    pub unsure_still: Duration,
+    #[serde(rename = "unsure_still", with = "super::millis")]
+    pub unconfirmed_stall: Duration,
     /// The part of the expected time there, as a divisor.
-    pub unsure_still_divisor: u64,
+    #[serde(rename = "unsure_still_divisor")]
+    pub unconfirmed_stall_divisor: u64,
     /// Shortest work from which a pace is taken for one.
-    #[serde(with = "super::millis")]
-    pub judged_after: Duration,
+    #[serde(rename = "judged_after", with = "super::millis")]
+    pub min_judged_work: Duration,
     /// How many times as long as is typical a run must take to be slow.
     pub slow_factor: u64,
     /// What a move must save, as a divisor of what it costs.
@@ -187,12 +196,12 @@
         Self {
             interval: Duration::from_millis(100),
             max_moves: 4,
-            still_from_start: Duration::from_millis(700),
-            still_later: Duration::from_secs(1),
-            still_divisor: 25,
-            unsure_still: Duration::from_millis(2_500),
-            unsure_still_divisor: 5,
-            judged_after: Duration::from_millis(700),
+            stall_from_start: Duration::from_millis(700),
+            stall_later: Duration::from_secs(1),
+            stall_divisor: 25,
+            unconfirmed_stall: Duration::from_millis(2_500),
+            unconfirmed_stall_divisor: 5,
+            min_judged_work: Duration::from_millis(700),
             slow_factor: 3,
             gain_divisor: 4,
         }
@@ -205,7 +214,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct ReportPolicy {
     /// Reports a second, over all workers, that are aimed at.
-    pub looks_per_s: u32,
+    #[serde(rename = "looks_per_s")]
+    pub reports_per_s: u32,
     /// Shortest time that a worker waits for an end before it reports.
     #[serde(with = "super::millis")]
     pub shortest_wait: Duration,
@@ -217,7 +227,7 @@
 impl Default for ReportPolicy {
     fn default() -> Self {
         Self {
-            looks_per_s: 1_000,
+            reports_per_s: 1_000,
             shortest_wait: Duration::from_millis(300),
             longest_wait: Duration::from_secs(2),
         }
@@ -252,7 +262,7 @@
 impl FlowPolicy {
     /// Returns the time between two passes, in whole milliseconds.
     #[must_use]
-    pub fn pass_gap(&self, workers: usize) -> Duration {
+    pub fn pass_interval(&self, workers: usize) -> Duration {
         let us = u64::from(self.pass_gap_us).saturating_mul(workers as u64);
         Duration::from_millis(us / 1_000)
     }
@@ -282,11 +292,11 @@
     /// Starts of one run that are sent before it is given up.
     pub max_tries: u8,
     /// How long after a stop should have ended it is sent again.
-    #[serde(with = "super::millis")]
-    pub stop_again: Duration,
+    #[serde(rename = "stop_again", with = "super::millis")]
+    pub stop_retry_after: Duration,
     /// How long a run whose task is done may take to end by itself.
-    #[serde(with = "super::millis")]
-    pub unwanted_patience: Duration,
+    #[serde(rename = "unwanted_patience", with = "super::millis")]
+    pub unwanted_grace: Duration,
     /// How much longer than a stop a planned run waits for its room.
     #[serde(with = "super::millis")]
     pub planned_margin: Duration,
@@ -300,8 +310,8 @@
         Self {
             start_lease: Duration::from_millis(1_500),
             max_tries: 4,
-            stop_again: Duration::from_millis(400),
-            unwanted_patience: Duration::from_millis(500),
+            stop_retry_after: Duration::from_millis(400),
+            unwanted_grace: Duration::from_millis(500),
             planned_margin: Duration::from_millis(500),
             late_start: Duration::from_secs(13),
         }
@@ -340,8 +350,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct TakeoverPolicy {
     /// How long it lets workers report, at most; none switches the wait off.
-    #[serde(with = "super::millis")]
-    pub reports_patience: Duration,
+    #[serde(rename = "reports_patience", with = "super::millis")]
+    pub reports_wait: Duration,
     /// How long no further worker must have reported for the first time before it goes on.
     #[serde(with = "super::millis")]
     pub reports_quiet: Duration,
@@ -350,7 +360,7 @@
 impl Default for TakeoverPolicy {
     fn default() -> Self {
         Self {
-            reports_patience: Duration::from_millis(300),
+            reports_wait: Duration::from_millis(300),
             reports_quiet: Duration::from_millis(40),
         }
     }
@@ -366,11 +376,11 @@
     #[serde(with = "super::millis")]
     pub ticket_margin: Duration,
     /// How long an answer is waited for.
-    #[serde(with = "super::millis")]
-    pub answer_patience: Duration,
+    #[serde(rename = "answer_patience", with = "super::millis")]
+    pub answer_timeout: Duration,
     /// Pause before the adviser is asked again after a failure.
-    #[serde(with = "super::millis")]
-    pub ask_again: Duration,
+    #[serde(rename = "ask_again", with = "super::millis")]
+    pub retry_pause: Duration,
 }
 
 impl Default for AdvicePolicy {
@@ -378,8 +388,8 @@
         Self {
             workers_at_once: 30,
             ticket_margin: Duration::from_millis(400),
-            answer_patience: Duration::from_secs(2),
-            ask_again: Duration::from_millis(300),
+            answer_timeout: Duration::from_secs(2),
+            retry_pause: Duration::from_millis(300),
         }
     }
 }
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -37,7 +37,7 @@
 
     /// Returns when it was asked for first, in milliseconds since the Unix epoch.
     #[must_use]
-    pub fn asked_unix_ms(&self) -> u64 {
+    pub fn first_requested_unix_ms(&self) -> u64 {
         let accepted = self.accepted_unix_ms;
         let oldest = accepted.saturating_sub(Self::LONGEST_ASKED_MS);
         let asked = self.first_asked_unix_ms.unwrap_or(accepted);
@@ -46,19 +46,19 @@
 
     /// Returns for how long it was asked for before it was accepted, in milliseconds.
     #[must_use]
-    pub fn asked_before_ms(&self) -> u64 {
-        self.accepted_unix_ms - self.asked_unix_ms()
+    pub fn requested_before_ms(&self) -> u64 {
+        self.accepted_unix_ms - self.first_requested_unix_ms()
     }
 
     /// Returns within what time of its acceptance it should be done.
     #[must_use]
     pub fn objective_span(&self) -> Duration {
-        self.objective_span_of(self.spec.chain_ms())
+        self.objective_span_for(self.spec.critical_path_ms())
     }
 
     /// Returns the same where its longest chain takes so long, in milliseconds.
     #[must_use]
-    pub fn objective_span_of(&self, chain_ms: u64) -> Duration {
+    pub fn objective_span_for(&self, chain_ms: u64) -> Duration {
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -133,7 +133,7 @@
     pub last_run: u32,
     /// Where each current run is, by index; written before it is started.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub places: BTreeMap<u32, Place>,
+    pub places: BTreeMap<u32, RunPlacement>,
     /// Workers that were lost under open tasks, by index; written before the task starts again.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub losses: BTreeMap<u32, TaskLosses>,
@@ -145,7 +145,7 @@
 /// Where a run was put; kept as a list of its fields, of which older records have two.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(WorkerId, u32, Option<Incarnation>, bool)")]
-pub struct Place {
+pub struct RunPlacement {
     /// The worker.
     pub worker: WorkerId,
     /// The number of the run.
@@ -154,13 +154,18 @@
     #[serde(default)]
     pub incarnation: Option<Incarnation>,
     /// Whether the worker was known to have taken it when this was written.
-    #[serde(default)]
-    pub taken: bool,
+    #[serde(rename = "taken", default)]
+    pub start_confirmed: bool,
 }
 
-impl From<Place> for (WorkerId, u32, Option<Incarnation>, bool) {
-    fn from(place: Place) -> Self {
-        (place.worker, place.run, place.incarnation, place.taken)
+impl From<RunPlacement> for (WorkerId, u32, Option<Incarnation>, bool) {
+    fn from(place: RunPlacement) -> Self {
+        (
+            place.worker,
+            place.run,
+            place.incarnation,
+            place.start_confirmed,
+        )
     }
 }
 
@@ -187,7 +192,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
     /// Whether it had taken the run.
-    pub answered: bool,
+    #[serde(rename = "answered")]
+    pub start_confirmed: bool,
 }
 
 impl TaskLosses {
@@ -198,7 +204,7 @@
     }
 
     /// Counts a crash.
-    pub const fn note_crash(&mut self, answered: bool) {
+    pub const fn record_crash(&mut self, answered: bool) {
         if answered {
             self.crashes += 1;
         } else {
@@ -207,7 +213,7 @@
     }
 
     /// Takes back that a worker is silent, and returns what was noted of it.
-    pub fn settle(&mut self, worker: &WorkerId) -> Vec<SilentWorker> {
+    pub fn take_silent(&mut self, worker: &WorkerId) -> Vec<SilentWorker> {
         let (settled, others) = std::mem::take(&mut self.silent)
             .into_iter()
             .partition(|silent| silent.worker == *worker);
@@ -217,13 +223,13 @@
 
     /// Returns the losses with all silent workers taken for crashed.
     #[must_use]
-    pub fn at_worst(&self) -> Self {
+    pub fn assuming_crashed(&self) -> Self {
         let mut worst = Self {
             silent: Vec::new(),
             ..self.clone()
         };
         for silent in &self.silent {
-            worst.note_crash(silent.answered);
+            worst.record_crash(silent.start_confirmed);
         }
         worst
     }
@@ -259,7 +265,7 @@
 
 impl Progress {
     /// Returns the steps of a job that has not ended, with what lasts of their tasks.
-    pub(super) fn open_groups(
+    pub(super) fn unfinished_groups(
         &self,
         job: &JobId,
     ) -> impl Iterator<Item = (GroupKey, &GroupProgress)> {
--- a/crates/stairstall-core/src/batch/resources.rs
+++ b/crates/stairstall-core/src/batch/resources.rs
@@ -33,7 +33,7 @@
 
     /// Tells whether this fits into `room`.
     #[must_use]
-    pub const fn fits(&self, room: &Self) -> bool {
+    pub const fn fits_in(&self, room: &Self) -> bool {
         self.cpu_millis <= room.cpu_millis
             && self.memory_mb <= room.memory_mb
             && self.accelerators <= room.accelerators
@@ -41,7 +41,7 @@
 
     /// Returns how many of this fit into `room` side by side, at most `most`.
     #[must_use]
-    pub fn times_in(&self, room: &Self, most: u32) -> u32 {
+    pub fn copies_in(&self, room: &Self, most: u32) -> u32 {
         let share = |need: u32, has: u32| has.checked_div(need).unwrap_or(most);
         share(self.cpu_millis, room.cpu_millis)
             .min(share(self.memory_mb, room.memory_mb))
@@ -51,7 +51,7 @@
 
     /// Returns the sum.
     #[must_use]
-    pub const fn plus(&self, other: &Self) -> Self {
+    pub const fn saturating_add(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_add(other.cpu_millis),
             memory_mb: self.memory_mb.saturating_add(other.memory_mb),
@@ -61,7 +61,7 @@
 
     /// Returns the difference, with nothing below zero.
     #[must_use]
-    pub const fn minus(&self, other: &Self) -> Self {
+    pub const fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
@@ -71,7 +71,7 @@
 
     /// Returns the larger amount of each resource.
     #[must_use]
-    pub fn larger(&self, other: &Self) -> Self {
+    pub fn component_max(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
             memory_mb: self.memory_mb.max(other.memory_mb),
--- a/crates/stairstall-core/src/batch/run_time.rs
+++ b/crates/stairstall-core/src/batch/run_time.rs
@@ -129,7 +129,7 @@
     /// Tells whether what runs should be looked through.
     #[must_use]
     pub fn wants_look(&self, at: Timestamp) -> bool {
-        let interval = self.policy.look_interval;
+        let interval = self.policy.scan_interval;
         let is_due = self.looked_at.is_none_or(|last| at - last >= interval);
         self.is_on() && self.policy.counts_unfinished && is_due
     }
@@ -175,7 +175,7 @@
     /// Tells whether run times are learnt and used.
     #[must_use]
     pub const fn is_on(&self) -> bool {
-        self.policy.learns
+        self.policy.enabled
     }
 
     /// Returns what a later planner should know, where most is known first.
@@ -221,7 +221,7 @@
             if let Some(seen) = seen.filter(|seen| seen.ended.weight() <= 0.0) {
                 seen.ended = entry.ratios();
                 seen.ended.scale(part_left(age, policy.half_life));
-                seen.ended.keep_within(policy.most_runs);
+                seen.ended.keep_within(policy.max_sample_weight);
             }
         }
         self.learn(at);
@@ -248,7 +248,7 @@
         for (seen, known_from) in found.into_iter().zip(known_from) {
             seen.age(at, policy.half_life);
             add(&mut seen.ended);
-            seen.ended.keep_within(policy.most_runs);
+            seen.ended.keep_within(policy.max_sample_weight);
             seen.learn(known_from, at, &policy);
         }
     }
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -70,18 +70,18 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub near_rack: Option<String>,
     /// Most tasks of the step on one worker.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spread: Option<u32>,
+    #[serde(rename = "spread", default, skip_serializing_if = "Option::is_none")]
+    pub max_per_worker: Option<u32>,
     /// Whether the tasks run until the job is cancelled.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub lasts: bool,
+    #[serde(rename = "lasts", default, skip_serializing_if = "is_false")]
+    pub long_running: bool,
     /// What the tail of its answers is to stay under, in milliseconds, where it serves users of
     /// its own; 0 where it does not.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub target_ms: u64,
+    #[serde(rename = "target_ms", default, skip_serializing_if = "is_zero")]
+    pub latency_target_ms: u64,
     /// Whether the processor it asks for is not counted against a worker's room.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub fills: bool,
+    #[serde(rename = "fills", default, skip_serializing_if = "is_false")]
+    pub uses_spare_cpu: bool,
 }
 
 #[allow(
@@ -103,14 +103,18 @@
 impl StepSpec {
     /// Tells whether its tasks serve users of their own.
     #[must_use]
-    pub const fn serves(&self) -> bool {
-        self.target_ms > 0
+    pub const fn has_latency_target(&self) -> bool {
+        self.latency_target_ms > 0
     }
 
     /// Returns what a task takes of a worker's room.
     #[must_use]
-    pub const fn room(&self) -> Resources {
-        let cpu_millis = if self.fills { 0 } else { self.needs.cpu_millis };
+    pub const fn reserved_resources(&self) -> Resources {
+        let cpu_millis = if self.uses_spare_cpu {
+            0
+        } else {
+            self.needs.cpu_millis
+        };
         Resources::new(cpu_millis, self.needs.memory_mb, self.needs.accelerators)
     }
 }
@@ -123,7 +127,8 @@
     /// Between two times, in milliseconds.
     pub interval_ms: u64,
     /// How many times.
-    pub times: u32,
+    #[serde(rename = "times")]
+    pub occurrences: u32,
 }
 
 impl Schedule {
@@ -165,12 +170,12 @@
         }
         if self
             .schedule
-            .is_some_and(|s| s.times == 0 || (s.times > 1 && s.interval_ms == 0))
+            .is_some_and(|s| s.occurrences == 0 || (s.occurrences > 1 && s.interval_ms == 0))
         {
             return Err(SpecError::Schedule);
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
-        let all = tasks.saturating_mul(u64::from(self.times()));
+        let all = tasks.saturating_mul(u64::from(self.occurrences()));
         if all > MAX_TASKS {
             return Err(SpecError::Tasks(all));
         }
@@ -190,29 +195,29 @@
 
     /// Returns how many times the steps run.
     #[must_use]
-    pub fn times(&self) -> u32 {
-        self.schedule.map_or(1, |schedule| schedule.times)
+    pub fn occurrences(&self) -> u32 {
+        self.schedule.map_or(1, |schedule| schedule.occurrences)
     }
 
     /// Returns the longest chain of estimates that follows a step, in milliseconds.
     #[must_use]
-    pub fn after_ms(&self, step: u32) -> u64 {
+    pub fn downstream_path_ms(&self, step: u32) -> u64 {
         let index = step as usize;
-        let chains = self.chains_ms(|step| step.estimate_ms);
+        let chains = self.critical_paths_ms(|step| step.estimate_ms);
         let own_ms = self.steps.get(index).map_or(0, |step| step.estimate_ms);
         chains.get(index).map_or(0, |chain_ms| chain_ms - own_ms)
     }
 
     /// Returns the longest chain of estimates, in milliseconds.
     #[must_use]
-    pub fn chain_ms(&self) -> u64 {
-        let chains = self.chains_ms(|step| step.estimate_ms);
+    pub fn critical_path_ms(&self) -> u64 {
+        let chains = self.critical_paths_ms(|step| step.estimate_ms);
         chains.into_iter().max().unwrap_or(0)
     }
 
     /// Returns for each step the longest chain that begins with it, in milliseconds.
     #[must_use]
-    pub fn chains_ms(&self, takes_ms: impl Fn(&StepSpec) -> u64) -> Vec<u64> {
+    pub fn critical_paths_ms(&self, takes_ms: impl Fn(&StepSpec) -> u64) -> Vec<u64> {
         let mut chains = vec![0; self.steps.len()];
         for (number, step) in self.steps.iter().enumerate().rev() {
             // What depends on it comes later in the list and has added itself already.
--- a/crates/stairstall-core/src/batch/turn/usage.rs
+++ b/crates/stairstall-core/src/batch/turn/usage.rs
@@ -97,7 +97,7 @@
             .charged_at
             .map_or(Duration::ZERO, |charged| at - charged);
         let is_due = self.charged_at.is_none() || held >= self.policy.usage_interval;
-        if !self.policy.is_fair || !is_due {
+        if !self.policy.fair_share || !is_due {
             return None;
         }
         self.charged_at = Some(at);
@@ -134,7 +134,7 @@
 
     /// Adds what work that runs, or is about to, will still take.
     pub fn commit(&mut self, customer: Option<&CustomerId>, share_ppm: u64, left: Duration) {
-        if !self.policy.is_fair {
+        if !self.policy.fair_share {
             return;
         }
         self.account(customer).committed_ms += fleet_ms(share_ppm, left);
@@ -155,7 +155,7 @@
     /// stands before that; 0 where customers are not compared.
     #[must_use]
     pub fn step(&self, used_ms: u64, before_ms: u64, weight: u32) -> u64 {
-        if !self.policy.is_fair {
+        if !self.policy.fair_share {
             return 0;
         }
         let step_ms = crate::time::millis(self.policy.usage_step).max(1);
--- a/crates/stairstall-core/src/batch/worker.rs
+++ b/crates/stairstall-core/src/batch/worker.rs
@@ -50,7 +50,7 @@
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum EndKind {
+pub enum RunEndKind {
     /// Its work is done.
     Done,
     /// It failed.
@@ -58,14 +58,14 @@
     /// It was stopped.
     Stopped,
     /// Its lease ran out.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// It waited in vain for the other members of its gang.
-    Alone,
+    GangIncomplete,
 }
 
-impl EndKind {
+impl RunEndKind {
     /// Returns the word used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -73,9 +73,9 @@
             Self::Done => "done",
             Self::Failed => "failed",
             Self::Stopped => "stopped",
-            Self::Lapsed => "lapsed",
-            Self::Broken => "broken",
-            Self::Alone => "alone",
+            Self::LeaseExpired => "lapsed",
+            Self::GangBroken => "broken",
+            Self::GangIncomplete => "alone",
         }
     }
 }
@@ -95,7 +95,7 @@
 
 /// One end at a worker, which lists it until it may forget it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
+pub struct RunEnd {
     /// Number in the life of the worker, rising from 1.
     pub number: u64,
     /// The task.
@@ -103,39 +103,39 @@
     /// Which of its runs.
     pub run: u32,
     /// How it ended.
-    pub kind: EndKind,
+    pub kind: RunEndKind,
     /// Its last checkpoint, if any.
     pub checkpoint: Option<String>,
 }
 
 /// What a worker says it runs and what has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HoldReport {
+pub struct WorkerReport {
     /// Which of the worker's lives answers; none where it does not say.
     pub incarnation: Option<Incarnation>,
     /// The worker's own clock, in milliseconds.
     pub clock_ms: u64,
     /// What runs.
     pub running: Vec<RunningTask>,
-    /// What ended since what it may forget; `more` where not all were listed.
-    pub ended: Vec<End>,
+    /// What ended since what it may forget; `truncated` where not all were listed.
+    pub ended: Vec<RunEnd>,
     /// Whether ends were left out for length.
-    pub more: bool,
+    pub truncated: bool,
     /// Length of the answer as it came, in bytes.
     pub bytes: u32,
 }
 
 /// What to ask of a worker: renew, forget ends, report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HoldRequest {
+pub struct ReportRequest {
     /// Fencing token.
     pub token: u64,
     /// Until when everything may run, on the worker's clock, where it is renewed.
     pub deadline_ms: Option<u64>,
     /// Highest end that it may forget.
-    pub last_seen: u64,
+    pub acknowledged_end: u64,
     /// How long it may wait for an end before it answers.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Why a worker refused a start.
--- a/crates/stairstall-core/src/batch/worker_pace.rs
+++ b/crates/stairstall-core/src/batch/worker_pace.rs
@@ -237,12 +237,12 @@
             let is_late = |factor: f64| factor >= late || factor <= 1.0 / late;
             late_by_pace += usize::from(differing.is_some_and(is_late));
         }
-        let differ = if summary.known <= usize::from(self.policy.uneven_first) {
+        let differ = if summary.known <= usize::from(self.policy.small_fleet_workers) {
             summary.slow + summary.fast
         } else {
             late_by_pace
         };
-        let least = summary.known * usize::from(self.policy.uneven_percent) / 100;
+        let least = summary.known * usize::from(self.policy.heterogeneous_percent) / 100;
         // Not to go to and fro at the threshold.
         let least = if self.summary.is_uneven {
             least / 2
@@ -262,7 +262,7 @@
     /// Tells whether workers are seen to be so unlike that places are to be chosen by it.
     #[must_use]
     pub const fn is_uneven(&self) -> bool {
-        self.policy.learns && self.summary.is_uneven
+        self.policy.enabled && self.summary.is_uneven
     }
 
     /// Returns the policy.
@@ -321,7 +321,7 @@
     /// Tells whether paces are learnt and used.
     #[must_use]
     pub const fn is_on(&self) -> bool {
-        self.policy.learns
+        self.policy.enabled
     }
 
     /// Returns the level of a step's work as far as its runs, or those that were seen before, tell.
--- a/crates/stairstall-core/src/batch/worker_pace/estimate.rs
+++ b/crates/stairstall-core/src/batch/worker_pace/estimate.rs
@@ -175,7 +175,7 @@
 
 /// Returns a variance as it is after a time without a sample.
 fn widened(variance: f64, age: Duration, policy: &WorkerPacePolicy) -> f64 {
-    let whole = policy.widens_over.as_secs_f64().max(0.001);
+    let whole = policy.forgotten_after.as_secs_f64().max(0.001);
     let widened = variance + UNKNOWN_VARIANCE * age.as_secs_f64() / whole;
     widened.min(UNKNOWN_VARIANCE)
 }
--- a/crates/stairstall-core/tests/batch/crashes.rs
+++ b/crates/stairstall-core/tests/batch/crashes.rs
@@ -110,7 +110,7 @@
 
 fn lasting() -> StepSpec {
     StepSpec {
-        lasts: true,
+        long_running: true,
         ..step(1, 1)
     }
 }
--- a/crates/stairstall-core/tests/batch/ends.rs
+++ b/crates/stairstall-core/tests/batch/ends.rs
@@ -1,7 +1,8 @@
 //! Ends are written down before a worker may forget them.
 
 use stairstall_core::batch::{
-    CallerState, Decision, DecisionKind, EndKind, Order, OrderKind, Outcome, StartOutcome, StepSpec,
+    CallerState, Decision, DecisionKind, Order, OrderKind, Outcome, RunEndKind, StartOutcome,
+    StepSpec,
 };
 
 use crate::harness::{Fleet, gang, id, job, step, task};
@@ -18,7 +19,7 @@
     for index in 0..2 {
         let key = task("j", 0, index);
         let place = fleet.place_of(&key).expect("it runs");
-        fleet.worker(place.as_str()).end(&key, EndKind::Done);
+        fleet.worker(place.as_str()).end(&key, RunEndKind::Done);
     }
     fleet.writes = false;
     fleet.hold_all();
@@ -42,7 +43,7 @@
     for index in 0..2 {
         let key = task("j", 0, index);
         let place = fleet.place_of(&key).expect("it runs");
-        fleet.worker(place.as_str()).end(&key, EndKind::Done);
+        fleet.worker(place.as_str()).end(&key, RunEndKind::Done);
     }
     fleet.writes = false;
     fleet.pass(300);
@@ -79,7 +80,7 @@
             break order;
         }
     };
-    silent.end(&key, EndKind::Done);
+    silent.end(&key, RunEndKind::Done);
     fleet.reconnect(&first, silent);
     fleet.hold(&first);
     assert_eq!(fleet.planner.open_jobs(), 0, "its end is known");
@@ -111,7 +112,7 @@
         fleet.planner.take_decisions();
         fleet.pass(7_000);
         assert!(fleet.planner.take_decisions().iter().any(is_placed));
-        silent.end(&key, EndKind::Done);
+        silent.end(&key, RunEndKind::Done);
         fleet.reconnect(&first, silent);
         fleet.hold(&first);
         let starts = fleet.starts_of(&key);
--- a/crates/stairstall-core/tests/batch/failures.rs
+++ b/crates/stairstall-core/tests/batch/failures.rs
@@ -1,6 +1,6 @@
 //! Workers that fail all that they start do not use up a job's attempts.
 
-use stairstall_core::batch::{CallerState, EndKind, Outcome};
+use stairstall_core::batch::{CallerState, Outcome, RunEndKind};
 
 use crate::harness::{Fleet, id, job, step, task};
 
@@ -11,7 +11,7 @@
     fleet.submit(job("first", 2, vec![step(1, 8)]));
     let first = task("first", 0, 0);
     let proven = fleet.place_of(&first).expect("it runs");
-    fleet.worker(proven.as_str()).end(&first, EndKind::Done);
+    fleet.worker(proven.as_str()).end(&first, RunEndKind::Done);
     fleet.pass(300);
     fleet.submit(job("batch", 2, vec![step(1, 8)]));
     assert_eq!(fleet.place_of(&task("batch", 0, 0)), Some(proven.clone()));
@@ -19,7 +19,7 @@
     let fails = task("fails", 0, 0);
     let bad = fleet.place_of(&fails).expect("it runs");
     // The third worker is free and has shown nothing: it may be as bad as this one.
-    fleet.worker(bad.as_str()).end(&fails, EndKind::Failed);
+    fleet.worker(bad.as_str()).end(&fails, RunEndKind::Failed);
     fleet.pass(600);
     assert_eq!(fleet.place_of(&fails), Some(proven));
     assert_ne!(
@@ -38,10 +38,10 @@
     fleet.submit(job("j", 2, vec![step(1, 8)]));
     let key = task("j", 0, 0);
     let bad = fleet.place_of(&key).expect("it runs");
-    fleet.worker(bad.as_str()).end(&key, EndKind::Failed);
+    fleet.worker(bad.as_str()).end(&key, RunEndKind::Failed);
     fleet.pass(500);
     assert_eq!(fleet.place_of(&key), None, "nothing is proven yet");
-    fleet.worker(proven.as_str()).end(&good, EndKind::Done);
+    fleet.worker(proven.as_str()).end(&good, RunEndKind::Done);
     fleet.pass(500);
     assert_eq!(fleet.place_of(&key), Some(proven));
 }
@@ -54,7 +54,7 @@
     let key = task("j", 0, 0);
     let place = fleet.place_of(&key).expect("it runs");
     fleet.pass(1_000);
-    fleet.worker(place.as_str()).end(&key, EndKind::Failed);
+    fleet.worker(place.as_str()).end(&key, RunEndKind::Failed);
     fleet.pass(300);
     assert!(
         fleet.place_of(&key).is_some(),
--- a/crates/stairstall-core/tests/batch/flow.rs
+++ b/crates/stairstall-core/tests/batch/flow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{HoldReport, Order, OrderKind, StartOutcome, StepSpec, VmLimits};
+use stairstall_core::batch::{Order, OrderKind, StartOutcome, StepSpec, VmLimits, WorkerReport};
 
 use crate::harness::{Fleet, gang, job, step};
 
@@ -62,12 +62,12 @@
                 .planner
                 .hold_request(&id, now)
                 .expect("something runs");
-            let report = HoldReport {
+            let report = WorkerReport {
                 incarnation: None,
                 clock_ms: fleet.at_ms,
                 running: Vec::new(),
                 ended: Vec::new(),
-                more: true,
+                truncated: true,
                 bytes: REPORT_BYTES,
             };
             fleet.planner.take_hold(&id, &request, now.at, report, now);
@@ -80,7 +80,7 @@
     let id: WorkerId = "w0".parse().expect("an id");
     let now = fleet.now();
     let request = fleet.planner.hold_request(&id, now);
-    request.expect("something runs").wait
+    request.expect("something runs").max_wait
 }
 
 #[test]
--- a/crates/stairstall-core/tests/batch/harness.rs
+++ b/crates/stairstall-core/tests/batch/harness.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use stairstall_core::batch::{
-    AcceptedJob, EndKind, GroupKey, HoldReport, HoldRequest, Incarnation, ListedWorker, Now, Order,
-    OrderKind, Planner, Progress, Resources, RunningTask, StartOutcome, StopOutcome, TaskKey,
+    AcceptedJob, GroupKey, Incarnation, ListedWorker, Now, Order, OrderKind, Planner, Progress,
+    ReportRequest, Resources, RunEndKind, RunningTask, StartOutcome, StopOutcome, TaskKey,
+    WorkerReport,
 };
 use stairstall_core::{JobId, Timestamp, WorkerId, ZoneId};
 
@@ -170,13 +171,13 @@
             let is_broken =
                 |task: &&TaskKey| self.gangs.contains(&task.group) && broken.contains(&task.group);
             for member in members.iter().filter(is_broken) {
-                worker.end(member, EndKind::Broken);
+                worker.end(member, RunEndKind::GangBroken);
             }
         }
     }
 
     /// Ends a run, and with a gang's member all members: they end together.
-    pub fn end_everywhere(&mut self, task: &TaskKey, kind: EndKind) {
+    pub fn end_everywhere(&mut self, task: &TaskKey, kind: RunEndKind) {
         let is_gang = self.gangs.contains(&task.group);
         for worker in self.workers.values_mut() {
             let over = |key: &&TaskKey| *key == task || is_gang && key.group == task.group;
@@ -192,7 +193,7 @@
         for worker in self.workers.values_mut() {
             let running: Vec<TaskKey> = worker.running.keys().cloned().collect();
             for key in running {
-                worker.end(&key, EndKind::Done);
+                worker.end(&key, RunEndKind::Done);
             }
         }
     }
@@ -223,7 +224,7 @@
     pub fn reconnect(&mut self, id: &WorkerId, mut worker: FakeWorker) {
         let lapsed: Vec<TaskKey> = worker.running.keys().cloned().collect();
         for task in lapsed {
-            worker.end(&task, EndKind::Lapsed);
+            worker.end(&task, RunEndKind::LeaseExpired);
         }
         self.crashed.retain(|crashed| crashed.worker != *id);
         self.workers.insert(id.clone(), worker);
@@ -236,18 +237,18 @@
         life.set_back_ms = set_back_ms;
         let incarnation = life.incarnation();
         self.workers.insert(id.clone(), life);
-        let request = HoldRequest {
+        let request = ReportRequest {
             token: self.planner.token(),
             deadline_ms: None,
-            last_seen: 0,
-            wait: Duration::ZERO,
+            acknowledged_end: 0,
+            max_wait: Duration::ZERO,
         };
-        let report = HoldReport {
+        let report = WorkerReport {
             incarnation: Some(incarnation),
             clock_ms: 0,
             running: Vec::new(),
             ended: Vec::new(),
-            more: false,
+            truncated: false,
             bytes: 0,
         };
         self.at_ms += 1;
@@ -369,7 +370,7 @@
     }
 
     /// Asks one worker, if it wants to be asked; returns what was asked.
-    pub fn hold(&mut self, id: &WorkerId) -> Option<HoldRequest> {
+    pub fn hold(&mut self, id: &WorkerId) -> Option<ReportRequest> {
         let now = self.now();
         if self.crashed.iter().any(|crashed| crashed.worker == *id) {
             let has_address = self.planner.workers().any(|(known, _)| known == id);
@@ -386,11 +387,11 @@
         let worker = self.workers.get_mut(id)?;
         let clock_ms = self.at_ms - worker.born_ms;
         self.noted_done
-            .extend(worker.forget(request.last_seen, self.forgets_at_once));
+            .extend(worker.forget(request.acknowledged_end, self.forgets_at_once));
         if let Some(deadline) = request.deadline_ms {
             worker.deadline_ms = worker.deadline_ms.max(deadline);
         }
-        let report = HoldReport {
+        let report = WorkerReport {
             incarnation: self.reports_incarnations.then(|| worker.incarnation()),
             clock_ms,
             running: worker
@@ -404,7 +405,7 @@
                 })
                 .collect(),
             ended: worker.ended.clone(),
-            more: false,
+            truncated: false,
             bytes: 0,
         };
         self.at_ms += 1;
@@ -472,7 +473,7 @@
             }
             OrderKind::Stop => {
                 if worker.running.contains_key(&order.task) {
-                    worker.end(&order.task, EndKind::Stopped);
+                    worker.end(&order.task, RunEndKind::Stopped);
                 }
                 self.planner.take_stop(order, StopOutcome::Taken, now);
             }
--- a/crates/stairstall-core/tests/batch/harness/worker.rs
+++ b/crates/stairstall-core/tests/batch/harness/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use stairstall_core::batch::{End, EndKind, Incarnation, TaskKey};
+use stairstall_core::batch::{Incarnation, RunEnd, RunEndKind, TaskKey};
 
 use super::{SPAN_MS, START_UNIX_MS};
 
@@ -11,7 +11,7 @@
 pub struct FakeWorker {
     /// By task: the run, how long it has worked, and the checkpoint.
     pub running: BTreeMap<TaskKey, (u32, u64, Option<String>)>,
-    pub ended: Vec<End>,
+    pub ended: Vec<RunEnd>,
     pub forgotten: u64,
     pub deadline_ms: u64,
     /// How long a task's work takes, in milliseconds; none where nothing gets on.
@@ -62,7 +62,7 @@
         self.forgotten = self.forgotten.max(last_seen);
         let forgotten = self.forgotten;
         let noted = self.ended.iter().filter(|end| end.number <= forgotten);
-        let done = noted.filter(|end| end.kind == EndKind::Done);
+        let done = noted.filter(|end| end.kind == RunEndKind::Done);
         let done = done.map(|end| end.task.clone()).collect();
         self.ended.retain(|end| end.number > forgotten);
         done
@@ -79,10 +79,10 @@
     }
 
     /// Ends a run.
-    pub fn end(&mut self, task: &TaskKey, kind: EndKind) {
+    pub fn end(&mut self, task: &TaskKey, kind: RunEndKind) {
         let (run, _, checkpoint) = self.running.remove(task).expect("the task runs");
         self.next_end += 1;
-        self.ended.push(End {
+        self.ended.push(RunEnd {
             number: self.next_end,
             task: task.clone(),
             run,
--- a/crates/stairstall-core/tests/batch/lasting.rs
+++ b/crates/stairstall-core/tests/batch/lasting.rs
@@ -1,20 +1,20 @@
 //! Tasks that last, and tasks that fill beside others that serve.
 
-use stairstall_core::batch::{CallerState, EndKind, StepSpec};
+use stairstall_core::batch::{CallerState, RunEndKind, StepSpec};
 
 use crate::harness::{Fleet, id, job, step, task};
 
 fn serving() -> StepSpec {
     StepSpec {
-        lasts: true,
-        target_ms: 200,
+        long_running: true,
+        latency_target_ms: 200,
         ..step(1, 1)
     }
 }
 
 fn filling() -> StepSpec {
     StepSpec {
-        fills: true,
+        uses_spare_cpu: true,
         ..step(1, 0)
     }
 }
@@ -26,10 +26,10 @@
     fleet.submit(job("j", 1, vec![serving()]));
     let key = task("j", 0, 0);
     for kind in [
-        EndKind::Done,
-        EndKind::Failed,
-        EndKind::Failed,
-        EndKind::Failed,
+        RunEndKind::Done,
+        RunEndKind::Failed,
+        RunEndKind::Failed,
+        RunEndKind::Failed,
     ] {
         let place = fleet.place_of(&key).expect("it runs");
         fleet.worker(place.as_str()).end(&key, kind);
@@ -59,7 +59,7 @@
     let mut fleet = Fleet::new(&[("w1", "r1")]);
     fleet.hold_all();
     let lasting = StepSpec {
-        lasts: true,
+        long_running: true,
         ..step(8, 1)
     };
     fleet.submit(job("lasting", 2, vec![lasting]));
--- a/crates/stairstall-core/tests/batch/leaving.rs
+++ b/crates/stairstall-core/tests/batch/leaving.rs
@@ -2,7 +2,9 @@
 
 use crate::harness::{Fleet, SPAN_MS, gang, id, job, step, task, worker};
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{CallerState, End, EndKind, HoldReport, Outcome, Resources, StepSpec};
+use stairstall_core::batch::{
+    CallerState, Outcome, Resources, RunEnd, RunEndKind, StepSpec, WorkerReport,
+};
 
 /// Announces that a worker leaves in so many milliseconds.
 fn announce(fleet: &mut Fleet, name: &str, remaining_ms: u64) {
@@ -101,18 +103,18 @@
     fleet.planner.list_worker(next, asked);
     fleet.planner.unlist_worker(&gone, asked);
     assert!(!fleet.planner.knows(&gone));
-    let last = HoldReport {
+    let last = WorkerReport {
         incarnation: Some(fleet.worker("w1").incarnation()),
         clock_ms: fleet.at_ms,
         running: Vec::new(),
-        ended: vec![End {
+        ended: vec![RunEnd {
             number: 1,
             task: task("j", 0, 0),
             run: 1,
-            kind: EndKind::Done,
+            kind: RunEndKind::Done,
             checkpoint: None,
         }],
-        more: false,
+        truncated: false,
         bytes: 0,
     };
     fleet.at_ms += 100;
--- a/crates/stairstall-core/tests/batch/lossy/network.rs
+++ b/crates/stairstall-core/tests/batch/lossy/network.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{HoldReport, HoldRequest, Order, StartOutcome, StopOutcome};
+use stairstall_core::batch::{Order, ReportRequest, StartOutcome, StopOutcome, WorkerReport};
 
 /// Longest time that a call or an answer takes where nothing is wrong, in milliseconds.
 const TRANSIT_MS: u64 = 12;
@@ -13,7 +13,7 @@
 /// What is asked of a worker.
 #[derive(Debug, Clone)]
 pub enum Call {
-    Hold(HoldRequest),
+    Hold(ReportRequest),
     Start(Order),
     Stop(Order),
 }
@@ -30,7 +30,7 @@
 /// What a worker answers.
 #[derive(Debug, Clone)]
 pub enum Answer {
-    Report(HoldReport),
+    Report(WorkerReport),
     Start(StartOutcome),
     Stop(StopOutcome),
 }
--- a/crates/stairstall-core/tests/batch/lossy/worker.rs
+++ b/crates/stairstall-core/tests/batch/lossy/worker.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairstall_core::batch::{
-    End, EndKind, GroupKey, HoldReport, HoldRequest, Incarnation, Order, OrderKind, RefusalReason,
-    Resources, RunningTask, StartOutcome, StopOutcome, TaskKey,
+    GroupKey, Incarnation, Order, OrderKind, RefusalReason, ReportRequest, Resources, RunEnd,
+    RunEndKind, RunningTask, StartOutcome, StopOutcome, TaskKey, WorkerReport,
 };
 
 use crate::harness::{HOLD_MAX, START_UNIX_MS};
@@ -48,7 +48,7 @@
 pub struct Life {
     pub born_ms: u64,
     pub running: BTreeMap<TaskKey, Running>,
-    pub ended: Vec<End>,
+    pub ended: Vec<RunEnd>,
     forgetting: Forgetting,
     capacity: Resources,
     fence: u64,
@@ -147,8 +147,10 @@
             return refused(RefusalReason::Late);
         }
         let used = self.running.values().map(|running| running.needs);
-        let used = used.fold(Resources::default(), |sum, needs| sum.plus(&needs));
-        if !used.plus(&needs).fits(&self.capacity) {
+        let used = used.fold(Resources::default(), |sum, needs| {
+            sum.saturating_add(&needs)
+        });
+        if !used.saturating_add(&needs).fits_in(&self.capacity) {
             return refused(RefusalReason::NoRoom);
         }
         let running = Running {
@@ -170,20 +172,20 @@
         *barred = order.run.max(*barred);
         let present = self.running.get(&order.task).map(|running| running.run);
         if present.is_some_and(|run| run <= order.run) {
-            self.end(&order.task, EndKind::Stopped);
+            self.end(&order.task, RunEndKind::Stopped);
         }
         StopOutcome::Taken
     }
 
     /// Takes a request for a report: renews and forgets; false where it is fenced.
-    pub fn take_hold(&mut self, request: &HoldRequest, at_ms: u64) -> bool {
+    pub fn take_hold(&mut self, request: &ReportRequest, at_ms: u64) -> bool {
         if self.is_fenced(request.token) {
             return false;
         }
         if let Some(deadline_ms) = request.deadline_ms {
             self.renew(deadline_ms, at_ms);
         }
-        self.forget(request.last_seen);
+        self.forget(request.acknowledged_end);
         true
     }
 
@@ -202,23 +204,23 @@
         }
     }
 
-    fn note(&mut self, ends: Vec<End>) {
+    fn note(&mut self, ends: Vec<RunEnd>) {
         for end in ends {
             self.noted += 1;
-            if end.kind == EndKind::Done {
+            if end.kind == RunEndKind::Done {
                 self.noted_done.insert(end.task);
             }
         }
     }
 
-    pub fn end(&mut self, task: &TaskKey, kind: EndKind) {
+    pub fn end(&mut self, task: &TaskKey, kind: RunEndKind) {
         let Some(running) = self.running.remove(task) else {
             return;
         };
         let barred = self.barred.entry(task.clone()).or_default();
         *barred = running.run.max(*barred);
         self.ends += 1;
-        let end = End {
+        let end = RunEnd {
             number: self.ends,
             task: task.clone(),
             run: running.run,
@@ -232,7 +234,7 @@
         }
     }
 
-    pub fn report(&self, at_ms: u64) -> HoldReport {
+    pub fn report(&self, at_ms: u64) -> WorkerReport {
         let running = self.running.iter().map(|(task, running)| {
             let worked = running.began_ms.map_or(0, |began| at_ms - began);
             let percent = (worked * 100 / running.work_ms.max(1)).min(99);
@@ -243,12 +245,12 @@
                 percent: u8::try_from(percent).expect("a percentage"),
             }
         });
-        HoldReport {
+        WorkerReport {
             incarnation: Some(self.incarnation()),
             clock_ms: self.clock_ms(at_ms),
             running: running.collect(),
             ended: self.ended.iter().take(ENDS_AT_ONCE).cloned().collect(),
-            more: self.ended.len() >= ENDS_AT_ONCE,
+            truncated: self.ended.len() >= ENDS_AT_ONCE,
             bytes: 0,
         }
     }
@@ -260,7 +262,7 @@
         }
         let over: Vec<TaskKey> = self.running.keys().cloned().collect();
         for task in over {
-            self.end(&task, EndKind::Lapsed);
+            self.end(&task, RunEndKind::LeaseExpired);
         }
     }
 }
@@ -294,7 +296,7 @@
             let Some(members) = gangs.get(&task.group) else {
                 let began = *running.began_ms.get_or_insert(at_ms);
                 if at_ms >= began + running.work_ms {
-                    over.push((task.clone(), EndKind::Done));
+                    over.push((task.clone(), RunEndKind::Done));
                 }
                 continue;
             };
@@ -316,19 +318,19 @@
     is_whole: bool,
     ends_ms: Option<u64>,
     at_ms: u64,
-) -> Option<EndKind> {
+) -> Option<RunEndKind> {
     match running.began_ms {
         None if is_whole => {
             running.began_ms = Some(at_ms);
             None
         }
-        None if at_ms >= running.since_ms + GANG_WAIT_MS => Some(EndKind::Alone),
-        Some(_) if is_whole && ends_ms.is_some_and(|ends| at_ms >= ends) => Some(EndKind::Done),
+        None if at_ms >= running.since_ms + GANG_WAIT_MS => Some(RunEndKind::GangIncomplete),
+        Some(_) if is_whole && ends_ms.is_some_and(|ends| at_ms >= ends) => Some(RunEndKind::Done),
         Some(_) if is_whole => {
             running.since_ms = at_ms;
             None
         }
-        Some(_) if at_ms >= running.since_ms + BREAK_MS => Some(EndKind::Broken),
+        Some(_) if at_ms >= running.since_ms + BREAK_MS => Some(RunEndKind::GangBroken),
         _ => None,
     }
 }
--- a/crates/stairstall-core/tests/batch/lossy/world.rs
+++ b/crates/stairstall-core/tests/batch/lossy/world.rs
@@ -365,7 +365,7 @@
         self.news.push(self.at_ms + patience_ms, given_up);
         let delay_ms = match &sent.call {
             Call::Start(_) => self.delays_start_ms.take(),
-            Call::Hold(request) if request.last_seen > 0 => self.delays_naming_ms.take(),
+            Call::Hold(request) if request.acknowledged_end > 0 => self.delays_naming_ms.take(),
             _ => None,
         };
         let fate = delay_ms.map_or_else(
@@ -403,9 +403,9 @@
                 if !life.take_hold(request, at_ms) {
                     return;
                 }
-                let until_ms = at_ms + millis(request.wait);
-                if request.last_seen > 0 && !sent.is_heard {
-                    let (id, named) = (sent.worker.clone(), request.last_seen);
+                let until_ms = at_ms + millis(request.max_wait);
+                if request.acknowledged_end > 0 && !sent.is_heard {
+                    let (id, named) = (sent.worker.clone(), request.acknowledged_end);
                     self.tell(format_args!("{id} of {born_ms} is told {named}, unheard"));
                 }
                 self.waiting.push(Waiting {
@@ -666,7 +666,7 @@
 /// Returns how long the planner's daemon waits for an answer.
 fn patience_ms(call: &Call) -> u64 {
     match call {
-        Call::Hold(request) => millis(request.wait) + HOLD_TIMEOUT_MS,
+        Call::Hold(request) => millis(request.max_wait) + HOLD_TIMEOUT_MS,
         Call::Start(_) | Call::Stop(_) => ORDER_TIMEOUT_MS,
     }
 }
--- a/crates/stairstall-core/tests/batch/lossy/world/leaving.rs
+++ b/crates/stairstall-core/tests/batch/lossy/world/leaving.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{End, EndKind};
+use stairstall_core::batch::{RunEnd, RunEndKind};
 
 use super::{Event, News, STEP_MS, Sent, Waiting, World, patience_ms, transit};
 
@@ -123,7 +123,7 @@
 
     /// Returns when a report of a worker that leaves arrives, if it does; its ends then count as taken note of,
     /// whatever the planner has made of them.
-    pub(super) fn last_words(&mut self, sent: &Sent, ended: &[End], at_ms: u64) -> Option<u64> {
+    pub(super) fn last_words(&mut self, sent: &Sent, ended: &[RunEnd], at_ms: u64) -> Option<u64> {
         let leaving = self.leaving[&sent.worker];
         let farewell = if leaving.is_about_to_go(self.at_ms) && !ended.is_empty() {
             leaving.farewell
@@ -141,7 +141,7 @@
         };
         let given_up_ms = sent.asked_ms + patience_ms(&sent.call);
         if arrives_ms + STEP_MS < given_up_ms {
-            let done = ended.iter().filter(|end| end.kind == EndKind::Done);
+            let done = ended.iter().filter(|end| end.kind == RunEndKind::Done);
             for end in done {
                 let noted = Event::Noted(end.task.clone());
                 self.events.push(self.at_ms + NOTED_AFTER_MS, noted);
--- a/crates/stairstall-core/tests/batch/paces.rs
+++ b/crates/stairstall-core/tests/batch/paces.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::WorkerId;
 use stairstall_core::batch::{
-    AcceptedJob, DecisionKind, EndKind, KeptPace, Learnt, Now, OrderKind, Policy, StepSpec,
+    AcceptedJob, DecisionKind, KeptPace, Learnt, Now, OrderKind, Policy, RunEndKind, StepSpec,
     TaskKey, WorkerPacePolicy,
 };
 
@@ -272,7 +272,7 @@
         let mut fleet = fleet_of(FLEET);
         let policy = Policy {
             worker_pace: WorkerPacePolicy {
-                learns,
+                enabled: learns,
                 ..WorkerPacePolicy::default()
             },
             ..Policy::default()
@@ -362,7 +362,7 @@
             .collect();
         for task in done {
             if self.fleet.place_of(&task).is_some() {
-                self.fleet.end_everywhere(&task, EndKind::Done);
+                self.fleet.end_everywhere(&task, RunEndKind::Done);
                 self.note_end(&task);
             }
         }
--- a/crates/stairstall-core/tests/batch/records.rs
+++ b/crates/stairstall-core/tests/batch/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use stairstall_core::batch::{CallerState, EndKind, OrderKind, Outcome};
+use stairstall_core::batch::{CallerState, OrderKind, Outcome, RunEndKind};
 
 use crate::harness::{Fleet, id, job, step, task};
 
@@ -27,7 +27,7 @@
 fn complete(fleet: &mut Fleet, name: &str) {
     let key = task(name, 0, 0);
     let place = fleet.place_of(&key).expect("it runs");
-    fleet.worker(place.as_str()).end(&key, EndKind::Done);
+    fleet.worker(place.as_str()).end(&key, RunEndKind::Done);
     fleet.pass(200);
 }
 
--- a/crates/stairstall-core/tests/batch/restarts.rs
+++ b/crates/stairstall-core/tests/batch/restarts.rs
@@ -13,8 +13,8 @@
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::WorkerId;
 use stairstall_core::batch::{
-    CallerState, DecisionKind, End, EndKind, HoldReport, Incarnation, OrderKind, Outcome, Place,
-    StartOutcome,
+    CallerState, DecisionKind, Incarnation, OrderKind, Outcome, RunEnd, RunEndKind, RunPlacement,
+    StartOutcome, WorkerReport,
 };
 
 use crate::harness::{Fleet, START_UNIX_MS, gang, id, job, step, task};
@@ -35,7 +35,7 @@
     let mut fleet = fleet(&[("w1", "r1")]);
     for name in ["first", "second"] {
         fleet.submit(job(name, 2, vec![step(1, 8)]));
-        fleet.worker("w1").end(&task(name, 0, 0), EndKind::Done);
+        fleet.worker("w1").end(&task(name, 0, 0), RunEndKind::Done);
         fleet.pass(200);
         assert_eq!(fleet.planner.caller_state(&id(name)), COMPLETED);
     }
@@ -49,7 +49,7 @@
     let mut fleet = restarted();
     fleet.submit(job("third", 2, vec![step(1, 8)]));
     let key = task("third", 0, 0);
-    fleet.worker("w1").end(&key, EndKind::Done);
+    fleet.worker("w1").end(&key, RunEndKind::Done);
     fleet.pass(2_000);
     assert_eq!(fleet.starts_of(&key), 1, "{:?}", fleet.given);
     assert_eq!(fleet.planner.caller_state(&id("third")), COMPLETED);
@@ -62,10 +62,10 @@
     fleet.submit(job("third", 2, vec![gang(2, 4)]));
     fleet
         .worker("w1")
-        .end(&task("third", 0, 0), EndKind::Broken);
+        .end(&task("third", 0, 0), RunEndKind::GangBroken);
     fleet
         .worker("w1")
-        .end(&task("third", 0, 1), EndKind::Broken);
+        .end(&task("third", 0, 1), RunEndKind::GangBroken);
     fleet.pass(2_000);
     assert_eq!(
         fleet.starts_of(&task("third", 0, 0)),
@@ -135,7 +135,7 @@
         let running: Vec<_> = workers.flat_map(|w| w.running.keys().cloned()).collect();
         for key in running {
             if self.happens(6) {
-                self.fleet.end_everywhere(&key, EndKind::Done);
+                self.fleet.end_everywhere(&key, RunEndKind::Done);
             }
         }
     }
@@ -273,18 +273,18 @@
     fleet.crash_for(&place, 300);
     fleet.pass(1_000);
     let runs = fleet.planner.runs();
-    let late = HoldReport {
+    let late = WorkerReport {
         incarnation: Some(Incarnation::from_unix_ms(START_UNIX_MS)),
         clock_ms: 900_000,
         running: Vec::new(),
-        ended: vec![End {
+        ended: vec![RunEnd {
             number: 1,
             task: task("j", 0, 0),
             run: 2,
-            kind: EndKind::Done,
+            kind: RunEndKind::Done,
             checkpoint: None,
         }],
-        more: false,
+        truncated: false,
         bytes: 0,
     };
     let now = fleet.now();
@@ -304,12 +304,12 @@
     fleet.pass(300);
     let now = fleet.now();
     let request = fleet.planner.hold_request(&place, now).expect("it is busy");
-    let report = HoldReport {
+    let report = WorkerReport {
         incarnation: Some(Incarnation::from_unix_ms(START_UNIX_MS - 2_000)),
         clock_ms: 50,
         running: Vec::new(),
         ended: Vec::new(),
-        more: false,
+        truncated: false,
         bytes: 0,
     };
     fleet.at_ms += 1;
@@ -417,7 +417,7 @@
     let place: WorkerId = "w1".parse().expect("an id");
     for name in ["a", "b"] {
         fleet.submit(job(name, 2, vec![step(1, 1)]));
-        fleet.worker("w1").end(&task(name, 0, 0), EndKind::Done);
+        fleet.worker("w1").end(&task(name, 0, 0), RunEndKind::Done);
     }
     fleet.hold(&place);
     fleet.settle();
@@ -426,21 +426,21 @@
         .planner
         .hold_request(&place, now)
         .expect("ends to name");
-    assert_eq!(naming.last_seen, 2);
+    assert_eq!(naming.acknowledged_end, 2);
     fleet.at_ms += 1_000;
     let answered = fleet.now();
-    let report = HoldReport {
+    let report = WorkerReport {
         incarnation: Some(Incarnation::from_unix_ms(START_UNIX_MS + 500)),
         clock_ms: 500,
         running: Vec::new(),
-        ended: vec![End {
+        ended: vec![RunEnd {
             number: 1,
             task: task("c", 0, 0),
             run: 1,
-            kind: EndKind::Stopped,
+            kind: RunEndKind::Stopped,
             checkpoint: None,
         }],
-        more: false,
+        truncated: false,
         bytes: 0,
     };
     fleet
@@ -452,14 +452,14 @@
         .hold_request(&place, now)
         .expect("a life that was not met");
     // What it is sent before its clock is read brings no deadline by the clock of the life before.
-    assert_eq!((first.last_seen, first.deadline_ms), (0, None));
+    assert_eq!((first.acknowledged_end, first.deadline_ms), (0, None));
     assert!(first.token > naming.token);
     fleet.planner.take_hold(&place, &first, now.at, report, now);
     let told = fleet
         .planner
         .hold_request(&place, now)
         .expect("an end to name");
-    assert_eq!(told.last_seen, 1);
+    assert_eq!(told.acknowledged_end, 1);
 }
 
 /// "1 without an answer", "2 …" to "5 …" of one run failed a job: it was counted at each further life of the
@@ -565,12 +565,12 @@
 
 #[test]
 fn places_are_read_as_older_planners_wrote_them() {
-    let read = |text| serde_json::from_str::<Place>(text).expect("a place");
+    let read = |text| serde_json::from_str::<RunPlacement>(text).expect("a place");
     let older = read(r#"["w1",3]"#);
     assert_eq!((older.run, older.incarnation), (3, None));
-    let place = Place {
+    let place = RunPlacement {
         incarnation: Some(Incarnation::from_unix_ms(5)),
-        taken: true,
+        start_confirmed: true,
         ..older
     };
     let text = serde_json::to_string(&place).expect("JSON");
--- a/crates/stairstall-core/tests/batch/room.rs
+++ b/crates/stairstall-core/tests/batch/room.rs
@@ -52,7 +52,7 @@
         let place = fleet.place_of(&key).expect("it runs");
         fleet
             .worker(place.as_str())
-            .end(&key, stairstall_core::batch::EndKind::Done);
+            .end(&key, stairstall_core::batch::RunEndKind::Done);
         fleet.pass(200);
     }
     fleet
--- a/crates/stairstall-core/tests/batch/run_times.rs
+++ b/crates/stairstall-core/tests/batch/run_times.rs
@@ -1,7 +1,7 @@
 //! Run times that are learnt from what runs and ends, under loads whose estimates are off.
 
 use stairstall_core::batch::{
-    AcceptedJob, EndKind, Learnt, Policy, RunTimePolicy, StepSpec, TaskKey,
+    AcceptedJob, Learnt, Policy, RunEndKind, RunTimePolicy, StepSpec, TaskKey,
 };
 
 use crate::harness::{Fleet, START_UNIX_MS, bounds, catalog, gang, job, step, task};
@@ -14,7 +14,7 @@
 fn fleet(workers: &[(&str, &str)], learns: bool) -> Fleet {
     let mut fleet = Fleet::new(workers);
     let run_times = RunTimePolicy {
-        learns,
+        enabled: learns,
         ..RunTimePolicy::default()
     };
     let policy = Policy {
@@ -45,7 +45,7 @@
 /// Lets a task, or its gang, end done after a while.
 fn finish_after(fleet: &mut Fleet, task: &TaskKey, ms: u64) {
     fleet.pass(ms);
-    fleet.end_everywhere(task, EndKind::Done);
+    fleet.end_everywhere(task, RunEndKind::Done);
     fleet.pass(100);
 }
 
@@ -143,7 +143,7 @@
     }
     fleet.pass(1_000);
     for number in 0..10 {
-        fleet.end_everywhere(&task(&format!("j-{number:02}"), 0, 0), EndKind::Done);
+        fleet.end_everywhere(&task(&format!("j-{number:02}"), 0, 0), RunEndKind::Done);
     }
     fleet.pass(3_000);
     submit(&mut fleet, "next", 2, step(1, 8));
@@ -202,7 +202,7 @@
     fleet.take_over(&jobs, &RACK);
     fleet.pass(300);
     for number in 0..10 {
-        fleet.end_everywhere(&task(&format!("j-{number}"), 0, 0), EndKind::Done);
+        fleet.end_everywhere(&task(&format!("j-{number}"), 0, 0), RunEndKind::Done);
     }
     fleet.pass(300);
     assert_eq!(fleet.planner.open_jobs(), 0);
--- a/crates/stairstall-core/tests/batch/story.rs
+++ b/crates/stairstall-core/tests/batch/story.rs
@@ -1,6 +1,6 @@
 //! The account of where a job's time went.
 
-use stairstall_core::batch::{EndKind, JobSummary, Outcome, Setback, Setbacks, Span};
+use stairstall_core::batch::{JobSummary, Outcome, RunEndKind, Setback, Setbacks, Span};
 
 use crate::harness::{Fleet, gang, job, step, task};
 
@@ -14,7 +14,7 @@
     fleet.hold_all();
     fleet.submit(job("a", 1, vec![step(1, 1)]));
     fleet.pass(900);
-    fleet.worker("w1").end(&task("a", 0, 0), EndKind::Done);
+    fleet.worker("w1").end(&task("a", 0, 0), RunEndKind::Done);
     fleet.hold_all();
     fleet.pass(100);
     let summaries = told(&mut fleet);
@@ -42,21 +42,21 @@
     for index in 0..2 {
         fleet
             .worker("w1")
-            .end(&task("first", 0, index), EndKind::Done);
+            .end(&task("first", 0, index), RunEndKind::Done);
     }
     fleet.hold_all();
     fleet.pass(300);
     for index in 0..2 {
         fleet
             .worker("w1")
-            .end(&task("second", 0, index), EndKind::Failed);
+            .end(&task("second", 0, index), RunEndKind::Failed);
     }
     fleet.hold_all();
     fleet.pass(300);
     for index in 0..2 {
         fleet
             .worker("w1")
-            .end(&task("second", 0, index), EndKind::Done);
+            .end(&task("second", 0, index), RunEndKind::Done);
     }
     fleet.hold_all();
     fleet.pass(100);
@@ -86,7 +86,7 @@
     fleet.take_over(&[accepted], &[("w1", "r1")]);
     fleet.hold_all();
     fleet.pass(200);
-    fleet.worker("w1").end(&task("a", 0, 0), EndKind::Done);
+    fleet.worker("w1").end(&task("a", 0, 0), RunEndKind::Done);
     fleet.hold_all();
     fleet.pass(100);
     let summaries = told(&mut fleet);
--- a/crates/stairstall-core/tests/batch/takeover.rs
+++ b/crates/stairstall-core/tests/batch/takeover.rs
@@ -1,6 +1,6 @@
 //! A planner that takes over knows what its predecessor may have started.
 
-use stairstall_core::batch::{EndKind, OrderKind};
+use stairstall_core::batch::{OrderKind, RunEndKind};
 
 use crate::harness::{Fleet, HOLD_MAX, gang, job, step, task};
 
@@ -74,7 +74,7 @@
     for index in 0..2 {
         let key = task("j", 0, index);
         let place = fleet.place_of(&key).expect("it runs on");
-        fleet.worker(place.as_str()).end(&key, EndKind::Done);
+        fleet.worker(place.as_str()).end(&key, RunEndKind::Done);
     }
     fleet.pass(300);
     assert_eq!(fleet.planner.open_jobs(), 0);
@@ -118,12 +118,12 @@
             fleet.at_ms += 100;
             fleet.settle();
         }
-        let report = stairstall_core::batch::HoldReport {
+        let report = stairstall_core::batch::WorkerReport {
             incarnation: None,
             clock_ms: fleet.at_ms,
             running: Vec::new(),
             ended: Vec::new(),
-            more: false,
+            truncated: false,
             bytes: 0,
         };
         let answered = fleet.now();
--- a/crates/stairstall-core/tests/batch/turns.rs
+++ b/crates/stairstall-core/tests/batch/turns.rs
@@ -13,7 +13,7 @@
 use quickcheck::{Gen, QuickCheck, Testable};
 use stairstall_core::JobId;
 use stairstall_core::batch::{
-    AcceptedJob, EndKind, GroupKey, OrderKind, Planner, Policy, Timeliness, WaitReason,
+    AcceptedJob, GroupKey, OrderKind, Planner, Policy, RunEndKind, Timeliness, WaitReason,
 };
 
 use crate::harness::{Fleet, START_UNIX_MS, bounds, catalog, gang, id, job, step, task};
@@ -25,16 +25,16 @@
 fn without_turns() -> Policy {
     let mut policy = Policy::default();
     policy.turns.by_timeliness = false;
-    policy.turns.is_fair = false;
+    policy.turns.fair_share = false;
     policy.turns.aged_after = 0;
-    policy.places.keeps_dates = false;
-    policy.places.fills_in = false;
+    policy.places.keeps_reservations = false;
+    policy.places.backfills = false;
     policy
 }
 
 fn only_fair() -> Policy {
     let mut policy = without_turns();
-    policy.turns.is_fair = true;
+    policy.turns.fair_share = true;
     policy
 }
 
@@ -133,7 +133,7 @@
             let tasks = running.iter().filter(|task| task.group == group);
             for task in tasks {
                 if self.fleet.place_of(task).is_some() {
-                    self.fleet.end_everywhere(task, EndKind::Done);
+                    self.fleet.end_everywhere(task, RunEndKind::Done);
                 }
             }
             self.ended_ms.insert(group.job.clone(), at_ms);
@@ -164,7 +164,7 @@
         reason = "milliseconds of a test"
     )]
     fn is_in_time(&self, job: &AcceptedJob) -> bool {
-        let work_ms = (job.queue.stretch * job.spec.chain_ms() as f64) as u64;
+        let work_ms = (job.queue.stretch * job.spec.critical_path_ms() as f64) as u64;
         let objective_ms = job.accepted_unix_ms + work_ms + job.queue.target_ms - START_UNIX_MS;
         let ended_ms = self.ended_ms.get(&job.id);
         ended_ms.is_some_and(|ended_ms| *ended_ms <= objective_ms)
@@ -347,18 +347,18 @@
 /// A policy that believes what callers estimate, which is exact in these loads.
 fn with_estimates() -> Policy {
     let mut policy = Policy::default();
-    policy.run_times.learns = false;
+    policy.run_times.enabled = false;
     policy
 }
 
 /// A policy under which whoever gives way is chosen by the work that is lost alone, and returns at once.
 fn with_thrashing() -> Policy {
     let mut policy = without_turns();
-    policy.run_times.learns = false;
-    policy.victims.counts_lateness = false;
-    policy.victims.again_cost = Duration::ZERO;
-    policy.victims.most_lost = 0;
-    policy.victims.returns_after = Duration::ZERO;
+    policy.run_times.enabled = false;
+    policy.victims.counts_caused_lateness = false;
+    policy.victims.repeat_preemption_cost = Duration::ZERO;
+    policy.victims.max_lost_factor = 0;
+    policy.victims.restart_backoff = Duration::ZERO;
     policy
 }
 
@@ -425,7 +425,7 @@
     let began_ms = began_ms.expect("it is done");
     assert!(began_ms <= 4_500, "{began_ms} ms");
     let mut never = Policy::default();
-    never.places.max_held_back = 0;
+    never.places.max_reservations = 0;
     let began_ms = wide_among_small(&never);
     assert!(
         began_ms.is_none_or(|began_ms| began_ms > 4_500),
@@ -457,7 +457,7 @@
     assert_eq!(starts(&policy, 2_000), 1, "it ends before the date");
     assert_eq!(starts(&policy, 9_000), 0, "it would delay the gang");
     let mut whole = policy;
-    whole.places.fills_in = false;
+    whole.places.backfills = false;
     assert_eq!(starts(&whole, 2_000), 0);
 }
 
--- a/crates/stairstall-core/tests/batch/uneven_demand.rs
+++ b/crates/stairstall-core/tests/batch/uneven_demand.rs
@@ -1,6 +1,6 @@
 //! Batch work beside urgent work that comes in waves.
 
-use stairstall_core::batch::{EndKind, HeadroomPolicy, Policy};
+use stairstall_core::batch::{HeadroomPolicy, Policy, RunEndKind};
 
 use crate::harness::{Fleet, START_UNIX_MS, job, step, task};
 
@@ -45,11 +45,11 @@
         fleet.pass(100);
         let at_ms = fleet.at_ms;
         for (key, _) in running.extract_if(.., |(_, ends)| *ends <= at_ms) {
-            fleet.end_everywhere(&key, EndKind::Done);
+            fleet.end_everywhere(&key, RunEndKind::Done);
         }
     }
     for (key, _) in running {
-        fleet.end_everywhere(&key, EndKind::Done);
+        fleet.end_everywhere(&key, RunEndKind::Done);
     }
     fleet.pass(100);
 }
--- a/crates/stairstall-core/tests/demand.rs
+++ b/crates/stairstall-core/tests/demand.rs
@@ -5,7 +5,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use stairstall_core::batch::{HeadroomPolicy, Outlook, UrgentDemand, UrgentWork};
+use stairstall_core::batch::{DemandHorizon, HeadroomPolicy, UrgentDemand, UrgentWork};
 use stairstall_core::{Timestamp, ZoneId};
 
 /// What is kept for is what comes within this time.
@@ -45,23 +45,23 @@
         zone: Some(&zone),
         queue: "checks",
         accelerators: 4,
-        held: None,
+        hold_time: None,
     };
     let window = following().window;
     for ms in from_to_ms.0..from_to_ms.1 {
         if random.random_bool(per_second / 1_000.0) {
-            demand.note(&work, window, at(ms));
+            demand.record(&work, window, at(ms));
         }
     }
 }
 
 fn room(demand: &UrgentDemand, policy: &HeadroomPolicy, ms: u64) -> f64 {
-    let outlook = Outlook {
+    let outlook = DemandHorizon {
         span: SPAN,
-        stop: STOP,
-        watched: Duration::from_millis(ms),
+        stop_time: STOP,
+        observed: Duration::from_millis(ms),
     };
-    demand.room(&outlook, policy, at(ms))
+    demand.headroom(&outlook, policy, at(ms))
 }
 
 #[test]
@@ -150,10 +150,10 @@
         zone: None,
         queue: "checks",
         accelerators: 10,
-        held: Some(Duration::from_millis(1_100)),
+        hold_time: Some(Duration::from_millis(1_100)),
     };
     for second in 0..10 {
-        demand.note(&work, Duration::from_secs(10), at(second * 1_000));
+        demand.record(&work, Duration::from_secs(10), at(second * 1_000));
     }
     let policy = HeadroomPolicy {
         follows_change: false,
@@ -174,9 +174,9 @@
             zone: Some(&zone),
             queue: "checks",
             accelerators: 1,
-            held: None,
+            hold_time: None,
         };
-        demand.note(&work, Duration::from_secs(10), at(number));
+        demand.record(&work, Duration::from_secs(10), at(number));
     }
     let kept = room(&demand, &fixed_headroom(), 2_000);
     assert!((kept - 1_000.0).abs() < 1.0, "none is left out: {kept}");
--- a/crates/stairstall-core/tests/load.rs
+++ b/crates/stairstall-core/tests/load.rs
@@ -15,9 +15,9 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use stairstall_core::JobId;
 use stairstall_core::batch::{
-    AcceptedJob, Admission, AdmissionPolicy, AdmissionReason, BusyRoom, CallerState,
-    CustomerBacklog, EndKind, KnownLoad, LoadSummary, OrderKind, Outcome, Policy, Resources,
-    RoomTime, Shape, StartForecast, StepSpec, TaskKey, TotalRoom, WaitingWork, WorkerKind,
+    AcceptedJob, Admission, AdmissionPolicy, AdmissionRefusalReason, BusyRoom, CallerState,
+    CustomerBacklog, KnownLoad, LoadSummary, OrderKind, Outcome, Policy, Resources, RoomTime,
+    RunEndKind, Shape, StartForecast, StepSpec, TaskKey, TotalRoom, WaitingWork, WorkerKind,
 };
 
 #[path = "batch/harness.rs"]
@@ -58,7 +58,7 @@
         let over = running.filter(|(_, (_, worked_ms, _))| *worked_ms >= SPAN_MS);
         let over: Vec<TaskKey> = over.map(|(task, _)| task.clone()).collect();
         for task in over {
-            fleet.end_everywhere(&task, EndKind::Done);
+            fleet.end_everywhere(&task, RunEndKind::Done);
         }
     }
 }
@@ -87,7 +87,7 @@
     Admission::decide(job, Some(load), policy)
 }
 
-fn reason(admission: Admission) -> Option<AdmissionReason> {
+fn reason(admission: Admission) -> Option<AdmissionRefusalReason> {
     match admission {
         Admission::Accept => None,
         Admission::Refuse(refusal) => Some(refusal.reason),
@@ -139,9 +139,9 @@
     assert_eq!(
         reasons,
         [
-            Some(AdmissionReason::TooLarge),
-            Some(AdmissionReason::TooLarge),
-            Some(AdmissionReason::NoSuchLabel)
+            Some(AdmissionRefusalReason::TooLarge),
+            Some(AdmissionRefusalReason::TooLarge),
+            Some(AdmissionRefusalReason::NoSuchLabel)
         ]
     );
     let off = AdmissionPolicy {
@@ -178,7 +178,7 @@
     assert_eq!((summary.workers[0].count, summary.workers[0].away), (1, 0));
     assert_eq!(
         reason(decide(&summary, &wide, &AdmissionPolicy::default())),
-        Some(AdmissionReason::TooLarge)
+        Some(AdmissionRefusalReason::TooLarge)
     );
 }
 
@@ -210,9 +210,9 @@
         change(&mut policy.admission);
         policy.check().unwrap_err().to_string()
     };
-    let longer = wrong(|policy| policy.longest_return = policy.mark_lasts * 2);
+    let longer = wrong(|policy| policy.max_retry_after = policy.min_mark_lifetime * 2);
     assert!(longer.contains("admission.mark_lasts"), "{longer}");
-    let lease = wrong(|policy| policy.mark_lease = policy.mark_lasts / 2);
+    let lease = wrong(|policy| policy.max_mark_lifetime = policy.min_mark_lifetime / 2);
     assert!(lease.contains("admission.mark_lease"), "{lease}");
     let never = wrong(|policy| policy.late_objectives = 0);
     assert!(never.contains("admission.late_objectives"), "{never}");
@@ -241,7 +241,7 @@
     let Admission::Refuse(refusal) = decide(&summary, &short, &policy) else {
         panic!("not refused: {:?}", forecast(&summary, &short));
     };
-    assert_eq!(refusal.reason, AdmissionReason::TooLate);
+    assert_eq!(refusal.reason, AdmissionRefusalReason::TooLate);
     // Nine rounds of the work wait before it; half of that surely.
     let forecast = refusal.forecast.unwrap();
     assert!(forecast.earliest >= Duration::from_secs(60), "{forecast:?}");
@@ -259,7 +259,7 @@
         );
     }
     let off = AdmissionPolicy {
-        refuses_hopeless: false,
+        refuses_too_late: false,
         ..policy
     };
     assert_eq!(decide(&summary, &short, &off), Admission::Accept);
@@ -272,7 +272,7 @@
     let mut summary = fleet.planner.load_summary(now);
     let policy = AdmissionPolicy::default();
     let short = job("short", 2, vec![estimated(step(1, 1), 2_000)]);
-    let age = policy.hopeless_fresh_for + Duration::from_millis(1);
+    let age = policy.too_late_max_age + Duration::from_millis(1);
     let stale = KnownLoad {
         summary: &summary,
         age,
@@ -493,20 +493,20 @@
 fn the_time_of_first_asking_is_kept_within_bounds() {
     let mut job = job("a", 1, vec![step(1, 1)]);
     let accepted = job.accepted_unix_ms;
-    assert_eq!(job.asked_before_ms(), 0);
+    assert_eq!(job.requested_before_ms(), 0);
     for (first, before_ms) in [
         (accepted - 4_000, 4_000),
         (accepted + 4_000, 0),
         (0, 600_000),
     ] {
         job.first_asked_unix_ms = Some(first);
-        assert_eq!(job.asked_before_ms(), before_ms);
+        assert_eq!(job.requested_before_ms(), before_ms);
     }
     // A record that was written before there was such a time.
     let mut old = serde_json::to_value(&job).unwrap();
     old.as_object_mut().unwrap().remove("first_asked_unix_ms");
     let old: AcceptedJob = serde_json::from_value(old).unwrap();
-    assert_eq!(old.asked_before_ms(), 0);
+    assert_eq!(old.requested_before_ms(), 0);
 }
 
 #[test]
@@ -551,7 +551,9 @@
     let reach = stairstall_core::batch::ReachPolicy::default();
     for daemons in [30, 100, 300_u32] {
         let pause = Duration::from_secs(daemons.into()) / u32::from(reach.introductions_per_s);
-        let every = pause.max(policy.asks_every).min(policy.asks_at_least_every);
+        let every = pause
+            .max(policy.min_refresh_interval)
+            .min(policy.max_refresh_interval);
         let per_s = f64::from(daemons) / every.as_secs_f64();
         println!(
             "{daemons} daemons: {per_s:.0} a second, {:.0} kB",
@@ -677,7 +679,7 @@
         };
         let reason = reason(decide(&free, &job.0, &AdmissionPolicy::default()));
         let fits = forecast(&free, &job.0).is_some();
-        reason.is_none() || !fits || reason == Some(AdmissionReason::TooLarge)
+        reason.is_none() || !fits || reason == Some(AdmissionRefusalReason::TooLarge)
     }
     check(holds);
 }
@@ -690,12 +692,14 @@
         let Admission::Refuse(refusal) = decide(&summary.0, &job.0, &policy) else {
             return true;
         };
-        if refusal.reason != AdmissionReason::TooLate {
+        if refusal.reason != AdmissionRefusalReason::TooLate {
             return true;
         }
         let late_bound = job.0.objective_span() * policy.late_objectives;
         let earliest = refusal.forecast.unwrap().earliest;
-        job.0.queue.priority > 0 && earliest > refusal.start_by && refusal.start_by <= late_bound
+        job.0.queue.priority > 0
+            && earliest > refusal.latest_start
+            && refusal.latest_start <= late_bound
     }
     check(holds);
 }
--- a/crates/stairstall-core/tests/run_times.rs
+++ b/crates/stairstall-core/tests/run_times.rs
@@ -68,7 +68,7 @@
 #[test]
 fn the_estimate_stands_until_enough_was_seen_and_where_learning_is_off() {
     let off = RunTimePolicy {
-        learns: false,
+        enabled: false,
         ..RunTimePolicy::default()
     };
     for (policy, runs, is_learnt) in [
--- a/crates/stairstall-core/tests/worker_pace.rs
+++ b/crates/stairstall-core/tests/worker_pace.rs
@@ -302,15 +302,15 @@
             ..pace
         },
         WorkerPacePolicy {
-            margin_percent: 99,
+            slack_percent: 99,
             ..pace
         },
         WorkerPacePolicy {
-            told_percent: 0,
+            min_progress_percent: 0,
             ..pace
         },
         WorkerPacePolicy {
-            told_percent: 101,
+            min_progress_percent: 101,
             ..pace
         },
         WorkerPacePolicy {
@@ -322,7 +322,7 @@
             ..pace
         },
         WorkerPacePolicy {
-            widens_over: Duration::ZERO,
+            forgotten_after: Duration::ZERO,
             ..pace
         },
     ];
--- a/crates/stairstall-ports/src/workers.rs
+++ b/crates/stairstall-ports/src/workers.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 use stairstall_core::WorkerId;
 use stairstall_core::batch::{
-    AdviceRequest, HoldReport, HoldRequest, Order, StartOutcome, StopOutcome,
+    AdviceRequest, Order, ReportRequest, StartOutcome, StopOutcome, WorkerReport,
 };
 use stairstall_http::CallError;
 
@@ -49,9 +49,9 @@
     fn hold<'a>(
         &'a self,
         worker: &'a WorkerAddress,
-        request: HoldRequest,
+        request: ReportRequest,
         timeout: Duration,
-    ) -> BoxFuture<'a, Result<HoldReport, WorkerFault>>;
+    ) -> BoxFuture<'a, Result<WorkerReport, WorkerFault>>;
 
     /// Starts a run; `order` must be a start.
     fn start<'a>(
--- a/crates/stairstalld/src/batch/accept.rs
+++ b/crates/stairstalld/src/batch/accept.rs
@@ -75,7 +75,7 @@
             continue;
         };
         match client.accept(job.clone()).await {
-            Ok(Acceptance::NotKept) => lock(&node.reach).failed(&rpc),
+            Ok(Acceptance::NotKept) => lock(&node.reach).record_failure(&rpc),
             Ok(Acceptance::MayBeKept) => found = Acceptance::MayBeKept,
             Ok(settled) => return settled,
             Err(error) => {
@@ -96,11 +96,11 @@
 /// store served a moment ago, or else the planner, unless it failed when it was asked last.
 fn helpers(node: &Node) -> Vec<String> {
     let planner = node.other_planner().map(|planner| planner.rpc);
-    if !node.settings.policy.reach.asks_peers {
+    if !node.settings.policy.reach.probes_peers {
         return planner.into_iter().collect();
     }
     let reach = lock(&node.reach);
-    let helpers = reach.helpers(node.clock.now());
+    let helpers = reach.relays(node.clock.now());
     if helpers.is_empty() {
         return planner
             .into_iter()
@@ -170,7 +170,8 @@
         if is_time_to_give_up(node, started) {
             return Acceptance::MayBeKept;
         }
-        node.pause(node.settings.policy.acceptance.try_again).await;
+        node.pause(node.settings.policy.acceptance.retry_pause)
+            .await;
     }
 }
 
@@ -270,7 +271,8 @@
         if is_time_to_give_up(node, started) {
             return Cancellation::Unsettled;
         }
-        node.pause(node.settings.policy.acceptance.try_again).await;
+        node.pause(node.settings.policy.acceptance.retry_pause)
+            .await;
     }
 }
 
--- a/crates/stairstalld/src/batch/admission.rs
+++ b/crates/stairstalld/src/batch/admission.rs
@@ -35,7 +35,7 @@
     // Without the store a refusal can't be made true.
     let can_refuse = node.knows_newest_catalog() && node.store_health.serves(now);
     let policy = &node.settings.policy.admission;
-    if !can_refuse || !policy.refuses_impossible && !policy.refuses_hopeless {
+    if !can_refuse || !policy.refuses_impossible && !policy.refuses_too_late {
         return Admission::Accept;
     }
     if let Some(summary) = node.tenure().and_then(|tenure| tenure.load_summary()) {
@@ -73,7 +73,8 @@
             Ok(Committed::Conflict(items)) => match found(job, &mark, items.first()) {
                 Found::Settled(settled) => return settled,
                 Found::Free if expected == Revision(0) => {
-                    node.pause(node.settings.policy.acceptance.try_again).await;
+                    node.pause(node.settings.policy.acceptance.retry_pause)
+                        .await;
                 }
                 Found::Free => expected = Revision(0),
                 Found::Mark(earlier, revision) => {
@@ -92,7 +93,8 @@
                 if !is_in_doubt {
                     break;
                 }
-                node.pause(node.settings.policy.acceptance.try_again).await;
+                node.pause(node.settings.policy.acceptance.retry_pause)
+                    .await;
             }
         }
     }
@@ -141,7 +143,9 @@
     if let Some(lease) = node.refusals.lease(requested_at) {
         return Some(lease);
     }
-    let grant = node.store.grant(node.settings.policy.admission.mark_lease);
+    let grant = node
+        .store
+        .grant(node.settings.policy.admission.max_mark_lifetime);
     match node.stored("grant", grant).await {
         Ok((id, ttl)) => node.refusals.take_lease(id, Lease::new(requested_at, ttl)),
         Err(fault) => {
@@ -153,7 +157,7 @@
 
 /// Writes the line of a refusal that stands; returns when its caller should come back.
 pub(crate) fn tell(node: &Node, job: &AcceptedJob, refusal: &AdmissionRefusal) -> Duration {
-    let longest = node.settings.policy.admission.longest_return;
+    let longest = node.settings.policy.admission.max_retry_after;
     let wait = refusal.forecast.map_or(longest, |forecast| forecast.likely);
     let priority = job.queue.priority;
     let now = node.clock.now();
@@ -162,7 +166,7 @@
     let likely = refusal.forecast.map(|forecast| millis(forecast.likely));
     log::info!(target: "admission", job:% = job.id, queue:% = job.queue.name, priority,
         reason = refusal.reason.as_str(), earliest_ms:? = earliest, likely_ms:? = likely,
-        start_by_ms = millis(refusal.start_by), age_ms = millis(refusal.age),
+        start_by_ms = millis(refusal.latest_start), age_ms = millis(refusal.age),
         retry_after_ms = millis(retry_after); "refused");
     node.telemetry.admission(priority, refusal.reason.as_str());
     retry_after
--- a/crates/stairstalld/src/batch/callers.rs
+++ b/crates/stairstalld/src/batch/callers.rs
@@ -5,8 +5,8 @@
 
 use http_body_util::{BodyExt, Collected, Full, LengthLimitError, Limited};
 use stairstall_core::batch::{
-    AcceptedJob, Access, Admission, AdmissionReason, AdmissionRefusal, BatchSpec, CallerState,
-    Catalog, Route,
+    AcceptedJob, Access, Admission, AdmissionRefusal, AdmissionRefusalReason, BatchSpec,
+    CallerState, Catalog, Route,
 };
 use stairstall_core::{CustomerId, JobId, Verdict};
 use viz::header::{AUTHORIZATION, CONNECTION, CONTENT_TYPE, HOST, HeaderValue};
@@ -145,7 +145,8 @@
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .unwrap_or(u64::MAX);
     let limit = asked.min(call.route.timeout_ms);
-    Duration::from_millis(limit).mul_f64(call.node.settings.policy.acceptance.answer_share)
+    Duration::from_millis(limit)
+        .mul_f64(call.node.settings.policy.acceptance.response_time_fraction)
 }
 
 impl Call<'_> {
@@ -309,11 +310,11 @@
     }
 }
 
-fn too_many(reason: AdmissionReason) -> Failure {
+fn too_many(reason: AdmissionRefusalReason) -> Failure {
     let error = match reason {
-        AdmissionReason::TooLarge => "no worker is large enough, or there are too few",
-        AdmissionReason::NoSuchLabel => "no worker has the label that is asked for",
-        AdmissionReason::TooLate => "it would start too late to be of use",
+        AdmissionRefusalReason::TooLarge => "no worker is large enough, or there are too few",
+        AdmissionRefusalReason::NoSuchLabel => "no worker has the label that is asked for",
+        AdmissionRefusalReason::TooLate => "it would start too late to be of use",
     };
     Failure::new(StatusCode::TOO_MANY_REQUESTS, Verdict::NotRun, error)
 }
--- a/crates/stairstalld/src/batch/intake.rs
+++ b/crates/stairstalld/src/batch/intake.rs
@@ -60,7 +60,7 @@
 
 /// Reads what an earlier planner had learnt; a planner can do without.
 async fn read_learnt(node: &Node) -> Option<Learnt> {
-    if !node.settings.policy.run_times.is_kept {
+    if !node.settings.policy.run_times.is_stored {
         return None;
     }
     let read = node.read_at("read learnt", keys::LEARNT, LEARNT_TIMEOUT);
--- a/crates/stairstalld/src/batch/kept/tests.rs
+++ b/crates/stairstalld/src/batch/kept/tests.rs
@@ -1,5 +1,5 @@
 use stairstall_core::batch::{
-    GroupProgress, Incarnation, KeptPace, KeptRatios, Learnt, Place, Progress,
+    GroupProgress, Incarnation, KeptPace, KeptRatios, Learnt, Progress, RunPlacement,
 };
 
 use super::{read, write};
@@ -8,11 +8,11 @@
 fn progress(tasks: u32) -> Progress {
     let place = |index: u32| {
         let worker = format!("i-{:010x}", u64::from(index % 12) * 0x9e37_79b9_7f4a);
-        let place = Place {
+        let place = RunPlacement {
             worker: worker.parse().expect("an id"),
             run: index + 1,
             incarnation: Some(Incarnation::from_unix_ms(1_800_000_000_000)),
-            taken: true,
+            start_confirmed: true,
         };
         (index, place)
     };
--- a/crates/stairstalld/src/batch/links.rs
+++ b/crates/stairstalld/src/batch/links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{HoldRequest, Order};
+use stairstall_core::batch::{Order, ReportRequest};
 use stairstall_ports::{WorkerAddress, WorkerFault};
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -163,18 +163,18 @@
     tenure: &Tenure,
     worker: &WorkerAddress,
     asking: &Asking,
-    request: HoldRequest,
+    request: ReportRequest,
 ) {
     let policy = &node.settings.policy.links;
     let sent_at = node.clock.now();
-    let timeout = request.wait + policy.hold_timeout;
+    let timeout = request.max_wait + policy.report_timeout;
     let answer = node.workers.hold(worker, request, timeout).await;
     if asking.is_closed() {
         // Nobody waits for it any more, but what it lists has ended.
         match answer {
             Ok(report) => {
                 node.telemetry.hold("late");
-                if report.more {
+                if report.truncated {
                     log::info!(target: "links", worker:% = worker.id; "its last report left ends out");
                 }
                 tenure.with(|planner, now| {
@@ -198,7 +198,7 @@
                 planner.take_hold(&worker.id, &request, sent_at, report, now);
             });
             if has_ends {
-                let _ = tokio::time::timeout(policy.write_patience, written).await;
+                let _ = tokio::time::timeout(policy.write_wait, written).await;
             }
         }
         Err(WorkerFault::OtherLife) => {
@@ -213,7 +213,7 @@
             node.telemetry.hold("no answer");
             log::debug!(target: "hold", worker:% = worker.id, why:% = fault; "no report");
             tenure.with(|planner, now| planner.hold_failed(&worker.id, now));
-            node.pause(policy.silent_pause).await;
+            node.pause(policy.pause_after_timeout).await;
         }
     }
 }
--- a/crates/stairstalld/src/batch/load.rs
+++ b/crates/stairstalld/src/batch/load.rs
@@ -43,11 +43,13 @@
     /// Tells whether it is time to ask the planner for its word.
     pub(crate) fn is_wanted(&self, now: Timestamp) -> bool {
         let policy = &self.policy;
-        if !policy.refuses_impossible && !policy.refuses_hopeless {
+        if !policy.refuses_impossible && !policy.refuses_too_late {
             return false;
         }
         let pause = *lock(&self.pause);
-        let every = pause.max(policy.asks_every).min(policy.asks_at_least_every);
+        let every = pause
+            .max(policy.min_refresh_interval)
+            .min(policy.max_refresh_interval);
         let word = lock(&self.word);
         word.as_ref()
             .is_none_or(|word| now - word.asked_at >= every)
@@ -66,7 +68,7 @@
     /// Returns the last word, and how old it is at most.
     pub(crate) fn known(&self, now: Timestamp) -> Option<(Arc<LoadSummary>, Duration)> {
         let word = lock(&self.word).clone()?;
-        let age = now - word.asked_at + self.policy.sums_up_every;
+        let age = now - word.asked_at + self.policy.summary_interval;
         Some((word.summary, age))
     }
 }
--- a/crates/stairstalld/src/batch/node.rs
+++ b/crates/stairstalld/src/batch/node.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 use stairstall_core::VmId;
-use stairstall_core::batch::{Catalog, Now, PeerAddress, Reach};
+use stairstall_core::batch::{Catalog, Now, PeerAddress, PeerTable};
 use stairstall_core::claim::Mark;
 use stairstall_ports::{Adviser, Dialect, Item, Revision, SharedStore, StoreFault, WorkerCalls};
 use tokio::sync::watch;
@@ -66,7 +66,7 @@
     pub(crate) adviser: Option<Arc<dyn Adviser>>,
     pub(crate) peers: Peers,
     /// What is known of other daemons.
-    pub(crate) reach: Mutex<Reach>,
+    pub(crate) reach: Mutex<PeerTable>,
     /// What is known of the fleet's load.
     pub(crate) load: HeldLoad,
     /// What is kept of refusals.
@@ -105,7 +105,7 @@
             dialect,
             adviser,
             peers: Peers::new(settings.policy.acceptance.peer_timeout),
-            reach: Mutex::new(Reach::new(settings.zone.clone(), settings.policy.reach)),
+            reach: Mutex::new(PeerTable::new(settings.zone.clone(), settings.policy.reach)),
             load: HeldLoad::new(&settings.policy.admission),
             refusals: Refusals::new(&settings.policy.admission),
             telemetry: Telemetry::new(),
@@ -157,7 +157,7 @@
             vm: self.me().clone(),
             zone: self.settings.zone.clone(),
             rpc: self.rpc_address().to_string(),
-            weakness: role::weakness_percent(&self.settings),
+            capacity_shortfall_percent: role::weakness_percent(&self.settings),
         }
     }
 
@@ -165,7 +165,7 @@
     /// dead without a word.
     pub(crate) fn peer_failed(&self, rpc: &str) {
         self.peers.drop_client(rpc);
-        lock(&self.reach).failed(rpc);
+        lock(&self.reach).record_failure(rpc);
     }
 
     /// Tells whether neither the store nor any peer can take work from this daemon.
--- a/crates/stairstalld/src/batch/orders.rs
+++ b/crates/stairstalld/src/batch/orders.rs
@@ -18,7 +18,7 @@
     worker: WorkerAddress,
     mut orders: UnboundedReceiver<Order>,
 ) {
-    let overtake_after = node.settings.policy.links.overtake_after;
+    let overtake_after = node.settings.policy.links.pipeline_after;
     let mut late = FuturesUnordered::new();
     loop {
         let order = tokio::select! {
--- a/crates/stairstalld/src/batch/reach.rs
+++ b/crates/stairstalld/src/batch/reach.rs
@@ -40,9 +40,9 @@
     let policy = &node.settings.policy.reach;
     let mut was_cut_off = false;
     loop {
-        tokio::time::sleep(policy.ask_interval).await;
+        tokio::time::sleep(policy.probe_interval).await;
         if node.store_health.is_in_doubt(node.clock.now()) {
-            let peers = lock(&node.reach).to_ask();
+            let peers = lock(&node.reach).peers_to_probe();
             join_all(peers.iter().map(|rpc| ask(node, rpc))).await;
         }
         let cut_off = node.is_cut_off();
@@ -59,7 +59,7 @@
 
 /// Asks one peer for news and takes them; returns how long to wait before it is called again.
 async fn ask(node: &Node, rpc: &str) -> Option<Duration> {
-    let timeout = node.settings.policy.reach.ask_timeout;
+    let timeout = node.settings.policy.reach.probe_timeout;
     let version = node.current_catalog().map_or(0, |catalog| catalog.version);
     let client = node.peers.client(rpc)?;
     let asked_at = node.clock.now();
@@ -69,7 +69,7 @@
     match asked {
         Ok(Ok(mut news)) => {
             let pause = Duration::from_millis(news.pause_ms);
-            lock(&node.reach).answered(rpc, news.is_served, node.clock.now());
+            lock(&node.reach).record_answer(rpc, news.is_served, node.clock.now());
             node.load.set_pause(pause);
             if let Some(load) = news.load.take() {
                 node.load.take(load, asked_at);
@@ -88,7 +88,7 @@
 
 /// Tells the planner that this daemon is there, and hears of some others.
 async fn introduce(node: &Node) {
-    let mut pause = node.settings.policy.reach.introduce_every;
+    let mut pause = node.settings.policy.reach.min_introduction_interval;
     loop {
         node.pause(pause).await;
         let now = node.clock.now();
@@ -110,7 +110,7 @@
     let mut reach = lock(&node.reach);
     for peer in news.peers {
         if peer.vm != *node.me() {
-            reach.introduce(peer, now);
+            reach.record_introduction(peer, now);
         }
     }
 }
@@ -122,13 +122,13 @@
     let now = node.clock.now();
     let mut reach = lock(&node.reach);
     let turn = rand::random_range(0..usize::from(u16::MAX));
-    let mut peers = reach.introductions(&asker, turn, now);
-    reach.called(asker, now);
+    let mut peers = reach.peers_to_introduce(&asker, turn, now);
+    reach.record_call(asker, now);
     peers.push(node.address());
     News {
         catalog: newer.map(|catalog| Catalog::clone(&catalog)),
         planner: node.planner.borrow().clone(),
-        pause_ms: crate::clock::millis(reach.pause()),
+        pause_ms: crate::clock::millis(reach.introduction_interval()),
         is_served: node.store_health.serves(now),
         peers,
         load: None,
--- a/crates/stairstalld/src/batch/refusals.rs
+++ b/crates/stairstalld/src/batch/refusals.rs
@@ -42,7 +42,7 @@
     /// Returns a lease under which a mark lasts long enough.
     pub(crate) fn lease(&self, now: Timestamp) -> Option<LeaseId> {
         let held = *lock(&self.lease);
-        let lasts = |held: &MarkLease| held.lease.ends_at() - now >= self.policy.mark_lasts;
+        let lasts = |held: &MarkLease| held.lease.ends_at() - now >= self.policy.min_mark_lifetime;
         held.filter(lasts).map(|held| held.id)
     }
 
@@ -59,10 +59,10 @@
     /// Returns when a caller should come back whose job would likely wait so long.
     pub(crate) fn return_after(&self, priority: u8, wait: Duration, now: Timestamp) -> Duration {
         let bounds = ReturnBounds {
-            shortest: self.policy.shortest_return,
-            longest: self.policy.longest_return,
+            shortest: self.policy.min_retry_after,
+            longest: self.policy.max_retry_after,
         };
-        let spacing = self.policy.return_spacing;
+        let spacing = self.policy.retry_after_spacing;
         let mut returns = lock(&self.returns);
         let returns = returns.entry(priority);
         let returns = returns.or_insert_with(|| ReturnTimes::new(bounds, spacing));
--- a/crates/stairstalld/src/batch/role/handover.rs
+++ b/crates/stairstalld/src/batch/role/handover.rs
@@ -71,12 +71,12 @@
         record,
         revision: tenure.role_revision.0,
     };
-    let successors = lock(&node.reach).successors(node.clock.now());
+    let successors = lock(&node.reach).successor_candidates(node.clock.now());
     for successor in successors {
         let Some(client) = node.peers.client(&successor.rpc) else {
             continue;
         };
-        let timeout = node.settings.policy.reach.ask_timeout;
+        let timeout = node.settings.policy.reach.probe_timeout;
         let asked = tokio::time::timeout(timeout, client.offer(offer.clone())).await;
         let wants = matches!(asked, Ok(Ok(true)));
         log::info!(target: "role", token = tenure.token(), successor:% = successor.vm, wants;
--- a/crates/stairstalld/src/batch/role/take.rs
+++ b/crates/stairstalld/src/batch/role/take.rs
@@ -40,7 +40,7 @@
 pub(super) fn put_off(node: &Node) -> Duration {
     let policy = &node.settings.policy.role;
     let weakness = f64::from(weakness_percent(&node.settings)) / 100.0;
-    policy.spread.mul_f64(rand::random_range(0.0..1.0)) + policy.weak_delay.mul_f64(weakness)
+    policy.max_jitter.mul_f64(rand::random_range(0.0..1.0)) + policy.weak_delay.mul_f64(weakness)
 }
 
 /// Reads how many tenures there were.
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -356,7 +356,7 @@
 /// Writes the line of one decision.
 fn tell(node: &Node, token: u64, decision: &Decision) {
     node.telemetry.decision(decision.kind.as_str());
-    if let Some(after) = decision.after {
+    if let Some(after) = decision.waited {
         node.telemetry.first_start(after);
     }
     let target = decision.kind.as_str();
--- a/crates/stairstalld/src/batch/upkeep.rs
+++ b/crates/stairstalld/src/batch/upkeep.rs
@@ -36,7 +36,7 @@
             tell_paces(&tenure);
             tell_use(&tenure);
         }
-        if node.settings.policy.run_times.is_kept && round.is_multiple_of(ROUNDS_PER_LEARNT) {
+        if node.settings.policy.run_times.is_stored && round.is_multiple_of(ROUNDS_PER_LEARNT) {
             keep_learnt(&node, &tenure, &mut written).await;
         }
         let trims = tenure.with(|planner, _| planner.take_trims(JOBS_PER_WRITE));
--- a/crates/stairstalld/src/batch/writer.rs
+++ b/crates/stairstalld/src/batch/writer.rs
@@ -75,7 +75,7 @@
 
 impl Writer {
     fn may_send_more(&self) -> bool {
-        let most = self.node.settings.policy.writing.max_under_way;
+        let most = self.node.settings.policy.writing.max_in_flight;
         self.under_way.len() < usize::from(most) && self.bytes_under_way < self.window()
     }
 
@@ -97,7 +97,7 @@
         let dirty = self.tenure.dirty.notified();
         let woken = tokio::time::timeout(FORGET_INTERVAL, dirty).await;
         if woken.is_ok() {
-            tokio::time::sleep(self.node.settings.policy.writing.gather).await;
+            tokio::time::sleep(self.node.settings.policy.writing.batch_delay).await;
         }
     }
 
@@ -161,7 +161,7 @@
         let may_send_more = self.may_send_more();
         let next = self.under_way.next();
         let sent = if may_send_more {
-            tokio::time::timeout(self.node.settings.policy.writing.overtake_after, next).await
+            tokio::time::timeout(self.node.settings.policy.writing.pipeline_after, next).await
         } else {
             Ok(next.await)
         };
