--- a/crates/stairstall-core/benches/planner.rs
+++ b/crates/stairstall-core/benches/planner.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{EndKind, Resources, Shape, TaskKey};
+use stairstall_core::batch::{EndKind, ResourceRequest, Resources, TaskKey};
 
 #[path = "../tests/batch/harness.rs"]
 mod harness;
@@ -79,7 +79,7 @@
         let took = started.elapsed();
         bytes = serde_json::to_vec(&summary).expect("a summary").len();
         forecasts += timed(|| {
-            let shape = Shape::of(&newcomer.spec.steps[0], &newcomer);
+            let shape = ResourceRequest::for_step(&newcomer.spec.steps[0], &newcomer);
             std::hint::black_box(summary.forecast(&shape));
         });
         took
--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -13,7 +13,7 @@
 mod decision;
 mod demand;
 mod explanation;
-mod learnt;
+mod learned;
 mod load;
 mod planner;
 mod policy;
@@ -21,10 +21,10 @@
 mod record;
 mod resources;
 mod run_time;
+mod scheduling;
 mod spec;
-mod story;
 mod task;
-mod turn;
+mod timeline;
 mod worker;
 mod worker_pace;
 
@@ -33,10 +33,10 @@
 pub use decision::{Decision, DecisionKind};
 pub use demand::{Outlook, UrgentDemand, UrgentWork};
 pub use explanation::{JobExplanation, StepExplanation, WaitExplanation};
-pub use learnt::Learnt;
+pub use learned::LearnedEstimates;
 pub use load::{
-    BusyRoom, CustomerBacklog, FleetMemory, LoadSummary, QueuePace, RoomTime, Shape, StartForecast,
-    TotalRoom, WaitingWork, WorkerKind,
+    CustomerBacklog, FleetHistory, LoadSummary, QueueRunTime, ResourceRequest, ResourceTime,
+    ResourceTotal, RunningWork, StartForecast, WaitingWork, WorkerKind,
 };
 pub use planner::{
     AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, VmLimits, Write,
@@ -52,15 +52,18 @@
     AcceptedJob, CallerState, GroupProgress, Outcome, Place, Progress, SilentWorker, TaskLosses,
 };
 pub use resources::Resources;
-pub use run_time::{EstimatedWork, KeptRatios, RunSoFar, RunTime, RunTimes};
+pub use run_time::{EstimatedWork, RunTime, RunTimeObservation, RunTimes, StoredRatios};
+pub use scheduling::{
+    AgedStep, CompletionObjective, CustomerUsage, CustomerUsageTotal, FleetCapacity, SchedulingKey,
+    Timeliness, WaitReason, WaitStatus,
+};
 pub use spec::{BatchSpec, Schedule, SpecError, StepSpec};
-pub use story::{JobSummary, KeptStory, Setback, Setbacks, Span};
 pub use task::{GroupKey, TaskKey};
-pub use turn::{
-    Aged, CustomerUsage, CustomerUse, FleetSize, Timeliness, Turn, WaitReason, Waiting, Wanted,
-};
+pub use timeline::{JobPhase, JobSummary, Setback, Setbacks, StoredTimeline};
 pub use worker::{
     End, EndKind, HoldReport, HoldRequest, Incarnation, ListedWorker, RefusalReason, RunningTask,
     StartOutcome, StopOutcome,
 };
-pub use worker_pace::{KeptPace, PaceSummary, RunShown, Stretch, WorkerPace, WorkerPaces};
+pub use worker_pace::{
+    PaceSummary, ProgressSample, RunProgress, StoredPace, WorkerPace, WorkerPaces,
+};
--- a/crates/stairstall-core/src/batch/admission.rs
+++ b/crates/stairstall-core/src/batch/admission.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::{AcceptedJob, AdmissionPolicy, LoadSummary, Shape, StartForecast, StepSpec};
+use super::{AcceptedJob, AdmissionPolicy, LoadSummary, ResourceRequest, StartForecast, StepSpec};
 
 /// Why a job is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -152,10 +152,12 @@
     }
     let margin = policy.margin.max(late_bound * policy.margin_percent / 100);
     first_steps(job).find_map(|(step, chain)| {
-        let typical = load.summary.typical(&job.queue.name, chain);
+        let typical = load.summary.typical_run_time(&job.queue.name, chain);
         // Where the work alone takes longer than that, coming back would not help.
         let start_by = late_bound.checked_sub(typical)?;
-        let forecast = load.summary.forecast(&Shape::of(step, job))?;
+        let forecast = load
+            .summary
+            .forecast(&ResourceRequest::for_step(step, job))?;
         let is_hopeless = forecast.earliest.saturating_sub(load.age) > start_by + margin;
         is_hopeless.then_some(AdmissionRefusal {
             reason: AdmissionReason::TooLate,
--- a/crates/stairstall-core/src/batch/explanation.rs
+++ b/crates/stairstall-core/src/batch/explanation.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::story::{Setbacks, Span};
-use super::{CallerState, GroupKey, Timeliness, WaitReason, Waiting};
+use super::timeline::{JobPhase, Setbacks};
+use super::{CallerState, GroupKey, Timeliness, WaitReason, WaitStatus};
 use crate::time::millis;
 use crate::{CustomerId, JobId, ZoneId};
 
@@ -27,12 +27,12 @@
     /// How long ago it was accepted, in milliseconds.
     pub age_ms: u64,
     /// What its time was spent on until now, in milliseconds.
-    pub spent_ms: BTreeMap<Span, u64>,
+    pub spent_ms: BTreeMap<JobPhase, u64>,
     /// What went wrong on the way.
     pub setbacks: Setbacks,
     /// What it waits for, where anything of it waits.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub waits: Option<WaitExplanation>,
+    #[serde(rename = "waits", default, skip_serializing_if = "Option::is_none")]
+    pub wait: Option<WaitExplanation>,
     /// Its steps that have begun or could begin, and are not done.
     pub steps: Vec<StepExplanation>,
 }
@@ -41,7 +41,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitExplanation {
     /// What it waits for, in words.
-    pub on: String,
+    #[serde(rename = "on")]
+    pub reason: String,
     /// 0 for a claim on its customer's own share, 1 for other urgent work, then by priority.
     pub rank: u8,
     /// What a start now would still be worth.
@@ -55,18 +56,18 @@
     pub room_in_ms: Option<u64>,
 }
 
-impl From<Waiting> for WaitExplanation {
-    fn from(waiting: Waiting) -> Self {
+impl From<WaitStatus> for WaitExplanation {
+    fn from(waiting: WaitStatus) -> Self {
         let room_in = match waiting.reason {
-            WaitReason::Date(room_in) => Some(room_in),
+            WaitReason::ReservedCapacity(room_in) => Some(room_in),
             _ => None,
         };
         Self {
-            on: waiting.reason.as_str().to_owned(),
+            reason: waiting.reason.as_str().to_owned(),
             rank: waiting.rank,
             timeliness: waiting.timeliness,
-            used_ms: millis(waiting.used),
-            fair_ms: millis(waiting.fair),
+            used_ms: millis(waiting.customer_usage),
+            fair_ms: millis(waiting.mean_usage),
             room_in_ms: room_in.map(millis),
         }
     }
@@ -80,7 +81,8 @@
     /// Which step, from 0.
     pub step: u32,
     /// What it spends time on now; the least advanced of its tasks counts.
-    pub on: Span,
+    #[serde(rename = "on")]
+    pub phase: JobPhase,
     /// Its tasks.
     pub tasks: u32,
     /// How many of them have no place.
@@ -90,22 +92,23 @@
     /// How long it has waited for places, in milliseconds.
     pub waited_ms: u64,
     /// Waiting steps whose turn comes before its own.
-    pub behind: u32,
+    #[serde(rename = "behind")]
+    pub steps_ahead: u32,
 }
 
 impl StepExplanation {
     /// Describes a step of which nothing but its name is known.
     #[must_use]
-    pub const fn new(key: &GroupKey, on: Span) -> Self {
+    pub const fn new(key: &GroupKey, on: JobPhase) -> Self {
         Self {
             occurrence: key.occurrence,
             step: key.step,
-            on,
+            phase: on,
             tasks: 0,
             waiting: 0,
             done: 0,
             waited_ms: 0,
-            behind: 0,
+            steps_ahead: 0,
         }
     }
 }
--- a/crates/stairstall-core/src/batch/learnt.rs
+++ b/crates/stairstall-core/src/batch/learned.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::run_time::is_news;
-use super::{KeptPace, KeptRatios};
+use super::{StoredPace, StoredRatios};
 
 /// What the paces of two workers must differ by to be news, in percent of the usual time.
 const PACE_CHANGE_PERCENT: u16 = 12;
@@ -17,26 +17,26 @@
 /// What a planner has learnt, as it is written down.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Learnt {
+pub struct LearnedEstimates {
     /// When it was so, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
     /// How long work takes beside its estimates.
-    pub run_times: Vec<KeptRatios>,
+    pub run_times: Vec<StoredRatios>,
     /// How fast workers are.
-    pub paces: Vec<KeptPace>,
+    pub paces: Vec<StoredPace>,
 }
 
-impl Learnt {
+impl LearnedEstimates {
     /// Tells whether a planner that reads this would know more than one that reads what was
     /// written before.
     #[must_use]
-    pub fn is_news_after(&self, before: &Self) -> bool {
+    pub fn differs_significantly_from(&self, before: &Self) -> bool {
         is_news(&self.run_times, &before.run_times) || are_news(&self.paces, &before.paces)
     }
 }
 
 /// Tells whether the paces of a good part of the workers have changed.
-fn are_news(now: &[KeptPace], then: &[KeptPace]) -> bool {
+fn are_news(now: &[StoredPace], then: &[StoredPace]) -> bool {
     let then: BTreeMap<_, _> = then
         .iter()
         .map(|pace| (&pace.worker, pace.factor_percent))
--- a/crates/stairstall-core/src/batch/load.rs
+++ b/crates/stairstall-core/src/batch/load.rs
@@ -1,7 +1,7 @@
 //! How full the fleet is, and when work handed in now would start.
 //!
 //! The planner makes a [`LoadSummary`] of its work and workers; any daemon makes a
-//! [`StartForecast`] from it for the [`Shape`] of work that a caller hands in.
+//! [`StartForecast`] from it for the [`ResourceRequest`] that a caller hands in.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 mod forecast;
 mod work;
 
-pub use fleet::FleetMemory;
-pub use work::{BusyRoom, CustomerBacklog, RoomTime, TotalRoom, WaitingWork};
+pub use fleet::FleetHistory;
+pub use work::{CustomerBacklog, ResourceTime, ResourceTotal, RunningWork, WaitingWork};
 
 /// Most entries of each list of a summary; what is left out makes a forecast more hopeful.
-pub(super) const MAX_ENTRIES: usize = 16;
+pub(super) const MAX_SUMMARY_ENTRIES: usize = 16;
 /// Most labels that a summary names.
 pub(super) const MAX_LABELS: usize = 64;
 
@@ -34,7 +34,7 @@
 
 /// Work that a caller would hand in.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape<'a> {
+pub struct ResourceRequest<'a> {
     /// Whose workers would run it.
     pub service: &'a ServiceId,
     /// The queue's priority.
@@ -44,26 +44,26 @@
     /// What each task takes.
     pub needs: Resources,
     /// How many tasks have to start together.
-    pub width: u32,
+    pub gang_size: u32,
 }
 
-impl<'a> Shape<'a> {
+impl<'a> ResourceRequest<'a> {
     /// Returns the shape of a step of a job.
     #[must_use]
-    pub const fn of(step: &StepSpec, job: &'a AcceptedJob) -> Self {
+    pub const fn for_step(step: &StepSpec, job: &'a AcceptedJob) -> Self {
         Self {
             service: &job.queue.service,
             priority: job.queue.priority,
             customer: job.customer.as_ref(),
             needs: step.room(),
-            width: if step.gang { step.count } else { 1 },
+            gang_size: if step.gang { step.count } else { 1 },
         }
     }
 
     /// Returns the room that has to be free for its start.
     #[must_use]
-    pub fn room(&self) -> TotalRoom {
-        TotalRoom::of(&self.needs, self.width)
+    pub fn total(&self) -> ResourceTotal {
+        ResourceTotal::of(&self.needs, self.gang_size)
     }
 }
 
@@ -109,8 +109,8 @@
     /// All labels that workers have or had lately; none where there are too many to name.
     pub labels: Option<Vec<String>>,
     /// What runs, by rank and by when it should end.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub busy: Vec<BusyRoom>,
+    #[serde(rename = "busy", skip_serializing_if = "Vec::is_empty")]
+    pub running: Vec<RunningWork>,
     /// What waits for room.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub waiting: Vec<WaitingWork>,
@@ -119,14 +119,14 @@
     pub customers: Vec<CustomerBacklog>,
     /// How long the work of queues takes beside what callers estimate, where that was learnt.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub queues: Vec<QueuePace>,
+    pub queues: Vec<QueueRunTime>,
     /// Accelerators that urgent jobs asked for lately; as many may be kept free for them at most.
     pub urgent_accelerators: u32,
 }
 
 /// How long the work of a queue takes beside what its callers estimate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QueuePace {
+pub struct QueueRunTime {
     /// The queue's name.
     pub queue: String,
     /// The typical time of a task in thousandths of its estimate.
@@ -142,7 +142,7 @@
 
     /// Returns how long work of a queue typically takes that its caller estimates.
     #[must_use]
-    pub fn typical(&self, queue: &str, estimate: Duration) -> Duration {
+    pub fn typical_run_time(&self, queue: &str, estimate: Duration) -> Duration {
         let known = self.queues.iter().find(|pace| pace.queue == queue);
         known.map_or(estimate, |pace| {
             estimate.saturating_mul(pace.typical_permille) / 1000
--- a/crates/stairstall-core/src/batch/load/fleet.rs
+++ b/crates/stairstall-core/src/batch/load/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{MAX_ENTRIES, MAX_LABELS, WorkerKind};
+use super::{MAX_LABELS, MAX_SUMMARY_ENTRIES, WorkerKind};
 use crate::batch::Resources;
 use crate::{ServiceId, Timestamp};
 
@@ -30,16 +30,16 @@
 /// A worker that leaves, crashes or is moved mostly comes back: work that only it can run is not
 /// impossible meanwhile.
 #[derive(Debug, Clone, Default)]
-pub struct FleetMemory {
+pub struct FleetHistory {
     kinds: BTreeMap<Kind, Seen>,
     labels: BTreeMap<String, Timestamp>,
     /// Whether there were more labels than are kept in mind.
     has_skipped_labels: bool,
 }
 
-impl FleetMemory {
+impl FleetHistory {
     /// Begins a new count.
-    pub fn begin(&mut self) {
+    pub fn begin_count(&mut self) {
         for seen in self.kinds.values_mut() {
             seen.known = 0;
             seen.takes_tasks = 0;
@@ -47,7 +47,7 @@
     }
 
     /// Counts a worker that is known, and whether it takes tasks at this moment.
-    pub fn count(&mut self, service: &ServiceId, capacity: Resources, takes_tasks: bool) {
+    pub fn count_worker(&mut self, service: &ServiceId, capacity: Resources, takes_tasks: bool) {
         let kind = (service.clone(), capacity);
         if self.kinds.len() >= MAX_REMEMBERED_KINDS && !self.kinds.contains_key(&kind) {
             return;
@@ -58,7 +58,7 @@
     }
 
     /// Notes a label that a worker has.
-    pub fn note_label(&mut self, label: &str, at: Timestamp) {
+    pub fn record_label(&mut self, label: &str, at: Timestamp) {
         if let Some(seen) = self.labels.get_mut(label) {
             *seen = at;
         } else if self.labels.len() < MAX_REMEMBERED_LABELS {
@@ -69,7 +69,7 @@
     }
 
     /// Ends a count; what was not seen for `remembers` is forgotten.
-    pub fn end(&mut self, remembers: Duration, at: Timestamp) {
+    pub fn end_count(&mut self, remembers: Duration, at: Timestamp) {
         for seen in self.kinds.values_mut() {
             if seen.known > seen.most {
                 seen.grown_at = at;
@@ -91,7 +91,7 @@
         for ((service, capacity), seen) in &self.kinds {
             let away = seen.most.saturating_sub(seen.takes_tasks);
             let steady_ms = crate::time::millis(at - seen.grown_at);
-            let is_full = kinds.len() >= MAX_ENTRIES;
+            let is_full = kinds.len() >= MAX_SUMMARY_ENTRIES;
             let same = kinds.iter_mut().rev().find(|kind| kind.service == *service);
             if let Some(kind) = same.filter(|_| is_full) {
                 kind.capacity = kind.capacity.larger(capacity);
--- a/crates/stairstall-core/src/batch/load/work.rs
+++ b/crates/stairstall-core/src/batch/load/work.rs
@@ -10,7 +10,7 @@
 /// Room of many workers or runs together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
-pub struct TotalRoom {
+pub struct ResourceTotal {
     /// Processor, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory, in megabytes.
@@ -19,13 +19,13 @@
     pub accelerators: u64,
 }
 
-impl From<TotalRoom> for (u64, u64, u64) {
-    fn from(room: TotalRoom) -> Self {
+impl From<ResourceTotal> for (u64, u64, u64) {
+    fn from(room: ResourceTotal) -> Self {
         (room.cpu_millis, room.memory_mb, room.accelerators)
     }
 }
 
-impl TotalRoom {
+impl ResourceTotal {
     /// Returns `count` times an amount.
     #[must_use]
     pub fn of(one: &Resources, count: u32) -> Self {
@@ -69,7 +69,7 @@
 /// Room that is taken for some time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
-pub struct RoomTime {
+pub struct ResourceTime {
     /// Processor, in cores times milliseconds.
     pub cpu: u64,
     /// Memory, in megabytes times seconds.
@@ -78,16 +78,16 @@
     pub accelerators: u64,
 }
 
-impl From<RoomTime> for (u64, u64, u64) {
-    fn from(rest: RoomTime) -> Self {
+impl From<ResourceTime> for (u64, u64, u64) {
+    fn from(rest: ResourceTime) -> Self {
         (rest.cpu, rest.memory, rest.accelerators)
     }
 }
 
-impl RoomTime {
+impl ResourceTime {
     /// Returns what taking `room` for `ms` milliseconds comes to.
     #[must_use]
-    pub const fn of(room: &TotalRoom, ms: u64) -> Self {
+    pub const fn of(room: &ResourceTotal, ms: u64) -> Self {
         Self {
             cpu: room.cpu_millis.saturating_mul(ms) / 1000,
             memory: room.memory_mb.saturating_mul(ms) / 1000,
@@ -108,7 +108,7 @@
     /// Returns the least time in which `room` can hold this, in milliseconds; a resource of which
     /// there is nothing takes none.
     #[must_use]
-    pub fn millis_in(&self, room: &TotalRoom) -> u64 {
+    pub fn millis_in(&self, room: &ResourceTotal) -> u64 {
         let share = |amount: u64, has: u64| amount.checked_div(has).unwrap_or(0);
         share(self.cpu.saturating_mul(1000), room.cpu_millis)
             .max(share(self.memory.saturating_mul(1000), room.memory_mb))
@@ -118,22 +118,24 @@
 
 /// Room that runs of one rank take until about the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(into = "(ServiceId, u8, Option<u64>, TotalRoom)")]
-pub struct BusyRoom {
+#[serde(into = "(ServiceId, u8, Option<u64>, ResourceTotal)")]
+pub struct RunningWork {
     /// Whose workers they are.
     pub service: ServiceId,
     /// Rank of the runs: only work of a smaller one makes them give way.
     pub rank: u8,
     /// When the first of them should end, in milliseconds from now; none where they run until their
     /// jobs are cancelled.
-    pub from_ms: Option<u64>,
+    #[serde(rename = "from_ms")]
+    pub first_end_ms: Option<u64>,
     /// What they take together.
-    pub room: TotalRoom,
+    #[serde(rename = "room")]
+    pub resources: ResourceTotal,
 }
 
-impl From<BusyRoom> for (ServiceId, u8, Option<u64>, TotalRoom) {
-    fn from(busy: BusyRoom) -> Self {
-        (busy.service, busy.rank, busy.from_ms, busy.room)
+impl From<RunningWork> for (ServiceId, u8, Option<u64>, ResourceTotal) {
+    fn from(busy: RunningWork) -> Self {
+        (busy.service, busy.rank, busy.first_end_ms, busy.resources)
     }
 }
 
@@ -147,17 +149,20 @@
     pub priority: u8,
     /// Whether it would take any room that is large enough: it is tied to no label, no rack and no
     /// adviser, and nothing holds it back.
-    pub takes_any: bool,
+    #[serde(rename = "takes_any")]
+    pub is_unconstrained: bool,
     /// Whether its tasks start together.
     pub gang: bool,
     /// The most that one of its tasks takes, of each resource.
     pub needs: Resources,
     /// The most tasks that start together.
-    pub width: u32,
+    #[serde(rename = "width")]
+    pub gang_size: u32,
     /// The longest typical time of a task, in milliseconds.
     pub longest_ms: u64,
     /// What it will take.
-    pub rest: RoomTime,
+    #[serde(rename = "rest")]
+    pub remaining: ResourceTime,
 }
 
 /// The fields of waiting work in their order.
@@ -169,7 +174,7 @@
     (u32, u32, u32),
     u32,
     u64,
-    RoomTime,
+    ResourceTime,
 );
 
 impl From<WaitingWork> for WaitingFields {
@@ -178,12 +183,12 @@
         (
             work.service,
             work.priority,
-            work.takes_any,
+            work.is_unconstrained,
             work.gang,
             (needs.cpu_millis, needs.memory_mb, needs.accelerators),
-            work.width,
+            work.gang_size,
             work.longest_ms,
-            work.rest,
+            work.remaining,
         )
     }
 }
@@ -192,26 +197,27 @@
     /// Adds other work of its kind.
     pub fn add(&mut self, other: &Self) {
         self.needs = self.needs.larger(&other.needs);
-        self.width = self.width.max(other.width);
+        self.gang_size = self.gang_size.max(other.gang_size);
         self.longest_ms = self.longest_ms.max(other.longest_ms);
-        self.rest = self.rest.plus(&other.rest);
+        self.remaining = self.remaining.plus(&other.remaining);
     }
 }
 
 /// What a customer has waiting in one priority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(into = "(CustomerId, u8, RoomTime)")]
+#[serde(into = "(CustomerId, u8, ResourceTime)")]
 pub struct CustomerBacklog {
     /// The customer.
     pub customer: CustomerId,
     /// The priority.
     pub priority: u8,
     /// What its waiting work will take.
-    pub rest: RoomTime,
+    #[serde(rename = "rest")]
+    pub remaining: ResourceTime,
 }
 
-impl From<CustomerBacklog> for (CustomerId, u8, RoomTime) {
+impl From<CustomerBacklog> for (CustomerId, u8, ResourceTime) {
     fn from(backlog: CustomerBacklog) -> Self {
-        (backlog.customer, backlog.priority, backlog.rest)
+        (backlog.customer, backlog.priority, backlog.remaining)
     }
 }
--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -241,7 +241,7 @@
         }
         if job.outcome.is_some() {
             // An earlier planner has told its story, or the part that it knew.
-            job.story.tell();
+            job.story.mark_reported();
         }
         self.jobs.insert(id.clone(), job);
         if let Some(progress) = progress {
--- a/crates/stairstall-core/src/batch/planner/candidate.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate.rs
@@ -1,6 +1,6 @@
 //! A step that may start, and whose turn it is.
 
-use crate::batch::{GroupKey, Turn};
+use crate::batch::{GroupKey, SchedulingKey};
 
 /// Rank of a customer's claim on its own share: nothing comes before it.
 pub(super) const CLAIM: u8 = 0;
@@ -11,6 +11,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Candidate {
     pub(super) rank: u8,
-    pub(super) turn: Turn,
+    pub(super) turn: SchedulingKey,
     pub(super) key: GroupKey,
 }
--- a/crates/stairstall-core/src/batch/planner/explain.rs
+++ b/crates/stairstall-core/src/batch/planner/explain.rs
@@ -12,7 +12,7 @@
     pub fn explain(&self, id: &JobId, now: Now) -> Option<JobExplanation> {
         let job = self.jobs.get(id)?;
         let accepted = &job.accepted;
-        let story = job.story.keep(now);
+        let story = job.story.to_stored(now);
         Some(JobExplanation {
             job: id.clone(),
             queue: accepted.queue.name.clone(),
@@ -21,9 +21,9 @@
             zone: accepted.zone.clone(),
             state: self.caller_state(id)?,
             age_ms: now.unix_ms.saturating_sub(accepted.accepted_unix_ms),
-            spent_ms: story.spans_ms,
+            spent_ms: story.phases_ms,
             setbacks: story.setbacks,
-            waits: self.waiting(id, now).map(Into::into),
+            wait: self.waiting(id, now).map(Into::into),
             steps: self.explain_steps(id, job, now),
         })
     }
@@ -58,7 +58,7 @@
             waiting,
             done: count(group, |task| task.done),
             waited_ms: group.ready_since.map_or(0, |since| millis(now.at - since)),
-            behind,
+            steps_ahead: behind,
             ..StepExplanation::new(key, on)
         })
     }
--- a/crates/stairstall-core/src/batch/planner/fit.rs
+++ b/crates/stairstall-core/src/batch/planner/fit.rs
@@ -162,7 +162,7 @@
         now: Now,
     ) -> u64 {
         let usual_ms = crate::time::millis(self.run_time(key, step, now).typical);
-        let here_ms = self.pace_of(id, now).stretch_ms(usual_ms);
+        let here_ms = self.pace_of(id, now).scale_ms(usual_ms);
         here_ms * u64::from(self.slowdown(step, id))
     }
 
@@ -200,7 +200,7 @@
         let losses = pass.gang_losses.as_ref().filter(|_| scope.preempts);
         let held_back = &pass.held_back;
         let apart = self.apart(key, urgent, now);
-        let knows_paces = self.paces.is_uneven();
+        let knows_paces = self.paces.is_heterogeneous();
         self.workers
             .iter()
             .filter(|(_, w)| scope.preempts || is_advised || needs.fits(&w.free()))
@@ -282,7 +282,7 @@
     ) {
         let key = &candidate.key;
         for (id, task) in &choice.victims {
-            self.note_setback(&task.group.job, Setback::GaveWay);
+            self.note_setback(&task.group.job, Setback::Preempted);
             self.note_gave_way(&task.group, now);
             self.stop_run(id, task, &format!("gives way to {key}"), now);
             if let Some(run) = self.run_at(id, task) {
@@ -350,7 +350,7 @@
     /// Says the pace that is counted on at a worker, where it is known to differ.
     fn pace_in_words(&self, id: &WorkerId, now: Now) -> String {
         let pace = self.pace_of(id, now);
-        if pace.differs() {
+        if pace.differs_from_typical() {
             format!(", pace {:.2}", pace.factor)
         } else {
             String::new()
--- a/crates/stairstall-core/src/batch/planner/fit/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/cost.rs
@@ -151,7 +151,7 @@
         now: Now,
     ) -> Option<PaceCosts> {
         let key = &candidate.key;
-        if !self.paces.is_uneven() || step.lasts {
+        if !self.paces.is_heterogeneous() || step.lasts {
             return None;
         }
         let job = self.jobs.get(&key.job)?;
@@ -164,7 +164,7 @@
         let time = if is_pressed {
             run_time.typical
         } else {
-            run_time.long
+            run_time.p90
         };
         let left_ms = objective_ms.saturating_sub(now.unix_ms);
         Some(PaceCosts {
--- a/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
@@ -140,8 +140,8 @@
         if !self.policy.places.fills_in || step.lasts {
             return false;
         }
-        let usual_ms = crate::time::millis(self.run_time(&candidate.key, step, now).long);
-        let here_ms = self.pace_of(id, now).stretch_ms(usual_ms);
+        let usual_ms = crate::time::millis(self.run_time(&candidate.key, step, now).p90);
+        let here_ms = self.pace_of(id, now).scale_ms(usual_ms);
         let takes_ms = here_ms * u64::from(self.slowdown(step, id));
         now.at + Duration::from_millis(takes_ms) <= date
     }
@@ -206,7 +206,7 @@
         let holder = Holder {
             gang: candidate.key.clone(),
             rank: reservation.rank,
-            used: candidate.turn.used,
+            used: candidate.turn.usage_level,
             date: reservation.filled_until,
         };
         for id in &reservation.workers {
@@ -228,7 +228,7 @@
         candidate.key == self.gang
             || candidate.rank < self.rank
             || candidate.turn.is_aged()
-            || candidate.rank == self.rank && candidate.turn.used < self.used
+            || candidate.rank == self.rank && candidate.turn.usage_level < self.used
     }
 }
 
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -37,7 +37,7 @@
                 step: index,
             };
             let known = self.known_run_time(&key, step, now)?;
-            Some(known.long)
+            Some(known.p90)
         });
         let times: Option<Vec<Duration>> = times.collect();
         times?.into_iter().max()
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::batch::story::{Span, Story};
+use crate::batch::timeline::{JobPhase, JobTimeline};
 use crate::batch::{
     AcceptedJob, GroupKey, Incarnation, Outcome, Place, StepSpec, TaskKey, TaskLosses,
 };
@@ -163,7 +163,7 @@
     /// Whether its record is being made shorter.
     pub(super) trims: Trims,
     /// Where its time went.
-    pub(super) story: Story,
+    pub(super) story: JobTimeline,
 }
 
 impl Job {
@@ -179,11 +179,11 @@
             changes: 0,
             written: 0,
             trims: Trims::default(),
-            story: Story::default(),
+            story: JobTimeline::default(),
         };
         let known_after = now.unix_ms.saturating_sub(job.accepted.accepted_unix_ms);
         job.story
-            .add(Span::Known, Duration::from_millis(known_after));
+            .add_time(JobPhase::Accepted, Duration::from_millis(known_after));
         job.add_due_occurrences(now);
         job
     }
--- a/crates/stairstall-core/src/batch/planner/lives.rs
+++ b/crates/stairstall-core/src/batch/planner/lives.rs
@@ -13,7 +13,7 @@
         };
         self.worker_set += 1;
         if worker.is_listed {
-            self.paces.begin_life(id, now.at);
+            self.paces.record_restart(id, now.at);
         } else {
             self.paces.forget(id);
         }
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -7,10 +7,11 @@
 use super::pool::{Run, RunState, Worker};
 use super::queue::accelerators;
 use super::{Now, Planner};
-use crate::batch::load::MAX_ENTRIES;
+use crate::batch::load::MAX_SUMMARY_ENTRIES;
 use crate::batch::{
-    AcceptedJob, BusyRoom, CustomerBacklog, EstimatedWork, FleetMemory, GroupKey, LoadSummary,
-    QueuePace, RoomTime, Shape, StartForecast, StepSpec, TotalRoom, WaitingWork,
+    AcceptedJob, CustomerBacklog, EstimatedWork, FleetHistory, GroupKey, LoadSummary, QueueRunTime,
+    ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast, StepSpec,
+    WaitingWork,
 };
 use crate::time::millis;
 use crate::{CustomerId, JobId, ServiceId, Timestamp};
@@ -27,7 +28,7 @@
 /// What the planner keeps of its load from one summary to the next.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoadWatch {
-    fleet: FleetMemory,
+    fleet: FleetHistory,
     last: Option<(Timestamp, LoadSummary)>,
     forecasts: BTreeMap<JobId, StartForecast>,
 }
@@ -40,7 +41,7 @@
 #[derive(Debug, Default)]
 struct Backlog {
     kinds: BTreeMap<WorkKind, WaitingWork>,
-    customers: BTreeMap<(u8, CustomerId), RoomTime>,
+    customers: BTreeMap<(u8, CustomerId), ResourceTime>,
 }
 
 impl Planner {
@@ -62,8 +63,10 @@
             observed_ms: millis(self.observed(now)),
             workers: self.load.fleet.kinds(now.at),
             labels: self.load.fleet.labels(),
-            busy: self.busy(now),
-            waiting: largest(backlog.kinds.into_values(), |work| work.rest.accelerators),
+            running: self.busy(now),
+            waiting: largest(backlog.kinds.into_values(), |work| {
+                work.remaining.accelerators
+            }),
             customers: backlogs(backlog.customers),
             queues: self.queue_paces(now),
             urgent_accelerators: self.urgent_accelerators(now),
@@ -86,37 +89,37 @@
 
     fn count_fleet(&mut self, now: Now) {
         let fleet = &mut self.load.fleet;
-        fleet.begin();
+        fleet.begin_count();
         let described = |worker: &&Worker| worker.listed.service != ServiceId::unknown();
         for worker in self.workers.values().filter(described) {
             let listed = &worker.listed;
-            fleet.count(&listed.service, listed.capacity, worker.takes_tasks());
+            fleet.count_worker(&listed.service, listed.capacity, worker.takes_tasks());
             for label in &listed.labels {
-                fleet.note_label(label, now.at);
+                fleet.record_label(label, now.at);
             }
         }
-        fleet.end(self.policy.admission.remembers_workers_for, now.at);
+        fleet.end_count(self.policy.admission.remembers_workers_for, now.at);
     }
 
-    fn busy(&self, now: Now) -> Vec<BusyRoom> {
-        let mut rooms: BTreeMap<(&ServiceId, u8, Option<u64>), TotalRoom> = BTreeMap::new();
+    fn busy(&self, now: Now) -> Vec<RunningWork> {
+        let mut rooms: BTreeMap<(&ServiceId, u8, Option<u64>), ResourceTotal> = BTreeMap::new();
         for worker in self.workers.values() {
             for run in worker.runs.values() {
                 let from_ms = (!run.lasts).then(|| end_step(rest_ms(run, now)));
                 let room = rooms.entry((&worker.listed.service, run.rank, from_ms));
                 let room = room.or_default();
-                *room = room.plus(&TotalRoom::of(&run.room, 1));
+                *room = room.plus(&ResourceTotal::of(&run.room, 1));
             }
         }
         let rooms = rooms
             .into_iter()
-            .map(|((service, rank, from_ms), room)| BusyRoom {
+            .map(|((service, rank, from_ms), room)| RunningWork {
                 service: service.clone(),
                 rank,
-                from_ms,
-                room,
+                first_end_ms: from_ms,
+                resources: room,
             });
-        largest(rooms, |busy| busy.room.accelerators)
+        largest(rooms, |busy| busy.resources.accelerators)
     }
 
     fn backlog(&self, now: Now) -> Backlog {
@@ -154,23 +157,23 @@
             if count == 0 {
                 continue;
             }
-            let room = TotalRoom::of(&step.room(), u32::try_from(count).unwrap_or(u32::MAX));
+            let room = ResourceTotal::of(&step.room(), u32::try_from(count).unwrap_or(u32::MAX));
             let work = WaitingWork {
                 service: service.clone(),
                 priority: job.accepted.queue.priority,
-                takes_any,
+                is_unconstrained: takes_any,
                 gang: step.gang,
                 needs: step.room(),
-                width: if step.gang { step.count } else { 1 },
+                gang_size: if step.gang { step.count } else { 1 },
                 longest_ms,
-                rest: RoomTime::of(&room, longest_ms),
+                remaining: ResourceTime::of(&room, longest_ms),
             };
             backlog.add(work, job.accepted.customer.as_ref());
         }
     }
 
     /// Returns the queues whose work is known not to take what callers estimate.
-    fn queue_paces(&self, now: Now) -> Vec<QueuePace> {
+    fn queue_paces(&self, now: Now) -> Vec<QueueRunTime> {
         // Long enough that rounding does not show.
         let estimate = Duration::from_secs(10);
         let routes = self.catalog.routes.iter();
@@ -180,14 +183,14 @@
                 customer: None,
                 estimate,
             };
-            let typical = self.run_times.of(&work, now.at).typical;
+            let typical = self.run_times.run_time(&work, now.at).typical;
             let permille = millis(typical) * 1000 / millis(estimate);
-            (typical != estimate).then(|| QueuePace {
+            (typical != estimate).then(|| QueueRunTime {
                 queue: route.queue.name.clone(),
                 typical_permille: u32::try_from(permille).unwrap_or(u32::MAX),
             })
         });
-        paces.take(MAX_ENTRIES).collect()
+        paces.take(MAX_SUMMARY_ENTRIES).collect()
     }
 
     /// Returns how many accelerators urgent jobs asked for lately.
@@ -206,7 +209,8 @@
         };
         let steps = job.spec.steps.iter();
         let first = steps.filter(|step| step.depends_on.is_empty());
-        let forecasts = first.filter_map(|step| summary.forecast(&Shape::of(step, job)));
+        let forecasts =
+            first.filter_map(|step| summary.forecast(&ResourceRequest::for_step(step, job)));
         let soonest = forecasts.min_by_key(|forecast| forecast.earliest);
         if let Some(forecast) = soonest.filter(|forecast| !forecast.likely.is_zero())
             && self.load.forecasts.len() < MAX_FORECASTS
@@ -235,13 +239,13 @@
         if let Some(customer) = customer {
             let key = (work.priority, customer.clone());
             let rest = self.customers.entry(key).or_default();
-            *rest = rest.plus(&work.rest);
+            *rest = rest.plus(&work.remaining);
         }
-        let size = u64::from(work.width) * work.needs.weight().max(1);
+        let size = u64::from(work.gang_size) * work.needs.weight().max(1);
         let kind = (
             work.service.clone(),
             work.priority,
-            work.takes_any,
+            work.is_unconstrained,
             work.gang,
             size.ilog2(),
         );
@@ -253,22 +257,22 @@
     }
 }
 
-fn backlogs(customers: BTreeMap<(u8, CustomerId), RoomTime>) -> Vec<CustomerBacklog> {
+fn backlogs(customers: BTreeMap<(u8, CustomerId), ResourceTime>) -> Vec<CustomerBacklog> {
     let backlogs = customers
         .into_iter()
         .map(|((priority, customer), rest)| CustomerBacklog {
             customer,
             priority,
-            rest,
+            remaining: rest,
         });
-    largest(backlogs, |backlog| backlog.rest.accelerators)
+    largest(backlogs, |backlog| backlog.remaining.accelerators)
 }
 
 /// Returns the largest entries, as many as a summary holds.
 fn largest<T>(entries: impl Iterator<Item = T>, size: impl Fn(&T) -> u64) -> Vec<T> {
     let mut entries: Vec<T> = entries.collect();
     entries.sort_by_key(|entry| std::cmp::Reverse(size(entry)));
-    entries.truncate(MAX_ENTRIES);
+    entries.truncate(MAX_SUMMARY_ENTRIES);
     entries
 }
 
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -6,7 +6,7 @@
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
 use crate::batch::{
-    GroupKey, PaceSummary, RunShown, StepSpec, Stretch, TaskKey, WorkerPace, WorkerPaces,
+    GroupKey, PaceSummary, ProgressSample, RunProgress, StepSpec, TaskKey, WorkerPace, WorkerPaces,
 };
 use crate::time::millis;
 use crate::{Timestamp, WorkerId};
@@ -19,14 +19,14 @@
     worker: &'a WorkerId,
     task: &'a TaskKey,
     run: &'a Run,
-    stretch: Option<Stretch>,
+    stretch: Option<ProgressSample>,
 }
 
 impl Planner {
     /// Returns the pace of a worker as far as it is known; where the fleet is even, all are alike.
     pub(super) fn pace_of(&self, id: &WorkerId, now: Now) -> WorkerPace {
-        if self.paces.is_uneven() {
-            self.paces.of(id, now.at)
+        if self.paces.is_heterogeneous() {
+            self.paces.pace(id, now.at)
         } else {
             WorkerPace::UNKNOWN
         }
@@ -52,7 +52,7 @@
         run: &Run,
         now: Now,
     ) {
-        if !self.paces.is_on() || !run.tells_pace() {
+        if !self.paces.is_enabled() || !run.tells_pace() {
             return;
         }
         if run.gang {
@@ -64,11 +64,11 @@
             return;
         };
         let stretch = run.stretch_to_end(task, now.at);
-        let shown = RunShown {
+        let shown = RunProgress {
             worker: id,
-            whole: None,
-            stretch: stretch.map(|stretch| stretch.near(slowdown)),
-            usual,
+            projected_total: None,
+            sample: stretch.map(|stretch| stretch.without_remote_slowdown(slowdown)),
+            expected: usual,
         };
         self.paces.learn_from_step(key, &[shown], now.at);
     }
@@ -99,7 +99,7 @@
         let stretch = run.began.and_then(|(at, from)| {
             let together_since = began.into_iter().fold(at, Timestamp::max);
             let gained = 100_u8.saturating_sub(from);
-            Stretch::of(run.tag(task), gained, now.at - together_since)
+            ProgressSample::new(run.tag(task), gained, now.at - together_since)
         });
         let Some((usual, slowdown)) = self.usual_at(key, id, now) else {
             return;
@@ -108,8 +108,12 @@
             return;
         };
         let members: Vec<&WorkerId> = others.iter().map(|(id, _)| id).chain([id]).collect();
-        self.paces
-            .learn_from_gang(&members, &stretch.near(slowdown), usual, now.at);
+        self.paces.learn_from_gang(
+            &members,
+            &stretch.without_remote_slowdown(slowdown),
+            usual,
+            now.at,
+        );
     }
 
     /// Tells whether members of a gang that wants one rack are on several: its time then says
@@ -129,7 +133,7 @@
 
     /// Learns from the runs that get on.
     pub(super) fn learn_paces_from_reports(&mut self, now: Now) {
-        if !self.paces.is_on() {
+        if !self.paces.is_enabled() {
             return;
         }
         let told_percent = self.paces.policy().told_percent;
@@ -150,7 +154,7 @@
         steps.sort_by_key(|(key, _)| *key);
         let mut paces = std::mem::take(&mut self.paces);
         for (key, runs) in &steps {
-            let shown: Vec<RunShown<'_>> = runs
+            let shown: Vec<RunProgress<'_>> = runs
                 .iter()
                 .filter_map(|shown| self.shown_near(key, shown, now))
                 .collect();
@@ -162,7 +166,7 @@
             .filter(|shown| shown.stretch.is_some())
             .map(|shown| (shown.worker.clone(), shown.task.clone()))
             .collect();
-        paces.settle(now.at);
+        paces.recenter(now.at);
         self.paces = paces;
         for (id, task) in told {
             let worker = self.workers.get_mut(&id);
@@ -173,14 +177,21 @@
     }
 
     /// Returns what a run shows, as if it were near its data.
-    fn shown_near<'a>(&self, key: &GroupKey, shown: &Shown<'a>, now: Now) -> Option<RunShown<'a>> {
+    fn shown_near<'a>(
+        &self,
+        key: &GroupKey,
+        shown: &Shown<'a>,
+        now: Now,
+    ) -> Option<RunProgress<'a>> {
         let (usual, slowdown) = self.usual_at(key, shown.worker, now)?;
         let whole = shown.run.whole_span(self.policy.pace.judged_after);
-        Some(RunShown {
+        Some(RunProgress {
             worker: shown.worker,
-            whole: whole.map(|whole| whole / slowdown.max(1)),
-            stretch: shown.stretch.map(|stretch| stretch.near(slowdown)),
-            usual,
+            projected_total: whole.map(|whole| whole / slowdown.max(1)),
+            sample: shown
+                .stretch
+                .map(|stretch| stretch.without_remote_slowdown(slowdown)),
+            expected: usual,
         })
     }
 }
@@ -206,23 +217,23 @@
     }
 
     /// Returns what is new of it, once that is enough.
-    fn new_stretch(&self, task: &TaskKey, enough_percent: u8) -> Option<Stretch> {
+    fn new_stretch(&self, task: &TaskKey, enough_percent: u8) -> Option<ProgressSample> {
         let (at, from) = self.told_until()?;
         let gained = self.percent.checked_sub(from)?;
         let is_enough = gained >= enough_percent && self.percent <= 100;
         let took = self.reported_at - at;
         is_enough
-            .then(|| Stretch::of(self.tag(task), gained, took))
+            .then(|| ProgressSample::new(self.tag(task), gained, took))
             .flatten()
     }
 
     /// Returns what is new of it at its end.
-    fn stretch_to_end(&self, task: &TaskKey, at: Timestamp) -> Option<Stretch> {
+    fn stretch_to_end(&self, task: &TaskKey, at: Timestamp) -> Option<ProgressSample> {
         let (since, from) = self.told_until()?;
         let left = 100_u8
             .checked_sub(from)
             .filter(|left| *left >= TELLS_FROM)?;
-        Stretch::of(self.tag(task), left, at - since)
+        ProgressSample::new(self.tag(task), left, at - since)
     }
 
     /// Returns how long the whole work takes at the pace shown so far, once that is enough.
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -6,7 +6,7 @@
 use super::job::{Group, Job, Trims};
 use super::{Now, Planner};
 use crate::JobId;
-use crate::batch::story::Story;
+use crate::batch::timeline::JobTimeline;
 use crate::batch::{AcceptedJob, GroupProgress, Progress};
 
 const OPEN: char = '-';
@@ -128,7 +128,7 @@
             occurrences: occurrences
                 .map(|groups| groups.iter().map(Group::progress).collect())
                 .collect(),
-            story: self.outcome.is_none().then(|| self.story.keep(now)),
+            story: self.outcome.is_none().then(|| self.story.to_stored(now)),
         }
     }
 
@@ -140,7 +140,7 @@
         if let Some(kept) = &progress.story {
             let mut groups = progress.occurrences.iter().flatten();
             let has_places = groups.any(|group| !group.places.is_empty());
-            self.story = Story::restore(kept, has_places, now);
+            self.story = JobTimeline::restore(kept, has_places, now);
         }
         while self.occurrences.len() < progress.occurrences.len() {
             self.add_occurrence();
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -7,7 +7,7 @@
 use super::pass::{Pass, RoomKind};
 use super::site::Scope;
 use super::{Now, Planner};
-use crate::batch::{Aged, GroupKey, Timeliness, Turn};
+use crate::batch::{AgedStep, GroupKey, SchedulingKey, Timeliness};
 use crate::{CustomerId, JobId};
 
 impl Planner {
@@ -53,14 +53,14 @@
             let (wanted, _) = self.wanted(&one.key, job, now);
             let since_unix_ms = wanted.aged_unix_ms(policy)?;
             let key = one.key.clone();
-            let aged = Aged { since_unix_ms, key };
+            let aged = AgedStep { since_unix_ms, key };
             (since_unix_ms <= now.unix_ms).then_some((aged, index))
         });
         // What no worker could hold at this moment would keep the turn from all others.
         let aged = aged.filter(|(aged, _)| self.could_be_held(&aged.key, pass));
         let (aged, index) = aged.min()?;
         let first = candidates.partition_point(|one| one.rank <= URGENT);
-        candidates[index].turn = Turn::of_aged();
+        candidates[index].turn = SchedulingKey::aged();
         candidates[first..=index].rotate_right(1);
         Some(aged.key)
     }
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -102,7 +102,7 @@
 
     /// Gives a planned run up, and with it the other planned members of its gang.
     pub(super) fn drop_planned(&mut self, id: &WorkerId, task: &TaskKey, why: &str, now: Now) {
-        self.note_setback(&task.group.job, Setback::PlaceGivenUp);
+        self.note_setback(&task.group.job, Setback::PlacementAbandoned);
         self.stop_run(id, task, why, now);
         let is_gang = self.step(&task.group).is_some_and(|step| step.gang);
         if is_gang {
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -24,7 +24,7 @@
         worker.life = worker.life.next(incarnation, worker.leaves());
         worker.fence = fence;
         worker.set_contact(false);
-        self.paces.begin_life(id, now.at);
+        self.paces.record_restart(id, now.at);
         if worker.is_busy() {
             // A deadline by the clock of the life before is far ahead of the new one's, which holds
             // what arrives with it as long as it may.
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -4,7 +4,9 @@
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
-use crate::batch::{EstimatedWork, GroupKey, RunSoFar, RunTime, RunTimes, StepSpec, TaskKey};
+use crate::batch::{
+    EstimatedWork, GroupKey, RunTime, RunTimeObservation, RunTimes, StepSpec, TaskKey,
+};
 use crate::{RackId, Timestamp, WorkerId};
 
 /// No worker counts as faster than this, as a part of the usual time.
@@ -24,8 +26,8 @@
     pub(super) fn run_time(&self, key: &GroupKey, step: &StepSpec, now: Now) -> RunTime {
         let estimate = Duration::from_millis(self.estimate_ms(step));
         match self.estimated_work(key, estimate) {
-            Some(work) => self.run_times.of(&work, now.at),
-            None => RunTime::estimated(estimate),
+            Some(work) => self.run_times.run_time(&work, now.at),
+            None => RunTime::from_estimate(estimate),
         }
     }
 
@@ -38,7 +40,7 @@
     ) -> Option<RunTime> {
         let estimate = Duration::from_millis(self.estimate_ms(step));
         let work = self.estimated_work(key, estimate)?;
-        self.run_times.known(&work, now.at)
+        self.run_times.learned_run_time(&work, now.at)
     }
 
     fn estimated_work(&self, key: &GroupKey, estimate: Duration) -> Option<EstimatedWork<'_>> {
@@ -60,7 +62,11 @@
         self.learn_run_times(|planner, run_times| {
             let is_news = planner.task(task).is_some_and(|task| !task.done);
             let worked = planner.worked(id, task, run, now).filter(|_| is_news)?;
-            run_times.note(&planner.work_of(&task.group)?, worked.usual(now.at), now.at);
+            run_times.record_completed(
+                &planner.work_of(&task.group)?,
+                worked.usual(now.at),
+                now.at,
+            );
             Some(())
         });
     }
@@ -69,16 +75,16 @@
     pub(super) fn learn_from_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         self.learn_run_times(|planner, run_times| {
             let so_far = planner.told_so_far(id, task, now)?;
-            run_times.note_stopped(&planner.work_of(&task.group)?, so_far, now.at);
+            run_times.record_stopped(&planner.work_of(&task.group)?, so_far, now.at);
             Some(())
         });
     }
 
     /// Learns from how far everything has come that runs, now and then.
     pub(super) fn learn_from_running(&mut self, now: Now) {
-        if self.run_times.wants_look(now.at) {
+        if self.run_times.is_sampling_due(now.at) {
             self.learn_run_times(|planner, run_times| {
-                run_times.look_through(planner.running(now), now.at);
+                run_times.sample_running(planner.running(now), now.at);
                 Some(())
             });
         }
@@ -86,7 +92,7 @@
 
     /// Changes what is known of run times by what is known of everything else.
     fn learn_run_times(&mut self, learn: impl FnOnce(&Self, &mut RunTimes) -> Option<()>) {
-        if !self.run_times.is_on() {
+        if !self.run_times.is_enabled() {
             return;
         }
         let mut run_times = std::mem::take(&mut self.run_times);
@@ -96,7 +102,7 @@
     }
 
     /// Returns how far each task, or gang, has come that runs undisturbed.
-    fn running(&self, now: Now) -> impl Iterator<Item = (EstimatedWork<'_>, RunSoFar)> {
+    fn running(&self, now: Now) -> impl Iterator<Item = (EstimatedWork<'_>, RunTimeObservation)> {
         let workers = self.workers.iter();
         let tasks = workers.flat_map(|(id, worker)| worker.runs.keys().map(move |task| (id, task)));
         tasks.filter_map(move |(id, task)| {
@@ -106,7 +112,7 @@
     }
 
     /// Returns what a run that goes on tells of its whole time; of a gang the first member tells.
-    fn told_so_far(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunSoFar> {
+    fn told_so_far(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunTimeObservation> {
         let run = self.run_at(id, task)?;
         let tells = run.state == RunState::Running && run.unwanted_since.is_none();
         if !tells || run.gang && task.index != 0 {
@@ -182,13 +188,13 @@
     }
 
     /// Returns what it tells of its whole time, as of the last report.
-    fn so_far(&self, shown_percent: u8) -> RunSoFar {
+    fn so_far(&self, shown_percent: u8) -> RunTimeObservation {
         let worked = self.usual(self.run.reported_at);
         if self.run.percent < shown_percent.max(1) {
-            return RunSoFar::AtLeast(worked);
+            return RunTimeObservation::AtLeast(worked);
         }
         // The percentage is cut to a whole number.
         let done = (f64::from(self.run.percent) + 0.5) / 100.0;
-        RunSoFar::Shows(worked.div_f64(done))
+        RunTimeObservation::Projected(worked.div_f64(done))
     }
 }
--- a/crates/stairstall-core/src/batch/planner/story.rs
+++ b/crates/stairstall-core/src/batch/planner/story.rs
@@ -5,7 +5,7 @@
 use super::job::{Group, Job};
 use super::pool::RunState;
 use super::{Now, Planner};
-use crate::batch::story::{JobSummary, Setback, Span};
+use crate::batch::timeline::{JobPhase, JobSummary, Setback};
 use crate::batch::{GroupKey, TaskKey};
 use crate::{JobId, WorkerId};
 
@@ -30,7 +30,7 @@
     /// Counts a setback of a job.
     pub(super) fn note_setback(&mut self, id: &JobId, setback: Setback) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.story.set_back(setback);
+            job.story.record_setback(setback);
             self.touch(id);
         }
     }
@@ -46,8 +46,8 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.story.enter(span, now.at);
-            if is_over && job.story.tell() {
+            job.story.enter_phase(span, now.at);
+            if is_over && job.story.mark_reported() {
                 let summary = summary(job, now);
                 self.summaries.extend(summary);
             }
@@ -60,9 +60,9 @@
     }
 
     /// Returns what a job spends time on; none where it is over, or nothing of it is due.
-    fn span_of(&self, id: &JobId, job: &Job) -> Option<Span> {
+    fn span_of(&self, id: &JobId, job: &Job) -> Option<JobPhase> {
         if job.outcome.is_some() {
-            return (!job.is_written()).then_some(Span::Write);
+            return (!job.is_written()).then_some(JobPhase::RecordingOutcome);
         }
         let mut least = None;
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
@@ -81,30 +81,35 @@
         least
     }
 
-    pub(super) fn span_of_group(&self, key: &GroupKey, group: &Group, job: &Job) -> Option<Span> {
+    pub(super) fn span_of_group(
+        &self,
+        key: &GroupKey,
+        group: &Group,
+        job: &Job,
+    ) -> Option<JobPhase> {
         if group.tasks.iter().any(super::job::Task::is_waiting) {
-            return Some(Span::Room);
+            return Some(JobPhase::WaitingForCapacity);
         }
         let open = (0..).zip(&group.tasks).filter(|(_, task)| !task.done);
         let spans = open.map(|(index, task)| match &task.place {
-            None => Span::Room,
+            None => JobPhase::WaitingForCapacity,
             Some(worker) => self.span_of_run(worker, &key.task(index), job),
         });
         spans.min()
     }
 
-    fn span_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> Span {
+    fn span_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> JobPhase {
         let worker = self.workers.get(worker);
         let Some((worker, run)) = worker.and_then(|w| Some((w, w.runs.get(task)?))) else {
-            return job.story.running();
+            return job.story.running_phase();
         };
         let is_silent = !worker.is_in_contact();
         match run.state {
-            RunState::Planned if run.recorded_by > job.written => Span::Record,
-            RunState::Planned => Span::Stops,
-            _ if is_silent => Span::Silent,
-            RunState::Starting => Span::Start,
-            RunState::Running | RunState::Stopping => job.story.running(),
+            RunState::Planned if run.recorded_by > job.written => JobPhase::RecordingPlacement,
+            RunState::Planned => JobPhase::WaitingForPreemption,
+            _ if is_silent => JobPhase::WorkerSilent,
+            RunState::Starting => JobPhase::Starting,
+            RunState::Running | RunState::Stopping => job.story.running_phase(),
         }
     }
 }
@@ -119,12 +124,12 @@
         customer: accepted.customer.clone(),
         zone: accepted.zone.clone(),
         outcome: job.outcome?,
-        whole: Duration::from_millis(now.unix_ms.saturating_sub(accepted.accepted_unix_ms)),
+        total: Duration::from_millis(now.unix_ms.saturating_sub(accepted.accepted_unix_ms)),
         work,
         estimate: Duration::from_millis(accepted.spec.chain_ms()),
-        aim: work.mul_f64(accepted.queue.stretch.max(0.0))
+        target: work.mul_f64(accepted.queue.stretch.max(0.0))
             + Duration::from_millis(accepted.queue.target_ms),
-        spans: job.story.spans(),
+        phases: job.story.phases(),
         starts: job.story.starts,
         setbacks: job.story.setbacks(),
         taken_over: job.story.taken_over,
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -116,7 +116,7 @@
     fn is_slow_anywhere(&self, group: &Group, id: &WorkerId, task: &TaskKey, now: Now) -> bool {
         let entry = group.tasks.get(task.index as usize);
         let was_moved = entry.is_some_and(|entry| entry.moves > 0);
-        self.paces.is_uneven() && was_moved && self.pace_of(id, now).is_known
+        self.paces.is_heterogeneous() && was_moved && self.pace_of(id, now).is_known
     }
 
     fn move_away(&mut self, misplaced: &Misplaced, now: Now) {
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -7,7 +7,10 @@
 use super::job::Job;
 use super::{Now, Planner};
 use crate::CustomerId;
-use crate::batch::{CustomerUse, FleetSize, GroupKey, StepSpec, Timeliness, Turn, Wanted};
+use crate::batch::{
+    CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec,
+    Timeliness,
+};
 use crate::time::millis;
 
 /// Beyond its guarantee no customer weighs more than another.
@@ -25,10 +28,10 @@
     /// Returns the customers that have used most lately, and what each would have if all had used alike,
     /// in milliseconds of the whole fleet.
     #[must_use]
-    pub fn customer_use(&self, most: usize, now: Now) -> (Vec<CustomerUse>, u64) {
+    pub fn customer_use(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
         (
-            self.usage.most_used(most, now.at),
-            self.usage.fair_ms(now.at),
+            self.usage.top_customers(most, now.at),
+            self.usage.mean_used_ms(now.at),
         )
     }
 
@@ -37,17 +40,18 @@
         let workers = &self.workers;
         let fleet = || {
             let listed = workers.values().filter(|worker| worker.is_listed);
-            listed.fold(FleetSize::default(), |sum, worker| {
+            listed.fold(FleetCapacity::default(), |sum, worker| {
                 sum.plus(&worker.listed.capacity)
             })
         };
-        let Some(held) = self.usage.begin_charge(fleet, now.at) else {
+        let Some(held) = self.usage.begin_charge_interval(fleet, now.at) else {
             return;
         };
         for holding in self.holdings() {
             let customer = holding.customer.as_ref();
             self.usage.charge(customer, holding.share_ppm, held, now.at);
-            self.usage.commit(customer, holding.share_ppm, holding.left);
+            self.usage
+                .add_commitment(customer, holding.share_ppm, holding.left);
         }
     }
 
@@ -63,7 +67,10 @@
             let left_ms = run.map_or(0, |run| run.left_ms(self.policy.places.shown_percent));
             Some(Holding {
                 customer: job.accepted.customer.clone(),
-                share_ppm: self.usage.fleet().share_ppm(&room, runs.len() as u64),
+                share_ppm: self
+                    .usage
+                    .fleet()
+                    .dominant_share_ppm(&room, runs.len() as u64),
                 left: Duration::from_millis(left_ms),
             })
         });
@@ -88,29 +95,33 @@
         }
         let key = &candidate.key;
         let takes = self.run_time(key, step, now).typical;
-        let share_ppm = self.usage.fleet().share_ppm(&step.room(), tasks as u64);
+        let share_ppm = self
+            .usage
+            .fleet()
+            .dominant_share_ppm(&step.room(), tasks as u64);
         let customer = self.jobs.get(&key.job).map(|job| &job.accepted.customer);
         if let Some(customer) = customer {
-            self.usage.commit(customer.as_ref(), share_ppm, takes);
+            self.usage
+                .add_commitment(customer.as_ref(), share_ppm, takes);
         }
     }
 
     /// Returns what decides between a step and others of its rank, but for its customer's use.
-    pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> Turn {
+    pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> SchedulingKey {
         // What was turned away before goes before later work of its rank and customer.
         let asked_before_ms = job.accepted.asked_before_ms();
         if rank <= URGENT {
             let objective_unix_ms = job
                 .objective_unix_ms(key.occurrence)
                 .saturating_sub(asked_before_ms);
-            return Turn {
+            return SchedulingKey {
                 objective_unix_ms,
                 start_by_unix_ms: objective_unix_ms,
-                ..Turn::default()
+                ..SchedulingKey::default()
             };
         }
         let (wanted, left_ms) = self.wanted(key, job, now);
-        let mut turn = wanted.turn(left_ms, now.unix_ms, self.usage.policy());
+        let mut turn = wanted.scheduling_key(left_ms, now.unix_ms, self.usage.policy());
         if job.step(key).is_some_and(|step| step.lasts) {
             turn.timeliness = Timeliness::InTime;
         }
@@ -119,7 +130,7 @@
     }
 
     /// Returns until when a time of a job is wanted, and how long it would take from a step on.
-    pub(super) fn wanted(&self, key: &GroupKey, job: &Job, now: Now) -> (Wanted, u64) {
+    pub(super) fn wanted(&self, key: &GroupKey, job: &Job, now: Now) -> (CompletionObjective, u64) {
         let chains = job.accepted.spec.chains_ms(|step| {
             if step.lasts {
                 return 0;
@@ -128,8 +139,8 @@
         });
         let whole_ms = chains.iter().max().copied().unwrap_or(0);
         let from_here_ms = chains.get(key.step as usize).copied().unwrap_or(0);
-        let wanted = Wanted {
-            due_unix_ms: job.due_unix_ms(key.occurrence),
+        let wanted = CompletionObjective {
+            eligible_unix_ms: job.due_unix_ms(key.occurrence),
             span_ms: job.objective_span_ms(whole_ms),
         };
         let saved_ms = self.saved_ms(key, job, now);
@@ -173,7 +184,7 @@
             let (used_ms, before_ms) = lines
                 .entry(customer)
                 .or_insert_with(|| (self.usage.used_ms(customer, now.at), 0));
-            candidate.turn.used = self.usage.step(*used_ms, *before_ms, WEIGHT);
+            candidate.turn.usage_level = self.usage.usage_level(*used_ms, *before_ms, WEIGHT);
             *before_ms += self.cost_ms(key, job, now);
         }
         candidates.sort_unstable();
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -7,12 +7,12 @@
 use super::pass::Pass;
 use super::{Now, Planner};
 use crate::JobId;
-use crate::batch::{GroupKey, WaitReason, Waiting};
+use crate::batch::{GroupKey, WaitReason, WaitStatus};
 
 impl Planner {
     /// Returns where a job stands that waits with its first open step; none where nothing of it waits.
     #[must_use]
-    pub fn waiting(&self, id: &JobId, now: Now) -> Option<Waiting> {
+    pub fn waiting(&self, id: &JobId, now: Now) -> Option<WaitStatus> {
         let job = self.jobs.get(id).filter(|job| job.outcome.is_none())?;
         let (key, reason) = self.open_step(job, now)?;
         let rank = if self.is_claim(&key) {
@@ -26,12 +26,12 @@
             let key = key.clone();
             self.reason_without_room(&Candidate { rank, turn, key }, now)
         });
-        Some(Waiting {
+        Some(WaitStatus {
             rank,
             timeliness: turn.timeliness,
-            used: Duration::from_millis(self.usage.used_ms(customer, now.at)),
-            fair: Duration::from_millis(self.usage.fair_ms(now.at)),
-            ready_for: self.waited(&key, now),
+            customer_usage: Duration::from_millis(self.usage.used_ms(customer, now.at)),
+            mean_usage: Duration::from_millis(self.usage.mean_used_ms(now.at)),
+            eligible_for: self.waited(&key, now),
             reason,
         })
     }
@@ -53,7 +53,7 @@
                     return Some((key, None));
                 }
                 if self.planned.contains(&key) {
-                    return Some((key, Some(WaitReason::Start)));
+                    return Some((key, Some(WaitReason::PendingStart)));
                 }
                 if !group.is_done() {
                     return None;
@@ -66,12 +66,12 @@
             step: 0,
         };
         let is_later = job.next_due_unix_ms().is_some_and(|due| due > now.unix_ms);
-        is_later.then_some((next, Some(WaitReason::Time)))
+        is_later.then_some((next, Some(WaitReason::ScheduledTime)))
     }
 
     fn reason_without_room(&self, candidate: &Candidate, now: Now) -> WaitReason {
         if let Some(date) = self.date_of(&candidate.key) {
-            return WaitReason::Date(date - now.at);
+            return WaitReason::ReservedCapacity(date - now.at);
         }
         let width = self.step(&candidate.key).map_or(0, |step| {
             let tasks = if step.gang { step.count } else { 1 };
@@ -82,9 +82,9 @@
             && self.free_accelerators(&mut pass) >= width
             && self.allowance(candidate, &mut pass, now) < width;
         if is_kept {
-            WaitReason::KeptForUrgent
+            WaitReason::UrgentReserve
         } else {
-            WaitReason::Turn
+            WaitReason::Capacity
         }
     }
 }
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::story::KeptStory;
+use super::timeline::StoredTimeline;
 use serde::{Deserialize, Serialize};
 
 use super::{BatchSpec, GroupKey, Incarnation, Queue};
@@ -254,7 +254,7 @@
     pub occurrences: Vec<Vec<GroupProgress>>,
     /// Where its time went until this was written; none where the job has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub story: Option<KeptStory>,
+    pub story: Option<StoredTimeline>,
 }
 
 impl Progress {
--- a/crates/stairstall-core/src/batch/run_time.rs
+++ b/crates/stairstall-core/src/batch/run_time.rs
@@ -10,7 +10,7 @@
 mod kept;
 mod ratios;
 
-pub use kept::KeptRatios;
+pub use kept::StoredRatios;
 pub(in crate::batch) use kept::is_news;
 use ratios::{Curve, Ratios};
 
@@ -30,16 +30,16 @@
     /// What half of the tasks like it take at most.
     pub typical: Duration,
     /// What nearly all of them take at most.
-    pub long: Duration,
+    pub p90: Duration,
 }
 
 impl RunTime {
     /// A time of which nothing but the estimate is known.
     #[must_use]
-    pub const fn estimated(estimate: Duration) -> Self {
+    pub const fn from_estimate(estimate: Duration) -> Self {
         Self {
             typical: estimate,
-            long: estimate,
+            p90: estimate,
         }
     }
 }
@@ -57,9 +57,9 @@
 
 /// What is known of work that has not ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunSoFar {
+pub enum RunTimeObservation {
     /// It takes so long in all, at the pace that it has shown.
-    Shows(Duration),
+    Projected(Duration),
     /// It takes at least so long.
     AtLeast(Duration),
 }
@@ -114,13 +114,18 @@
 
     /// Takes the time that a task, or a gang, took that nothing had disturbed, as it would have
     /// taken at a worker of usual pace near its data.
-    pub fn note(&mut self, work: &EstimatedWork<'_>, took: Duration, at: Timestamp) {
+    pub fn record_completed(&mut self, work: &EstimatedWork<'_>, took: Duration, at: Timestamp) {
         let ratio = ratio(took, work.estimate);
         self.add(work, at, |ended| ended.add_whole(ratio));
     }
 
     /// Takes how far work had come that was stopped for another reason than its own pace.
-    pub fn note_stopped(&mut self, work: &EstimatedWork<'_>, so_far: RunSoFar, at: Timestamp) {
+    pub fn record_stopped(
+        &mut self,
+        work: &EstimatedWork<'_>,
+        so_far: RunTimeObservation,
+        at: Timestamp,
+    ) {
         if self.policy.counts_unfinished {
             self.add(work, at, |ended| ended.add_so_far(so_far, work.estimate));
         }
@@ -128,16 +133,16 @@
 
     /// Tells whether what runs should be looked through.
     #[must_use]
-    pub fn wants_look(&self, at: Timestamp) -> bool {
+    pub fn is_sampling_due(&self, at: Timestamp) -> bool {
         let interval = self.policy.look_interval;
         let is_due = self.looked_at.is_none_or(|last| at - last >= interval);
-        self.is_on() && self.policy.counts_unfinished && is_due
+        self.is_enabled() && self.policy.counts_unfinished && is_due
     }
 
     /// Takes how far everything has come that runs, in place of what was told before.
-    pub fn look_through<'a>(
+    pub fn sample_running<'a>(
         &mut self,
-        running: impl IntoIterator<Item = (EstimatedWork<'a>, RunSoFar)>,
+        running: impl IntoIterator<Item = (EstimatedWork<'a>, RunTimeObservation)>,
         at: Timestamp,
     ) {
         self.looked_at = Some(at);
@@ -154,35 +159,35 @@
 
     /// Returns how long such work should take.
     #[must_use]
-    pub fn of(&self, work: &EstimatedWork<'_>, at: Timestamp) -> RunTime {
-        let known = self.known(work, at);
-        known.unwrap_or_else(|| RunTime::estimated(work.estimate))
+    pub fn run_time(&self, work: &EstimatedWork<'_>, at: Timestamp) -> RunTime {
+        let known = self.learned_run_time(work, at);
+        known.unwrap_or_else(|| RunTime::from_estimate(work.estimate))
     }
 
     /// Returns how long such work should take where enough was seen of it.
     #[must_use]
-    pub fn known(&self, work: &EstimatedWork<'_>, at: Timestamp) -> Option<RunTime> {
-        let queue = self.queues.get(work.queue).filter(|_| self.is_on())?;
+    pub fn learned_run_time(&self, work: &EstimatedWork<'_>, at: Timestamp) -> Option<RunTime> {
+        let queue = self.queues.get(work.queue).filter(|_| self.is_enabled())?;
         let own = work.customer.and_then(|name| queue.by_customer.get(name));
         let of_customer = own.and_then(|seen| seen.known_at(at));
         let known = of_customer.or_else(|| queue.all.known_at(at))?;
         Some(RunTime {
             typical: work.estimate.mul_f64(known.typical),
-            long: work.estimate.mul_f64(known.long),
+            p90: work.estimate.mul_f64(known.long),
         })
     }
 
     /// Tells whether run times are learnt and used.
     #[must_use]
-    pub const fn is_on(&self) -> bool {
+    pub const fn is_enabled(&self) -> bool {
         self.policy.learns
     }
 
     /// Returns what a later planner should know, where most is known first.
     #[must_use]
-    pub fn kept(&self, at: Timestamp) -> Vec<KeptRatios> {
+    pub fn to_stored(&self, at: Timestamp) -> Vec<StoredRatios> {
         let half_life = self.policy.half_life;
-        let mut all: Vec<(f32, KeptRatios)> = self
+        let mut all: Vec<(f32, StoredRatios)> = self
             .queues
             .iter()
             .flat_map(|(name, queue)| {
@@ -193,7 +198,7 @@
             .filter(|(_, _, seen)| seen.known_at(at).is_some())
             .map(|(name, customer, seen)| {
                 let ended = seen.ended_by(at, half_life);
-                let kept = KeptRatios::of(name, customer, &ended);
+                let kept = StoredRatios::of(name, customer, &ended);
                 (ended.known_weight(), kept)
             })
             .collect();
@@ -203,8 +208,8 @@
     }
 
     /// Takes what an earlier planner knew so long ago; what is known here already stands.
-    pub fn restore(&mut self, kept: &[KeptRatios], age: Duration, at: Timestamp) {
-        if !self.is_on() {
+    pub fn restore(&mut self, kept: &[StoredRatios], age: Duration, at: Timestamp) {
+        if !self.is_enabled() {
             return;
         }
         let policy = self.policy;
@@ -239,7 +244,7 @@
     }
 
     fn add(&mut self, work: &EstimatedWork<'_>, at: Timestamp, add: impl Fn(&mut Ratios)) {
-        if !self.is_on() {
+        if !self.is_enabled() {
             return;
         }
         let policy = self.policy;
@@ -380,10 +385,10 @@
 }
 
 impl Ratios {
-    fn add_so_far(&mut self, so_far: RunSoFar, estimate: Duration) {
+    fn add_so_far(&mut self, so_far: RunTimeObservation, estimate: Duration) {
         match so_far {
-            RunSoFar::Shows(whole) => self.add_whole(ratio(whole, estimate)),
-            RunSoFar::AtLeast(least) => self.add_cut(ratio(least, estimate)),
+            RunTimeObservation::Projected(whole) => self.add_whole(ratio(whole, estimate)),
+            RunTimeObservation::AtLeast(least) => self.add_cut(ratio(least, estimate)),
         }
     }
 
--- a/crates/stairstall-core/src/batch/run_time/kept.rs
+++ b/crates/stairstall-core/src/batch/run_time/kept.rs
@@ -13,34 +13,35 @@
 
 /// How the work of one queue, or of one customer of it, took beside its estimates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptRatios {
+pub struct StoredRatios {
     /// The queue's name.
     pub queue: String,
     /// The customer; none for all of the queue.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerId>,
     /// Tenths of runs by range of ratio, of those whose whole time is known.
-    pub whole: Vec<u16>,
+    #[serde(rename = "whole")]
+    pub complete: Vec<u16>,
     /// The same of those that took at least so long.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub cut: Vec<u16>,
+    #[serde(rename = "cut", default, skip_serializing_if = "Vec::is_empty")]
+    pub censored: Vec<u16>,
 }
 
-impl KeptRatios {
+impl StoredRatios {
     pub(super) fn of(queue: &str, customer: Option<&CustomerId>, ratios: &Ratios) -> Self {
         Self {
             queue: queue.to_owned(),
             customer: customer.cloned(),
-            whole: shorten(&ratios.whole),
-            cut: shorten(&ratios.cut),
+            complete: shorten(&ratios.whole),
+            censored: shorten(&ratios.cut),
         }
     }
 
     /// Returns the evidence; ranges that are unknown here say nothing.
     pub(super) fn ratios(&self) -> Ratios {
         Ratios {
-            whole: lengthen(&self.whole),
-            cut: lengthen(&self.cut),
+            whole: lengthen(&self.complete),
+            cut: lengthen(&self.censored),
         }
     }
 
@@ -63,7 +64,7 @@
 }
 
 /// Tells whether a planner that reads `now` would know more than one that reads `then`.
-pub(in crate::batch) fn is_news(now: &[KeptRatios], then: &[KeptRatios]) -> bool {
+pub(in crate::batch) fn is_news(now: &[StoredRatios], then: &[StoredRatios]) -> bool {
     now.iter().any(|kept| {
         let earlier = then.iter().find(|other| other.is_of(kept));
         earlier.is_none_or(|earlier| kept.says_else_than(earlier))
--- a/crates/stairstall-core/src/batch/turn.rs
+++ b/crates/stairstall-core/src/batch/scheduling.rs
@@ -7,8 +7,8 @@
 mod usage;
 mod waiting;
 
-pub use usage::{CustomerUsage, CustomerUse, FleetSize};
-pub use waiting::{WaitReason, Waiting};
+pub use usage::{CustomerUsage, CustomerUsageTotal, FleetCapacity};
+pub use waiting::{WaitReason, WaitStatus};
 
 /// What a start now would still be worth to its caller.
 #[derive(
@@ -39,24 +39,24 @@
 
 /// What decides between steps of one rank: the smaller comes first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Turn {
+pub struct SchedulingKey {
     /// What it would still be worth.
     pub timeliness: Timeliness,
     /// How much its customer has had lately beside its weight; 0 where customers are not compared.
-    pub used: u64,
+    pub usage_level: u64,
     /// Until when it has to start to be worth that, in milliseconds since the Unix epoch.
     pub start_by_unix_ms: u64,
     /// Until when it should be done, in milliseconds since the Unix epoch.
     pub objective_unix_ms: u64,
 }
 
-impl Turn {
+impl SchedulingKey {
     /// The turn of the oldest aged step: nothing that is not urgent comes before it.
     #[must_use]
-    pub const fn of_aged() -> Self {
+    pub const fn aged() -> Self {
         Self {
             timeliness: Timeliness::InTime,
-            used: 0,
+            usage_level: 0,
             start_by_unix_ms: 0,
             objective_unix_ms: 0,
         }
@@ -71,18 +71,18 @@
 
 /// Until when a caller wants a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
+pub struct CompletionObjective {
     /// When it could first be worked on, in milliseconds since the Unix epoch.
-    pub due_unix_ms: u64,
+    pub eligible_unix_ms: u64,
     /// From then to the objective, in milliseconds.
     pub span_ms: u64,
 }
 
-impl Wanted {
+impl CompletionObjective {
     /// Returns the objective, in milliseconds since the Unix epoch.
     #[must_use]
     pub const fn objective_unix_ms(&self) -> u64 {
-        self.due_unix_ms.saturating_add(self.span_ms)
+        self.eligible_unix_ms.saturating_add(self.span_ms)
     }
 
     /// Returns until when a late result is still of use, in milliseconds since the Unix epoch.
@@ -102,12 +102,17 @@
 
     const fn after_spans(&self, spans: u32) -> u64 {
         let wait_ms = self.span_ms.saturating_mul(spans as u64);
-        self.due_unix_ms.saturating_add(wait_ms)
+        self.eligible_unix_ms.saturating_add(wait_ms)
     }
 
     /// Returns the turn of work that still takes `left_ms`, as if it started at `at_unix_ms`.
     #[must_use]
-    pub const fn turn(&self, left_ms: u64, at_unix_ms: u64, policy: &TurnPolicy) -> Turn {
+    pub const fn scheduling_key(
+        &self,
+        left_ms: u64,
+        at_unix_ms: u64,
+        policy: &TurnPolicy,
+    ) -> SchedulingKey {
         let objective_unix_ms = self.objective_unix_ms();
         let late_bound_unix_ms = self.late_bound_unix_ms(policy);
         let ends_unix_ms = at_unix_ms.saturating_add(left_ms);
@@ -119,11 +124,11 @@
                 let start_by = late_bound_unix_ms.saturating_sub(left_ms);
                 (Timeliness::Late, start_by)
             } else {
-                (Timeliness::Overdue, self.due_unix_ms)
+                (Timeliness::Overdue, self.eligible_unix_ms)
             };
-        Turn {
+        SchedulingKey {
             timeliness,
-            used: 0,
+            usage_level: 0,
             start_by_unix_ms,
             objective_unix_ms,
         }
@@ -132,7 +137,7 @@
 
 /// A step that has waited for longer than its caller ever would.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Aged {
+pub struct AgedStep {
     /// Since when, in milliseconds since the Unix epoch; the oldest has its turn first.
     pub since_unix_ms: u64,
     /// The step.
--- a/crates/stairstall-core/src/batch/turn/usage.rs
+++ b/crates/stairstall-core/src/batch/scheduling/usage.rs
@@ -15,13 +15,13 @@
 
 /// What all workers have together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct FleetSize {
+pub struct FleetCapacity {
     cpu_millis: u64,
     memory_mb: u64,
     accelerators: u64,
 }
 
-impl FleetSize {
+impl FleetCapacity {
     /// Adds a worker.
     #[must_use]
     pub const fn plus(self, capacity: &Resources) -> Self {
@@ -35,7 +35,7 @@
     /// Returns the dominant share of `tasks` tasks: the largest of what they take of processors, memory
     /// and accelerators, in millionths of the fleet.
     #[must_use]
-    pub fn share_ppm(&self, room: &Resources, tasks: u64) -> u64 {
+    pub fn dominant_share_ppm(&self, room: &Resources, tasks: u64) -> u64 {
         let share = |need: u32, has: u64| {
             let taken = u64::from(need).saturating_mul(tasks);
             taken
@@ -61,7 +61,7 @@
 
 /// What one customer has used lately and is committed to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CustomerUse {
+pub struct CustomerUsageTotal {
     /// The customer; none for all that is nobody's.
     pub customer: Option<CustomerId>,
     /// As time of the whole fleet, in milliseconds.
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct CustomerUsage {
     policy: TurnPolicy,
-    fleet: FleetSize,
+    fleet: FleetCapacity,
     accounts: BTreeMap<Option<CustomerId>, Account>,
     charged_at: Option<Timestamp>,
 }
@@ -88,9 +88,9 @@
     }
 
     /// Begins a new charge of all that runs; returns for how long it is, or none where it is too soon.
-    pub fn begin_charge(
+    pub fn begin_charge_interval(
         &mut self,
-        fleet: impl FnOnce() -> FleetSize,
+        fleet: impl FnOnce() -> FleetCapacity,
         at: Timestamp,
     ) -> Option<Duration> {
         let held = self
@@ -113,7 +113,7 @@
 
     /// Returns the fleet as it was at the last charge.
     #[must_use]
-    pub const fn fleet(&self) -> &FleetSize {
+    pub const fn fleet(&self) -> &FleetCapacity {
         &self.fleet
     }
 
@@ -133,7 +133,12 @@
     }
 
     /// Adds what work that runs, or is about to, will still take.
-    pub fn commit(&mut self, customer: Option<&CustomerId>, share_ppm: u64, left: Duration) {
+    pub fn add_commitment(
+        &mut self,
+        customer: Option<&CustomerId>,
+        share_ppm: u64,
+        left: Duration,
+    ) {
         if !self.policy.is_fair {
             return;
         }
@@ -154,7 +159,7 @@
     /// Returns in which step of use a customer's next work would be, where `before_ms` of its own
     /// stands before that; 0 where customers are not compared.
     #[must_use]
-    pub fn step(&self, used_ms: u64, before_ms: u64, weight: u32) -> u64 {
+    pub fn usage_level(&self, used_ms: u64, before_ms: u64, weight: u32) -> u64 {
         if !self.policy.is_fair {
             return 0;
         }
@@ -165,13 +170,13 @@
     /// Returns what work would take, in milliseconds of the whole fleet.
     #[must_use]
     pub fn cost_ms(&self, room: &Resources, tasks: u64, takes: Duration) -> u64 {
-        whole(fleet_ms(self.fleet.share_ppm(room, tasks), takes))
+        whole(fleet_ms(self.fleet.dominant_share_ppm(room, tasks), takes))
     }
 
     /// Returns what each customer would have used by now if all had used alike, in milliseconds of
     /// the whole fleet.
     #[must_use]
-    pub fn fair_ms(&self, at: Timestamp) -> u64 {
+    pub fn mean_used_ms(&self, at: Timestamp) -> u64 {
         let customers = self.accounts.keys();
         let sum: u64 = customers
             .map(|customer| self.used_ms(customer.as_ref(), at))
@@ -181,10 +186,10 @@
 
     /// Returns the customers that have used most, the first of them first.
     #[must_use]
-    pub fn most_used(&self, most: usize, at: Timestamp) -> Vec<CustomerUse> {
+    pub fn top_customers(&self, most: usize, at: Timestamp) -> Vec<CustomerUsageTotal> {
         let customers = self.accounts.keys().cloned();
-        let mut uses: Vec<CustomerUse> = customers
-            .map(|customer| CustomerUse {
+        let mut uses: Vec<CustomerUsageTotal> = customers
+            .map(|customer| CustomerUsageTotal {
                 used_ms: self.used_ms(customer.as_ref(), at),
                 customer,
             })
--- a/crates/stairstall-core/src/batch/turn/waiting.rs
+++ b/crates/stairstall-core/src/batch/scheduling/waiting.rs
@@ -8,17 +8,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
     /// Its time has not come.
-    Time,
+    ScheduledTime,
     /// An earlier step of its own.
     EarlierStep,
     /// Room: others come before it.
-    Turn,
+    Capacity,
     /// Room that is kept for it, expected to be free after so long.
-    Date(Duration),
+    ReservedCapacity(Duration),
     /// Room that is kept for urgent work.
-    KeptForUrgent,
+    UrgentReserve,
     /// Its places are kept; what they still hold is being stopped, or the record is being written.
-    Start,
+    PendingStart,
 }
 
 impl WaitReason {
@@ -26,29 +26,29 @@
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Time => "its time",
+            Self::ScheduledTime => "its time",
             Self::EarlierStep => "an earlier step",
-            Self::Turn => "room, behind others",
-            Self::Date(_) => "room that is kept for it",
-            Self::KeptForUrgent => "room that is kept for urgent work",
-            Self::Start => "its start",
+            Self::Capacity => "room, behind others",
+            Self::ReservedCapacity(_) => "room that is kept for it",
+            Self::UrgentReserve => "room that is kept for urgent work",
+            Self::PendingStart => "its start",
         }
     }
 }
 
 /// Where a waiting job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waiting {
+pub struct WaitStatus {
     /// 0 for a claim on its customer's own share, 1 for other urgent work, then by priority.
     pub rank: u8,
     /// What a start now would still be worth.
     pub timeliness: Timeliness,
     /// What its customer has used lately and is committed to, as time of the whole fleet.
-    pub used: Duration,
+    pub customer_usage: Duration,
     /// What each customer would have used if all had used alike.
-    pub fair: Duration,
+    pub mean_usage: Duration,
     /// For how long it could have started.
-    pub ready_for: Duration,
+    pub eligible_for: Duration,
     /// What it waits for.
     pub reason: WaitReason,
 }
--- a/crates/stairstall-core/src/batch/story.rs
+++ b/crates/stairstall-core/src/batch/timeline.rs
@@ -13,54 +13,63 @@
 /// What a job spent time on. Where its tasks are at different points, the least advanced counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Span {
+pub enum JobPhase {
     /// From its acceptance until the planner knew of it, by the time of day.
-    Known,
+    #[serde(rename = "known")]
+    Accepted,
     /// A task had no place.
-    Room,
+    #[serde(rename = "room")]
+    WaitingForCapacity,
     /// A task had a place whose room others still had.
-    Stops,
+    #[serde(rename = "stops")]
+    WaitingForPreemption,
     /// A task's place was not yet written down.
-    Record,
+    #[serde(rename = "record")]
+    RecordingPlacement,
     /// A start was sent and not yet answered.
-    Start,
+    #[serde(rename = "start")]
+    Starting,
     /// Everything ran, for the first time.
-    Run,
+    #[serde(rename = "run")]
+    Running,
     /// Everything ran, after a setback.
-    Rerun,
+    #[serde(rename = "rerun")]
+    Rerunning,
     /// A worker that had a run of it did not answer.
-    Silent,
+    #[serde(rename = "silent")]
+    WorkerSilent,
     /// It had ended, and that was not yet written down.
-    Write,
+    #[serde(rename = "write")]
+    RecordingOutcome,
 }
 
-impl Span {
+impl JobPhase {
     /// All of them, in the order of a job's life.
     pub const ALL: [Self; 9] = [
-        Self::Known,
-        Self::Room,
-        Self::Stops,
-        Self::Record,
-        Self::Start,
-        Self::Run,
-        Self::Rerun,
-        Self::Silent,
-        Self::Write,
+        Self::Accepted,
+        Self::WaitingForCapacity,
+        Self::WaitingForPreemption,
+        Self::RecordingPlacement,
+        Self::Starting,
+        Self::Running,
+        Self::Rerunning,
+        Self::WorkerSilent,
+        Self::RecordingOutcome,
     ];
 
     /// Returns the word used in logs and figures.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Known => "known",
-            Self::Room => "room",
-            Self::Stops => "stops",
-            Self::Record => "record",
-            Self::Start => "start",
-            Self::Run => "run",
-            Self::Rerun => "rerun",
-            Self::Silent => "silent",
-            Self::Write => "write",
+            Self::Accepted => "known",
+            Self::WaitingForCapacity => "room",
+            Self::WaitingForPreemption => "stops",
+            Self::RecordingPlacement => "record",
+            Self::Starting => "start",
+            Self::Running => "run",
+            Self::Rerunning => "rerun",
+            Self::WorkerSilent => "silent",
+            Self::RecordingOutcome => "write",
         }
     }
 }
@@ -74,7 +83,8 @@
     /// A run lapsed, or was lost with its worker.
     Lost,
     /// A run gave way to work of a higher rank.
-    GaveWay,
+    #[serde(rename = "gave-way")]
+    Preempted,
     /// A run stood still or was slow.
     Stalled,
     /// A run's worker left.
@@ -82,7 +92,8 @@
     /// A start was refused or not answered.
     NotStarted,
     /// A place was given up before its room was free.
-    PlaceGivenUp,
+    #[serde(rename = "place-given-up")]
+    PlacementAbandoned,
 }
 
 impl Setback {
@@ -92,11 +103,11 @@
         match self {
             Self::Failed => "failed",
             Self::Lost => "lost",
-            Self::GaveWay => "gave-way",
+            Self::Preempted => "gave-way",
             Self::Stalled => "stalled",
             Self::WorkerLeft => "worker-left",
             Self::NotStarted => "not-started",
-            Self::PlaceGivenUp => "place-given-up",
+            Self::PlacementAbandoned => "place-given-up",
         }
     }
 }
@@ -134,13 +145,17 @@
 
 /// A job's time so far as it is written down, so that a later planner can go on with it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptStory {
+pub struct StoredTimeline {
     /// What time was spent on, in milliseconds.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub spans_ms: BTreeMap<Span, u64>,
+    #[serde(
+        rename = "spans_ms",
+        default,
+        skip_serializing_if = "BTreeMap::is_empty"
+    )]
+    pub phases_ms: BTreeMap<JobPhase, u64>,
     /// What it spent time on when this was written.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub span: Option<Span>,
+    #[serde(rename = "span", default, skip_serializing_if = "Option::is_none")]
+    pub phase: Option<JobPhase>,
     /// When this was written, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
     /// Time that everything ran since the last setback, in milliseconds.
@@ -156,9 +171,9 @@
 
 /// A job's time so far.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Story {
-    now_at: Option<(Span, Timestamp)>,
-    spans: BTreeMap<Span, Duration>,
+pub(super) struct JobTimeline {
+    now_at: Option<(JobPhase, Timestamp)>,
+    spans: BTreeMap<JobPhase, Duration>,
     /// Time that everything ran since the last setback.
     work: Duration,
     /// Whether there was a setback in the present span, whose work does not count.
@@ -170,41 +185,41 @@
     is_told: bool,
 }
 
-impl Story {
-    pub(super) fn add(&mut self, span: Span, spent: Duration) {
+impl JobTimeline {
+    pub(super) fn add_time(&mut self, span: JobPhase, spent: Duration) {
         *self.spans.entry(span).or_default() += spent;
         let is_void = std::mem::take(&mut self.is_void);
-        if matches!(span, Span::Run | Span::Rerun) && !is_void {
+        if matches!(span, JobPhase::Running | JobPhase::Rerunning) && !is_void {
             self.work += spent;
         }
     }
 
     /// Counts a setback: what ran has to run again.
-    pub(super) fn set_back(&mut self, setback: Setback) {
+    pub(super) fn record_setback(&mut self, setback: Setback) {
         self.setbacks.note(setback);
         self.work = Duration::ZERO;
         self.is_void = self.now_at.is_some();
     }
 
     /// Goes on to a span; none where nothing is to be waited for.
-    pub(super) fn enter(&mut self, span: Option<Span>, at: Timestamp) {
+    pub(super) fn enter_phase(&mut self, span: Option<JobPhase>, at: Timestamp) {
         if let Some((before, since)) = self.now_at {
             if span == Some(before) {
                 return;
             }
-            self.add(before, at - since);
+            self.add_time(before, at - since);
         }
         self.now_at = span.map(|span| (span, at));
     }
 
     /// Returns what is written down of it.
-    pub(super) fn keep(&self, now: Now) -> KeptStory {
+    pub(super) fn to_stored(&self, now: Now) -> StoredTimeline {
         let mut whole = self.clone();
-        whole.enter(None, now.at);
+        whole.enter_phase(None, now.at);
         let spans = whole.spans.iter();
-        KeptStory {
-            spans_ms: spans.map(|(span, spent)| (*span, millis(*spent))).collect(),
-            span: self.now_at.map(|(span, _)| span),
+        StoredTimeline {
+            phases_ms: spans.map(|(span, spent)| (*span, millis(*spent))).collect(),
+            phase: self.now_at.map(|(span, _)| span),
             at_unix_ms: now.unix_ms,
             work_ms: millis(whole.work),
             starts: self.starts,
@@ -214,8 +229,8 @@
 
     /// Goes on with what an earlier planner wrote down. A place is written before it is used, so
     /// that with places the time since then counts as running, else as more of the same.
-    pub(super) fn restore(kept: &KeptStory, has_places: bool, now: Now) -> Self {
-        let spans = kept.spans_ms.iter();
+    pub(super) fn restore(kept: &StoredTimeline, has_places: bool, now: Now) -> Self {
+        let spans = kept.phases_ms.iter();
         let mut story = Self {
             now_at: None,
             spans: spans
@@ -229,33 +244,33 @@
             is_told: false,
         };
         let span = if has_places {
-            Some(story.running())
+            Some(story.running_phase())
         } else {
-            kept.span
+            kept.phase
         };
         if let Some(span) = span {
             let since = now.unix_ms.saturating_sub(kept.at_unix_ms);
-            story.add(span, Duration::from_millis(since));
+            story.add_time(span, Duration::from_millis(since));
             story.now_at = Some((span, now.at));
         }
         story
     }
 
     /// Returns the span that a job is in whose tasks all run.
-    pub(super) fn running(&self) -> Span {
+    pub(super) fn running_phase(&self) -> JobPhase {
         if self.setbacks.is_empty() {
-            Span::Run
+            JobPhase::Running
         } else {
-            Span::Rerun
+            JobPhase::Rerunning
         }
     }
 
     /// Tells, once, that the story is over.
-    pub(super) const fn tell(&mut self) -> bool {
+    pub(super) const fn mark_reported(&mut self) -> bool {
         !std::mem::replace(&mut self.is_told, true)
     }
 
-    pub(super) fn spans(&self) -> BTreeMap<Span, Duration> {
+    pub(super) fn phases(&self) -> BTreeMap<JobPhase, Duration> {
         self.spans.clone()
     }
 
@@ -285,15 +300,15 @@
     /// How it ended.
     pub outcome: Outcome,
     /// From its acceptance until its end was written down, by the time of day.
-    pub whole: Duration,
+    pub total: Duration,
     /// Time that everything ran after the last setback: the work as it turned out.
     pub work: Duration,
     /// The longest chain of its steps, as its caller estimates it.
     pub estimate: Duration,
     /// Within what time of its acceptance it should have been shown, by that work.
-    pub aim: Duration,
+    pub target: Duration,
     /// What it was spent on, as far as this planner saw it.
-    pub spans: BTreeMap<Span, Duration>,
+    pub phases: BTreeMap<JobPhase, Duration>,
     /// Starts that were sent.
     pub starts: u32,
     /// What went wrong on the way.
@@ -306,8 +321,8 @@
 impl JobSummary {
     /// Returns the time spent on something, in milliseconds.
     #[must_use]
-    pub fn millis(&self, span: Span) -> u64 {
-        let spent = self.spans.get(&span).copied().unwrap_or_default();
+    pub fn phase_ms(&self, span: JobPhase) -> u64 {
+        let spent = self.phases.get(&span).copied().unwrap_or_default();
         millis(spent)
     }
 }
--- a/crates/stairstall-core/src/batch/worker_pace.rs
+++ b/crates/stairstall-core/src/batch/worker_pace.rs
@@ -14,7 +14,7 @@
 
 use estimate::{Estimate, Sample, UNKNOWN_VARIANCE, percent};
 use level::{Level, Levels};
-pub use level::{RunShown, Stretch};
+pub use level::{ProgressSample, RunProgress};
 
 /// Workers that are known at most; others are of usual pace.
 const MOST_WORKERS: usize = 4_096;
@@ -56,7 +56,7 @@
         clippy::cast_precision_loss,
         reason = "milliseconds of work are far below 2^52"
     )]
-    pub fn stretch_ms(&self, usual_ms: u64) -> u64 {
+    pub fn scale_ms(&self, usual_ms: u64) -> u64 {
         (usual_ms as f64 * self.factor) as u64
     }
 
@@ -69,7 +69,7 @@
     /// Tells whether it is known to differ from the usual pace.
     #[must_use]
     #[allow(clippy::float_cmp, reason = "it is exactly 1 where nothing is known")]
-    pub fn differs(&self) -> bool {
+    pub fn differs_from_typical(&self) -> bool {
         self.factor != 1.0
     }
 }
@@ -82,7 +82,7 @@
 
 /// What is written down of a worker's pace, for a planner that follows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptPace {
+pub struct StoredPace {
     /// Which worker.
     pub worker: WorkerId,
     /// How long work takes there, in percent of the usual time.
@@ -103,7 +103,7 @@
     /// Workers that are surely faster than usual.
     pub fast: usize,
     /// Whether so many differ that places are chosen by it.
-    pub is_uneven: bool,
+    pub is_heterogeneous: bool,
 }
 
 /// What is known of the pace of all workers.
@@ -129,8 +129,8 @@
 
     /// Returns the pace of a worker as far as it is known.
     #[must_use]
-    pub fn of(&self, worker: &WorkerId, at: Timestamp) -> WorkerPace {
-        let Some(estimate) = self.workers.get(worker).filter(|_| self.is_on()) else {
+    pub fn pace(&self, worker: &WorkerId, at: Timestamp) -> WorkerPace {
+        let Some(estimate) = self.workers.get(worker).filter(|_| self.is_enabled()) else {
             return WorkerPace::UNKNOWN;
         };
         WorkerPace {
@@ -143,13 +143,13 @@
     ///
     /// All that get on are to be named, also those of which nothing is new: they tell how long the
     /// step's work takes.
-    pub fn learn_from_step(&mut self, step: &GroupKey, runs: &[RunShown<'_>], at: Timestamp) {
-        if !self.is_on() {
+    pub fn learn_from_step(&mut self, step: &GroupKey, runs: &[RunProgress<'_>], at: Timestamp) {
+        if !self.is_enabled() {
             return;
         }
         let level = self.level_of(step, runs, at);
         for run in runs {
-            let Some(stretch) = run.stretch else {
+            let Some(stretch) = run.sample else {
                 continue;
             };
             if self.is_nonsense(&stretch) {
@@ -157,7 +157,7 @@
             }
             match level {
                 Some(level) => self.learn(run.worker, &stretch.beside(&level, &self.policy), at),
-                None => self.learn_beside(run.worker, &stretch, run.usual, at),
+                None => self.learn_beside(run.worker, &stretch, run.expected, at),
             }
         }
     }
@@ -166,11 +166,11 @@
     pub fn learn_from_gang(
         &mut self,
         members: &[&WorkerId],
-        stretch: &Stretch,
+        stretch: &ProgressSample,
         usual: Duration,
         at: Timestamp,
     ) {
-        if !self.is_on() || self.is_nonsense(stretch) || usual.is_zero() {
+        if !self.is_enabled() || self.is_nonsense(stretch) || usual.is_zero() {
             return;
         }
         let sample = sample_beside(stretch, usual);
@@ -207,8 +207,8 @@
     }
 
     /// Draws what counts as usual to the median, and counts what is known.
-    pub fn settle(&mut self, at: Timestamp) {
-        if !self.is_on() || self.workers.is_empty() {
+    pub fn recenter(&mut self, at: Timestamp) {
+        if !self.is_enabled() || self.workers.is_empty() {
             return;
         }
         self.levels.forget_old(at);
@@ -244,12 +244,12 @@
         };
         let least = summary.known * usize::from(self.policy.uneven_percent) / 100;
         // Not to go to and fro at the threshold.
-        let least = if self.summary.is_uneven {
+        let least = if self.summary.is_heterogeneous {
             least / 2
         } else {
             least
         };
-        summary.is_uneven = differ >= least.max(LEAST_UNEVEN);
+        summary.is_heterogeneous = differ >= least.max(LEAST_UNEVEN);
         summary
     }
 
@@ -261,8 +261,8 @@
 
     /// Tells whether workers are seen to be so unlike that places are to be chosen by it.
     #[must_use]
-    pub const fn is_uneven(&self) -> bool {
-        self.policy.learns && self.summary.is_uneven
+    pub const fn is_heterogeneous(&self) -> bool {
+        self.policy.learns && self.summary.is_heterogeneous
     }
 
     /// Returns the policy.
@@ -274,11 +274,12 @@
     /// Returns what a planner that follows should know: the workers that surely differ, then those
     /// that are surely usual, as many as may be written down.
     #[must_use]
-    pub fn kept(&self, at: Timestamp) -> Vec<KeptPace> {
+    pub fn to_stored(&self, at: Timestamp) -> Vec<StoredPace> {
         let policy = &self.policy;
         let known = self.workers.iter();
-        let known = known.filter(|(_, estimate)| self.is_on() && estimate.is_known(at, policy));
-        let mut kept: Vec<(bool, KeptPace)> = known
+        let known =
+            known.filter(|(_, estimate)| self.is_enabled() && estimate.is_known(at, policy));
+        let mut kept: Vec<(bool, StoredPace)> = known
             .map(|(id, estimate)| {
                 let is_usual = estimate.differing(at, policy).is_none();
                 (is_usual, estimate.kept(id, at, policy))
@@ -291,8 +292,8 @@
 
     /// Takes what an earlier planner wrote down so long ago. What this one has seen itself stands; nonsense
     /// is left out.
-    pub fn restore(&mut self, kept: Vec<KeptPace>, age: Duration, at: Timestamp) {
-        if !self.is_on() {
+    pub fn restore(&mut self, kept: Vec<StoredPace>, age: Duration, at: Timestamp) {
+        if !self.is_enabled() {
             return;
         }
         for pace in kept.into_iter().take(MOST_KEPT) {
@@ -307,7 +308,7 @@
     }
 
     /// Takes word that another life of a worker has begun.
-    pub fn begin_life(&mut self, worker: &WorkerId, at: Timestamp) {
+    pub fn record_restart(&mut self, worker: &WorkerId, at: Timestamp) {
         if let Some(estimate) = self.workers.get_mut(worker) {
             estimate.begin_life(at, &self.policy);
         }
@@ -320,12 +321,17 @@
 
     /// Tells whether paces are learnt and used.
     #[must_use]
-    pub const fn is_on(&self) -> bool {
+    pub const fn is_enabled(&self) -> bool {
         self.policy.learns
     }
 
     /// Returns the level of a step's work as far as its runs, or those that were seen before, tell.
-    fn level_of(&mut self, step: &GroupKey, runs: &[RunShown<'_>], at: Timestamp) -> Option<Level> {
+    fn level_of(
+        &mut self,
+        step: &GroupKey,
+        runs: &[RunProgress<'_>],
+        at: Timestamp,
+    ) -> Option<Level> {
         let parts = runs.iter().filter_map(|run| {
             let known = self.workers.get(run.worker);
             let ln = known.map_or(0.0, Estimate::ln);
@@ -340,7 +346,7 @@
     fn learn_beside(
         &mut self,
         worker: &WorkerId,
-        stretch: &Stretch,
+        stretch: &ProgressSample,
         usual: Duration,
         at: Timestamp,
     ) {
@@ -360,7 +366,7 @@
         }
     }
 
-    fn is_nonsense(&mut self, stretch: &Stretch) -> bool {
+    fn is_nonsense(&mut self, stretch: &ProgressSample) -> bool {
         let is_nonsense = !stretch.is_sound();
         if is_nonsense && !std::mem::replace(&mut self.has_complained, true) {
             log::debug!(target: "planner", "a run told no sound progress; nothing is learnt from such");
@@ -370,10 +376,10 @@
 }
 
 /// What a stretch says beside a time that is known roughly.
-fn sample_beside(stretch: &Stretch, usual: Duration) -> Sample {
+fn sample_beside(stretch: &ProgressSample, usual: Duration) -> Sample {
     Sample {
-        ln: stretch.span.as_secs_f64().ln() - usual.as_secs_f64().ln(),
-        variance: REFERENCE_VARIANCE / stretch.share,
+        ln: stretch.projected_total.as_secs_f64().ln() - usual.as_secs_f64().ln(),
+        variance: REFERENCE_VARIANCE / stretch.fraction,
         floor: REFERENCE_FLOOR,
         run: stretch.run,
     }
--- a/crates/stairstall-core/src/batch/worker_pace/estimate.rs
+++ b/crates/stairstall-core/src/batch/worker_pace/estimate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{KeptPace, WorkerPacePolicy};
+use super::{StoredPace, WorkerPacePolicy};
 use crate::{Timestamp, WorkerId};
 
 /// Variance of the logarithm of a worker's pace before anything is known: half to twice is common.
@@ -145,8 +145,13 @@
     }
 
     /// Returns it as it is written down.
-    pub(super) fn kept(&self, id: &WorkerId, at: Timestamp, policy: &WorkerPacePolicy) -> KeptPace {
-        KeptPace {
+    pub(super) fn kept(
+        &self,
+        id: &WorkerId,
+        at: Timestamp,
+        policy: &WorkerPacePolicy,
+    ) -> StoredPace {
+        StoredPace {
             worker: id.clone(),
             factor_percent: as_percent(self.ln().exp()),
             spread_percent: as_percent(self.variance(at, policy).sqrt()),
@@ -156,7 +161,7 @@
 
     /// Reads it from what was written down.
     pub(super) fn restored(
-        kept: &KeptPace,
+        kept: &StoredPace,
         age: Duration,
         at: Timestamp,
         policy: &WorkerPacePolicy,
--- a/crates/stairstall-core/src/batch/worker_pace/level.rs
+++ b/crates/stairstall-core/src/batch/worker_pace/level.rs
@@ -22,48 +22,48 @@
 
 /// What a run has shown since it was last learnt from.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stretch {
+pub struct ProgressSample {
     /// Tells runs apart.
     pub run: u64,
     /// How long the whole work takes at the pace that was shown, near its data.
-    pub span: Duration,
+    pub projected_total: Duration,
     /// Which part of the work this tells of, from 0 to 1.
-    pub share: f64,
+    pub fraction: f64,
 }
 
-impl Stretch {
+impl ProgressSample {
     /// Creates it from what was gained, in percent of the work, and the time that this took; none
     /// where that says nothing.
     #[must_use]
-    pub fn of(run: u64, gained_percent: u8, took: Duration) -> Option<Self> {
+    pub fn new(run: u64, gained_percent: u8, took: Duration) -> Option<Self> {
         let is_told = (1..=100).contains(&gained_percent) && !took.is_zero();
         is_told.then(|| Self {
             run,
-            span: took * 100 / u32::from(gained_percent),
-            share: f64::from(gained_percent) / 100.0,
+            projected_total: took * 100 / u32::from(gained_percent),
+            fraction: f64::from(gained_percent) / 100.0,
         })
     }
 
     /// Returns it as it would be near the data of work that takes so many times as long here.
     #[must_use]
-    pub fn near(self, slowdown: u32) -> Self {
+    pub fn without_remote_slowdown(self, slowdown: u32) -> Self {
         Self {
-            span: self.span / slowdown.max(1),
+            projected_total: self.projected_total / slowdown.max(1),
             ..self
         }
     }
 
     pub(super) fn is_sound(&self) -> bool {
-        let has_share = self.share > 0.0 && self.share <= 1.0;
-        has_share && !self.span.is_zero()
+        let has_share = self.fraction > 0.0 && self.fraction <= 1.0;
+        has_share && !self.projected_total.is_zero()
     }
 
     /// Returns what it says of its worker beside the level of its step.
     pub(super) fn beside(&self, level: &Level, policy: &WorkerPacePolicy) -> Sample {
         let spread = percent(policy.task_spread_percent);
         Sample {
-            ln: self.span.as_secs_f64().ln() - level.ln,
-            variance: spread * spread / self.share + level.variance,
+            ln: self.projected_total.as_secs_f64().ln() - level.ln,
+            variance: spread * spread / self.fraction + level.variance,
             floor: level.variance,
             run: self.run,
         }
@@ -72,16 +72,16 @@
 
 /// How a run gets on, beside others of its step.
 #[derive(Debug, Clone, Copy)]
-pub struct RunShown<'a> {
+pub struct RunProgress<'a> {
     /// Where it runs.
     pub worker: &'a WorkerId,
     /// How long the whole work takes at the pace that it has shown from its beginning, near its
     /// data; none where it has shown too little.
-    pub whole: Option<Duration>,
+    pub projected_total: Option<Duration>,
     /// What is new of it.
-    pub stretch: Option<Stretch>,
+    pub sample: Option<ProgressSample>,
     /// How long work like it should take, which is known roughly.
-    pub usual: Duration,
+    pub expected: Duration,
 }
 
 /// What one run says of its step's level.
@@ -92,10 +92,10 @@
     variance: f64,
 }
 
-impl<'a> RunShown<'a> {
+impl<'a> RunProgress<'a> {
     /// Returns what it says of the level, at a worker of such a pace.
     pub(super) fn part(&self, ln_pace: f64, variance: f64) -> Option<Part<'a>> {
-        let whole = self.whole.filter(|whole| !whole.is_zero())?;
+        let whole = self.projected_total.filter(|whole| !whole.is_zero())?;
         Some(Part {
             worker: self.worker,
             ln: whole.as_secs_f64().ln() - ln_pace,
--- a/crates/stairstall-core/tests/batch/explain.rs
+++ b/crates/stairstall-core/tests/batch/explain.rs
@@ -1,6 +1,6 @@
 //! Where a job stands, as an operator is told.
 
-use stairstall_core::batch::{CallerState, Span};
+use stairstall_core::batch::{CallerState, JobPhase};
 
 use crate::harness::{Fleet, gang, id, job, step};
 
@@ -21,13 +21,13 @@
         panic!("one step is open: {:?}", waits.steps);
     };
     assert_eq!((step.waiting, step.tasks, step.done), (3, 3, 0));
-    assert_eq!(step.on, Span::Room);
-    assert_eq!(step.behind, 1, "the step of the other waiting job");
+    assert_eq!(step.phase, JobPhase::WaitingForCapacity);
+    assert_eq!(step.steps_ahead, 1, "the step of the other waiting job");
     assert!(step.waited_ms >= 700, "{} ms", step.waited_ms);
-    assert!(waits.spent_ms[&Span::Room] >= 700);
-    let wait = waits.waits.expect("something of it waits");
+    assert!(waits.spent_ms[&JobPhase::WaitingForCapacity] >= 700);
+    let wait = waits.wait.expect("something of it waits");
     assert_eq!((wait.rank, wait.room_in_ms), (3, None));
-    assert_eq!(wait.on, "room, behind others");
+    assert_eq!(wait.reason, "room, behind others");
 }
 
 #[test]
@@ -39,9 +39,9 @@
     let runs = fleet.planner.explain(&id("gang"), now);
     let runs = runs.expect("it is known");
     assert_eq!(runs.steps.len(), 1);
-    assert_eq!((runs.steps[0].waiting, runs.steps[0].behind), (0, 0));
+    assert_eq!((runs.steps[0].waiting, runs.steps[0].steps_ahead), (0, 0));
     assert!(runs.setbacks.is_empty());
-    assert_eq!(runs.waits, None);
+    assert_eq!(runs.wait, None);
 }
 
 #[test]
--- a/crates/stairstall-core/tests/batch/paces.rs
+++ b/crates/stairstall-core/tests/batch/paces.rs
@@ -11,8 +11,8 @@
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::WorkerId;
 use stairstall_core::batch::{
-    AcceptedJob, DecisionKind, EndKind, KeptPace, Learnt, Now, OrderKind, Policy, StepSpec,
-    TaskKey, WorkerPacePolicy,
+    AcceptedJob, DecisionKind, EndKind, LearnedEstimates, Now, OrderKind, Policy, StepSpec,
+    StoredPace, TaskKey, WorkerPacePolicy,
 };
 
 use crate::harness::{FakeWorker, Fleet, SPAN_MS, gang, job, step, task};
@@ -48,8 +48,8 @@
     orders.filter(|order| order.kind == OrderKind::Stop).count()
 }
 
-fn kept(name: &str, factor_percent: u16) -> KeptPace {
-    KeptPace {
+fn kept(name: &str, factor_percent: u16) -> StoredPace {
+    StoredPace {
         worker: id(name),
         factor_percent,
         spread_percent: 10,
@@ -58,11 +58,11 @@
 }
 
 /// Tells the planner what one before it knew of paces a moment ago.
-fn restore(fleet: &mut Fleet, paces: Vec<KeptPace>, now: Now) {
-    let learnt = Learnt {
+fn restore(fleet: &mut Fleet, paces: Vec<StoredPace>, now: Now) {
+    let learnt = LearnedEstimates {
         at_unix_ms: now.unix_ms,
         paces,
-        ..Learnt::default()
+        ..LearnedEstimates::default()
     };
     fleet.planner.take_learnt(learnt, now);
 }
@@ -198,7 +198,7 @@
     for (percent, moves) in [(SLOW_PERCENT, 0), (100, 1)] {
         let mut fleet = fleet_of(8);
         let now = fleet.now();
-        let mut paces: Vec<KeptPace> = names(8).iter().map(|w| kept(&w.0, 100)).collect();
+        let mut paces: Vec<StoredPace> = names(8).iter().map(|w| kept(&w.0, 100)).collect();
         for pace in &mut paces[..3] {
             pace.factor_percent = percent;
         }
@@ -472,7 +472,7 @@
     fleet.keeps_ids = true;
     fleet.crash_for(&id("w05"), 700);
     fleet.pass(1_200);
-    let slow = fleet.planner.paces().of(&id("w05"), fleet.now().at);
+    let slow = fleet.planner.paces().pace(&id("w05"), fleet.now().at);
     assert!(slow.is_slow());
     fleet.submit(urgent("j", 4));
     assert_eq!(places(&fleet, "j", 4), ["w00", "w01", "w02", "w03"]);
@@ -483,7 +483,7 @@
     let mut play = Play::new(true, true, 12);
     play.pass(15);
     let now = play.fleet.now();
-    let kept = play.fleet.planner.paces().kept(now.at);
+    let kept = play.fleet.planner.paces().to_stored(now.at);
     assert!(kept.iter().filter(|pace| pace.factor_percent > 150).count() >= 4);
     let jobs = play.jobs.clone();
     play.fleet.succeed(&jobs);
--- a/crates/stairstall-core/tests/batch/run_times.rs
+++ b/crates/stairstall-core/tests/batch/run_times.rs
@@ -1,7 +1,7 @@
 //! Run times that are learnt from what runs and ends, under loads whose estimates are off.
 
 use stairstall_core::batch::{
-    AcceptedJob, EndKind, Learnt, Policy, RunTimePolicy, StepSpec, TaskKey,
+    AcceptedJob, EndKind, LearnedEstimates, Policy, RunTimePolicy, StepSpec, TaskKey,
 };
 
 use crate::harness::{Fleet, START_UNIX_MS, bounds, catalog, gang, job, step, task};
@@ -51,13 +51,13 @@
 
 /// Returns what the planner has learnt of the queue of a priority: the middle of the weights of all
 /// that ended, as a ratio.
-fn learnt_middle(learnt: &Learnt, priority: u8) -> Option<f64> {
+fn learnt_middle(learnt: &LearnedEstimates, priority: u8) -> Option<f64> {
     let name = format!("q{priority}");
     let mut all = learnt.run_times.iter();
     let kept = all.find(|kept| kept.queue == name && kept.customer.is_none())?;
-    let whole: f64 = kept.whole.iter().map(|weight| f64::from(*weight)).sum();
+    let whole: f64 = kept.complete.iter().map(|weight| f64::from(*weight)).sum();
     let mut sum = 0.0;
-    for (bin, weight) in (0_u16..).zip(&kept.whole) {
+    for (bin, weight) in (0_u16..).zip(&kept.complete) {
         sum += f64::from(*weight);
         if sum >= whole / 2.0 {
             return Some(((f64::from(bin) - 16.0) / 4.0).exp2());
@@ -66,7 +66,7 @@
     None
 }
 
-fn learnt(fleet: &Fleet) -> Learnt {
+fn learnt(fleet: &Fleet) -> LearnedEstimates {
     fleet.planner.learnt(fleet.now())
 }
 
@@ -77,7 +77,7 @@
     let mut all = learnt.run_times.iter();
     let kept = all.find(|kept| kept.queue == name && kept.customer.is_none());
     kept.map_or(0, |kept| {
-        let tenths: u32 = kept.whole.iter().map(|weight| u32::from(*weight)).sum();
+        let tenths: u32 = kept.complete.iter().map(|weight| u32::from(*weight)).sum();
         tenths / 10
     })
 }
@@ -245,7 +245,7 @@
     next.set_catalog(std::sync::Arc::new(catalog(0)));
     let now = fleet.now();
     if with_record {
-        let read: Learnt = serde_json::from_str(&record).expect("it can be read");
+        let read: LearnedEstimates = serde_json::from_str(&record).expect("it can be read");
         next.take_learnt(read, now);
     }
     for listed in fleet.listed.values() {
@@ -274,9 +274,12 @@
     let mut fleet = fleet(&RACK, true);
     run_singles(&mut fleet, &[4_000; 40]);
     let first = learnt(&fleet);
-    assert!(first.is_news_after(&Learnt::default()));
+    assert!(first.differs_significantly_from(&LearnedEstimates::default()));
     run_singles(&mut fleet, &[4_100; 5]);
-    assert!(!learnt(&fleet).is_news_after(&first), "about the same");
+    assert!(
+        !learnt(&fleet).differs_significantly_from(&first),
+        "about the same"
+    );
     run_singles(&mut fleet, &[9_000; 40]);
-    assert!(learnt(&fleet).is_news_after(&first));
+    assert!(learnt(&fleet).differs_significantly_from(&first));
 }
--- a/crates/stairstall-core/tests/batch/story.rs
+++ b/crates/stairstall-core/tests/batch/story.rs
@@ -1,6 +1,6 @@
 //! The account of where a job's time went.
 
-use stairstall_core::batch::{EndKind, JobSummary, Outcome, Setback, Setbacks, Span};
+use stairstall_core::batch::{EndKind, JobPhase, JobSummary, Outcome, Setback, Setbacks};
 
 use crate::harness::{Fleet, gang, job, step, task};
 
@@ -25,9 +25,9 @@
     assert_eq!(summary.starts, 1);
     assert!(summary.setbacks.is_empty());
     assert!(!summary.taken_over);
-    assert!(summary.millis(Span::Run) >= 900, "{summary:?}");
-    assert_eq!(summary.millis(Span::Rerun), 0);
-    assert_eq!(summary.millis(Span::Room), 0);
+    assert!(summary.phase_ms(JobPhase::Running) >= 900, "{summary:?}");
+    assert_eq!(summary.phase_ms(JobPhase::Rerunning), 0);
+    assert_eq!(summary.phase_ms(JobPhase::WaitingForCapacity), 0);
     fleet.pass(500);
     assert!(told(&mut fleet).is_empty(), "it is told once");
 }
@@ -65,11 +65,17 @@
         .iter()
         .find(|summary| summary.job.as_str() == "second")
         .expect("its story");
-    assert!(second.millis(Span::Room) >= 400, "{second:?}");
+    assert!(
+        second.phase_ms(JobPhase::WaitingForCapacity) >= 400,
+        "{second:?}"
+    );
     // Of each 300 ms the fleet takes 100 to notice the room and to start.
-    assert!((200..300).contains(&second.millis(Span::Run)), "{second:?}");
     assert!(
-        (200..300).contains(&second.millis(Span::Rerun)),
+        (200..300).contains(&second.phase_ms(JobPhase::Running)),
+        "{second:?}"
+    );
+    assert!(
+        (200..300).contains(&second.phase_ms(JobPhase::Rerunning)),
         "{second:?}"
     );
     assert_eq!(second.starts, 4);
@@ -91,7 +97,7 @@
     fleet.pass(100);
     let summaries = told(&mut fleet);
     assert!(summaries[0].taken_over);
-    let run = summaries[0].millis(Span::Run);
+    let run = summaries[0].phase_ms(JobPhase::Running);
     assert!((700..900).contains(&run), "{run} ms of both planners");
 }
 
@@ -99,9 +105,9 @@
 fn setbacks_are_written_in_one_word() {
     let mut setbacks = Setbacks::default();
     assert_eq!(setbacks.to_string(), "none");
-    setbacks.note(Setback::GaveWay);
+    setbacks.note(Setback::Preempted);
     setbacks.note(Setback::Failed);
-    setbacks.note(Setback::GaveWay);
+    setbacks.note(Setback::Preempted);
     assert_eq!(setbacks.to_string(), "failed:1,gave-way:2");
 }
 
@@ -122,5 +128,8 @@
     fleet.end_all();
     fleet.pass(500);
     let summaries = fleet.planner.take_summaries();
-    assert!(summaries[0].millis(Span::Silent) >= 1_900, "{summaries:?}");
+    assert!(
+        summaries[0].phase_ms(JobPhase::WorkerSilent) >= 1_900,
+        "{summaries:?}"
+    );
 }
--- a/crates/stairstall-core/tests/batch/turns.rs
+++ b/crates/stairstall-core/tests/batch/turns.rs
@@ -310,14 +310,20 @@
     let waiting = waiting.expect("it waits");
     assert_eq!(waiting.rank, 2);
     assert_eq!(waiting.timeliness, Timeliness::InTime);
-    assert_eq!(waiting.reason, WaitReason::Turn);
-    assert!(!waiting.used.is_zero(), "its customer's other job runs");
+    assert_eq!(waiting.reason, WaitReason::Capacity);
+    assert!(
+        !waiting.customer_usage.is_zero(),
+        "its customer's other job runs"
+    );
     assert!(load.fleet.planner.waiting(&id("running"), now).is_none());
     load.pass(1_400);
     let now = load.fleet.now();
     let waiting = load.fleet.planner.waiting(&id("waits"), now);
     let reason = waiting.expect("it waits").reason;
-    assert!(matches!(reason, WaitReason::Date(_)), "{reason:?}");
+    assert!(
+        matches!(reason, WaitReason::ReservedCapacity(_)),
+        "{reason:?}"
+    );
 }
 
 /// A fleet that is full of drafts of 6 s, and waves of urgent gangs over it, within their customer's own share.
@@ -537,7 +543,7 @@
         load.pass(200);
         let now = load.fleet.now();
         let waiting = load.fleet.planner.waiting(&id("wide"), now);
-        if let Some(WaitReason::Date(left)) = waiting.map(|waiting| waiting.reason) {
+        if let Some(WaitReason::ReservedCapacity(left)) = waiting.map(|waiting| waiting.reason) {
             let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
             date_ms = date_ms.or(Some(load.fleet.at_ms + left_ms));
         }
--- a/crates/stairstall-core/tests/load.rs
+++ b/crates/stairstall-core/tests/load.rs
@@ -15,9 +15,10 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use stairstall_core::JobId;
 use stairstall_core::batch::{
-    AcceptedJob, Admission, AdmissionPolicy, AdmissionReason, BusyRoom, CallerState,
-    CustomerBacklog, EndKind, KnownLoad, LoadSummary, OrderKind, Outcome, Policy, Resources,
-    RoomTime, Shape, StartForecast, StepSpec, TaskKey, TotalRoom, WaitingWork, WorkerKind,
+    AcceptedJob, Admission, AdmissionPolicy, AdmissionReason, CallerState, CustomerBacklog,
+    EndKind, KnownLoad, LoadSummary, OrderKind, Outcome, Policy, ResourceRequest, ResourceTime,
+    ResourceTotal, Resources, RunningWork, StartForecast, StepSpec, TaskKey, WaitingWork,
+    WorkerKind,
 };
 
 #[path = "batch/harness.rs"]
@@ -79,7 +80,7 @@
 }
 
 fn forecast(summary: &LoadSummary, job: &AcceptedJob) -> Option<StartForecast> {
-    summary.forecast(&Shape::of(&job.spec.steps[0], job))
+    summary.forecast(&ResourceRequest::for_step(&job.spec.steps[0], job))
 }
 
 fn decide(summary: &LoadSummary, job: &AcceptedJob, policy: &AdmissionPolicy) -> Admission {
@@ -102,7 +103,7 @@
     let summary = fleet.planner.load_summary(now);
     assert_eq!(summary.workers.len(), 1);
     assert_eq!((summary.workers[0].count, summary.workers[0].away), (4, 0));
-    assert!(summary.busy.is_empty() && summary.waiting.is_empty());
+    assert!(summary.running.is_empty() && summary.waiting.is_empty());
     assert!(summary.observed_ms >= 39_000, "{summary:?}");
     for newcomer in [
         job("a", 2, vec![step(5, 8)]),
@@ -538,7 +539,7 @@
     let summary = fleet.planner.load_summary(now);
     let bytes = serde_json::to_vec(&summary).unwrap().len();
     let busy = (
-        summary.busy.len(),
+        summary.running.len(),
         summary.waiting.len(),
         summary.customers.len(),
     );
@@ -559,7 +560,7 @@
         );
     }
     let idle = LoadSummary {
-        busy: Vec::new(),
+        running: Vec::new(),
         waiting: Vec::new(),
         customers: Vec::new(),
         ..summary
@@ -574,16 +575,16 @@
 #[derive(Debug, Clone)]
 struct AnySummary(LoadSummary);
 
-fn any_room(random: &mut Gen) -> TotalRoom {
-    TotalRoom {
+fn any_room(random: &mut Gen) -> ResourceTotal {
+    ResourceTotal {
         cpu_millis: u64::arbitrary(random) % 200_000,
         memory_mb: u64::arbitrary(random) % 500_000,
         accelerators: u64::arbitrary(random) % 100,
     }
 }
 
-fn any_rest(random: &mut Gen) -> RoomTime {
-    RoomTime::of(&any_room(random), u64::arbitrary(random) % 100_000)
+fn any_rest(random: &mut Gen) -> ResourceTime {
+    ResourceTime::of(&any_room(random), u64::arbitrary(random) % 100_000)
 }
 
 impl Arbitrary for AnySummary {
@@ -596,35 +597,35 @@
             steady_ms: u64::arbitrary(random) % 60_000,
         });
         let workers = workers.collect();
-        let busy = (0..u8::arbitrary(random) % 9).map(|_| BusyRoom {
+        let busy = (0..u8::arbitrary(random) % 9).map(|_| RunningWork {
             service: "desk".parse().unwrap(),
             rank: u8::arbitrary(random) % 4,
-            from_ms: Option::<u64>::arbitrary(random).map(|ms| ms % 60_000),
-            room: any_room(random),
+            first_end_ms: Option::<u64>::arbitrary(random).map(|ms| ms % 60_000),
+            resources: any_room(random),
         });
         let busy = busy.collect();
         let waiting = (0..u8::arbitrary(random) % 9).map(|_| WaitingWork {
             service: "desk".parse().unwrap(),
             priority: u8::arbitrary(random) % 3,
-            takes_any: bool::arbitrary(random),
+            is_unconstrained: bool::arbitrary(random),
             gang: bool::arbitrary(random),
             needs: Resources::new(1_000, 1_000, u32::arbitrary(random) % 3),
-            width: u32::arbitrary(random) % 20,
+            gang_size: u32::arbitrary(random) % 20,
             longest_ms: u64::arbitrary(random) % 60_000,
-            rest: any_rest(random),
+            remaining: any_rest(random),
         });
         let waiting = waiting.collect();
         let customers = (0..u8::arbitrary(random) % 4).map(|number| CustomerBacklog {
             customer: if number == 0 { "mesa" } else { "fonts" }.parse().unwrap(),
             priority: u8::arbitrary(random) % 3,
-            rest: any_rest(random),
+            remaining: any_rest(random),
         });
         let customers = customers.collect();
         Self(LoadSummary {
             observed_ms: u64::arbitrary(random) % 60_000,
             workers,
             labels: bool::arbitrary(random).then(|| vec!["r1".to_owned()]),
-            busy,
+            running: busy,
             waiting,
             customers,
             urgent_accelerators: u32::arbitrary(random) % 50,
@@ -671,7 +672,7 @@
 fn a_free_fleet_refuses_nothing_that_it_can_run() {
     fn holds(summary: AnySummary, job: AnyJob) -> bool {
         let free = LoadSummary {
-            busy: Vec::new(),
+            running: Vec::new(),
             waiting: Vec::new(),
             ..summary.0
         };
--- a/crates/stairstall-core/tests/run_times.rs
+++ b/crates/stairstall-core/tests/run_times.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::batch::{
-    EstimatedWork, KeptRatios, RunSoFar, RunTime, RunTimePolicy, RunTimes,
+    EstimatedWork, RunTime, RunTimeObservation, RunTimePolicy, RunTimes, StoredRatios,
 };
 use stairstall_core::{CustomerId, Timestamp};
 
@@ -51,18 +51,21 @@
     let mut random = Pcg64Mcg::seed_from_u64(7);
     for number in 0..400 {
         let took = ESTIMATE.mul_f64(draw(&mut random));
-        times.note(&work("drafts"), took, at(f64::from(number)));
+        times.record_completed(&work("drafts"), took, at(f64::from(number)));
     }
-    let learnt = times.of(&work("drafts"), at(400.0));
+    let learnt = times.run_time(&work("drafts"), at(400.0));
     assert!(is_about(learnt.typical, 1.8), "{learnt:?}");
-    assert!(is_about(learnt.long, 3.25), "{learnt:?}");
+    assert!(is_about(learnt.p90, 3.25), "{learnt:?}");
     let longer = EstimatedWork {
         estimate: ESTIMATE * 5,
         ..work("drafts")
     };
-    assert_eq!(times.of(&longer, at(400.0)).typical, learnt.typical * 5);
-    let other = times.of(&work("checks"), at(400.0));
-    assert_eq!(other, RunTime::estimated(ESTIMATE), "another queue");
+    assert_eq!(
+        times.run_time(&longer, at(400.0)).typical,
+        learnt.typical * 5
+    );
+    let other = times.run_time(&work("checks"), at(400.0));
+    assert_eq!(other, RunTime::from_estimate(ESTIMATE), "another queue");
 }
 
 #[test]
@@ -78,10 +81,10 @@
     ] {
         let mut times = RunTimes::new(policy);
         for _ in 0..runs {
-            times.note(&work("drafts"), ESTIMATE * 2, at(1.0));
+            times.record_completed(&work("drafts"), ESTIMATE * 2, at(1.0));
         }
-        let learnt = times.of(&work("drafts"), at(1.0));
-        assert_eq!(learnt != RunTime::estimated(ESTIMATE), is_learnt);
+        let learnt = times.run_time(&work("drafts"), at(1.0));
+        assert_eq!(learnt != RunTime::from_estimate(ESTIMATE), is_learnt);
     }
 }
 
@@ -89,11 +92,11 @@
 fn work_that_takes_as_long_as_estimated_is_told_as_that() {
     let mut times = RunTimes::new(RunTimePolicy::default());
     for _ in 0..50 {
-        times.note(&work("drafts"), ESTIMATE, at(1.0));
+        times.record_completed(&work("drafts"), ESTIMATE, at(1.0));
     }
-    let learnt = times.of(&work("drafts"), at(1.0));
+    let learnt = times.run_time(&work("drafts"), at(1.0));
     assert_eq!(learnt.typical, ESTIMATE);
-    assert!(is_about(learnt.long, 1.0), "{learnt:?}");
+    assert!(is_about(learnt.p90, 1.0), "{learnt:?}");
 }
 
 /// Sixteen gangs start at once, half take 0.5 times the estimate, half 4 times; looked at when only the
@@ -102,51 +105,60 @@
     let mut times = RunTimes::new(policy);
     let now = at(5.0);
     for _ in 0..8 {
-        times.note(&work("drafts"), ESTIMATE / 2, at(2.0));
+        times.record_completed(&work("drafts"), ESTIMATE / 2, at(2.0));
     }
-    let unfinished = (0..8).map(|_| (work("drafts"), RunSoFar::AtLeast(Duration::from_secs(5))));
-    if times.wants_look(now) {
-        times.look_through(unfinished, now);
+    let unfinished = (0..8).map(|_| {
+        (
+            work("drafts"),
+            RunTimeObservation::AtLeast(Duration::from_secs(5)),
+        )
+    });
+    if times.is_sampling_due(now) {
+        times.sample_running(unfinished, now);
     }
-    times.of(&work("drafts"), now)
+    times.run_time(&work("drafts"), now)
 }
 
 #[test]
 fn what_still_runs_counts_before_it_ends() {
     let learnt = after_the_short_ones(RunTimePolicy::default());
-    assert!(learnt.long > ESTIMATE, "{learnt:?}");
+    assert!(learnt.p90 > ESTIMATE, "{learnt:?}");
     let of_ended = after_the_short_ones(RunTimePolicy {
         counts_unfinished: false,
         ..RunTimePolicy::default()
     });
-    assert!(
-        of_ended.long < ESTIMATE,
-        "only the short ones: {of_ended:?}"
-    );
+    assert!(of_ended.p90 < ESTIMATE, "only the short ones: {of_ended:?}");
 }
 
 #[test]
 fn the_pace_that_a_run_shows_tells_its_whole_time() {
     let mut times = RunTimes::new(RunTimePolicy::default());
-    let shows = RunSoFar::Shows(ESTIMATE * 4);
+    let shows = RunTimeObservation::Projected(ESTIMATE * 4);
     let running = (0..10).map(|_| (work("drafts"), shows));
-    times.look_through(running, at(1.0));
-    assert!(is_about(times.of(&work("drafts"), at(1.0)).typical, 4.0));
-    times.look_through(std::iter::empty(), at(2.0));
-    let learnt = times.of(&work("drafts"), at(2.0));
-    assert_eq!(learnt, RunTime::estimated(ESTIMATE), "none of it runs on");
+    times.sample_running(running, at(1.0));
+    assert!(is_about(
+        times.run_time(&work("drafts"), at(1.0)).typical,
+        4.0
+    ));
+    times.sample_running(std::iter::empty(), at(2.0));
+    let learnt = times.run_time(&work("drafts"), at(2.0));
+    assert_eq!(
+        learnt,
+        RunTime::from_estimate(ESTIMATE),
+        "none of it runs on"
+    );
 }
 
 #[test]
 fn what_is_stopped_for_others_while_it_is_long_is_not_forgotten() {
     let mut times = RunTimes::new(RunTimePolicy::default());
     for _ in 0..20 {
-        times.note(&work("drafts"), ESTIMATE / 2, at(1.0));
-        let so_far = RunSoFar::AtLeast(ESTIMATE * 2);
-        times.note_stopped(&work("drafts"), so_far, at(1.0));
+        times.record_completed(&work("drafts"), ESTIMATE / 2, at(1.0));
+        let so_far = RunTimeObservation::AtLeast(ESTIMATE * 2);
+        times.record_stopped(&work("drafts"), so_far, at(1.0));
     }
-    let learnt = times.of(&work("drafts"), at(1.0));
-    assert!(learnt.long >= ESTIMATE * 2, "{learnt:?}");
+    let learnt = times.run_time(&work("drafts"), at(1.0));
+    assert!(learnt.p90 >= ESTIMATE * 2, "{learnt:?}");
 }
 
 #[test]
@@ -158,38 +170,38 @@
         ..work("drafts")
     };
     for _ in 0..40 {
-        times.note(&of(&fast), ESTIMATE / 2, at(1.0));
+        times.record_completed(&of(&fast), ESTIMATE / 2, at(1.0));
     }
     for _ in 0..10 {
-        times.note(&of(&slow), ESTIMATE * 4, at(1.0));
+        times.record_completed(&of(&slow), ESTIMATE * 4, at(1.0));
     }
-    let of_all = times.of(&work("drafts"), at(1.0));
+    let of_all = times.run_time(&work("drafts"), at(1.0));
     assert_eq!(
-        times.of(&of(&slow), at(1.0)),
+        times.run_time(&of(&slow), at(1.0)),
         of_all,
         "too little of its own"
     );
     for _ in 0..25 {
-        times.note(&of(&slow), ESTIMATE * 4, at(1.0));
+        times.record_completed(&of(&slow), ESTIMATE * 4, at(1.0));
     }
-    assert!(is_about(times.of(&of(&slow), at(1.0)).typical, 4.0));
-    assert!(is_about(times.of(&of(&fast), at(1.0)).typical, 0.5));
+    assert!(is_about(times.run_time(&of(&slow), at(1.0)).typical, 4.0));
+    assert!(is_about(times.run_time(&of(&fast), at(1.0)).typical, 0.5));
 }
 
 #[test]
 fn what_was_seen_fades_with_new_runs_and_with_time() {
     let mut times = RunTimes::new(RunTimePolicy::default());
     for _ in 0..500 {
-        times.note(&work("drafts"), ESTIMATE * 4, at(1.0));
+        times.record_completed(&work("drafts"), ESTIMATE * 4, at(1.0));
     }
     for _ in 0..300 {
-        times.note(&work("drafts"), ESTIMATE / 2, at(2.0));
+        times.record_completed(&work("drafts"), ESTIMATE / 2, at(2.0));
     }
-    let learnt = times.of(&work("drafts"), at(2.0));
+    let learnt = times.run_time(&work("drafts"), at(2.0));
     assert!(is_about(learnt.typical, 0.5), "{learnt:?}");
     let days_later = at(10.0 * 86_400.0);
-    let faded = times.of(&work("drafts"), days_later);
-    assert_eq!(faded, RunTime::estimated(ESTIMATE));
+    let faded = times.run_time(&work("drafts"), days_later);
+    assert_eq!(faded, RunTime::from_estimate(ESTIMATE));
 }
 
 #[test]
@@ -207,25 +219,25 @@
     ];
     for number in 0..300 {
         let took = ESTIMATE.mul_f64(draw(&mut random));
-        times.note(&works[number % 2], took, at(50.0));
+        times.record_completed(&works[number % 2], took, at(50.0));
     }
-    let kept = times.kept(at(60.0));
+    let kept = times.to_stored(at(60.0));
     let mut next = RunTimes::new(policy);
     next.restore(&kept, Duration::from_secs(2), at(3.0));
     for work in &works {
-        let (before, after) = (times.of(work, at(60.0)), next.of(work, at(3.0)));
+        let (before, after) = (times.run_time(work, at(60.0)), next.run_time(work, at(3.0)));
         assert!(
             is_near(before.typical, after.typical),
             "{before:?} {after:?}"
         );
-        assert!(is_near(before.long, after.long), "{before:?} {after:?}");
-        assert_ne!(after, RunTime::estimated(ESTIMATE));
+        assert!(is_near(before.p90, after.p90), "{before:?} {after:?}");
+        assert_ne!(after, RunTime::from_estimate(ESTIMATE));
     }
     let mut long_after = RunTimes::new(policy);
     long_after.restore(&kept, Duration::from_secs(10 * 86_400), at(3.0));
     assert_eq!(
-        long_after.of(&works[0], at(3.0)),
-        RunTime::estimated(ESTIMATE)
+        long_after.run_time(&works[0], at(3.0)),
+        RunTime::from_estimate(ESTIMATE)
     );
 }
 
@@ -243,9 +255,9 @@
             customer: Some(&customer),
             ..work(&queue)
         };
-        times.note(&work, ESTIMATE, at(1.0));
+        times.record_completed(&work, ESTIMATE, at(1.0));
     }
-    let kept = times.kept(at(1.0));
+    let kept = times.to_stored(at(1.0));
     assert!(kept.len() <= 128, "{} are written down", kept.len());
     let bytes = serde_json::to_vec(&kept).unwrap().len();
     println!("{bytes} bytes before they are deflated");
@@ -256,12 +268,15 @@
 fn a_queue_that_is_busy_stays_while_many_others_come_and_go() {
     let mut times = RunTimes::new(RunTimePolicy::default());
     for _ in 0..100 {
-        times.note(&work("drafts"), ESTIMATE * 2, at(1.0));
+        times.record_completed(&work("drafts"), ESTIMATE * 2, at(1.0));
     }
     for number in 0..500 {
-        times.note(&work(&format!("queue-{number}")), ESTIMATE, at(2.0));
+        times.record_completed(&work(&format!("queue-{number}")), ESTIMATE, at(2.0));
     }
-    assert!(is_about(times.of(&work("drafts"), at(2.0)).typical, 2.0));
+    assert!(is_about(
+        times.run_time(&work("drafts"), at(2.0)).typical,
+        2.0
+    ));
 }
 
 /// Tries a property with several seeds.
@@ -285,10 +300,10 @@
         let time = Duration::from_millis(u64::from(*number));
         let work = work("drafts");
         match kind % 5 {
-            0 | 1 => times.note(&work, time, at(1.0)),
-            2 => times.note_stopped(&work, RunSoFar::AtLeast(time), at(1.0)),
-            3 => times.look_through([(work, RunSoFar::AtLeast(time))], at(2.0)),
-            _ => times.look_through([(work, RunSoFar::Shows(time))], at(3.0)),
+            0 | 1 => times.record_completed(&work, time, at(1.0)),
+            2 => times.record_stopped(&work, RunTimeObservation::AtLeast(time), at(1.0)),
+            3 => times.sample_running([(work, RunTimeObservation::AtLeast(time))], at(2.0)),
+            _ => times.sample_running([(work, RunTimeObservation::Projected(time))], at(3.0)),
         }
     }
     times
@@ -300,7 +315,7 @@
         let times = seen(&events);
         let of = |ms: u64| {
             let estimate = Duration::from_millis(ms);
-            times.of(
+            times.run_time(
                 &EstimatedWork {
                     estimate,
                     ..work("drafts")
@@ -310,8 +325,8 @@
         };
         let shorter = of(small.into());
         let longer = of(u64::from(small) + u64::from(more));
-        let is_ordered = shorter.typical <= shorter.long;
-        is_ordered && shorter.typical <= longer.typical && shorter.long <= longer.long
+        let is_ordered = shorter.typical <= shorter.p90;
+        is_ordered && shorter.typical <= longer.typical && shorter.p90 <= longer.p90
     }
     check(holds as fn(Vec<(u8, u32)>, u32, u32) -> bool);
 }
@@ -319,16 +334,16 @@
 #[test]
 fn whatever_a_record_says_times_stay_within_the_ratios_that_are_told_apart() {
     fn holds(whole: Vec<u16>, cut: Vec<u16>, age_s: u32) -> bool {
-        let kept = KeptRatios {
+        let kept = StoredRatios {
             queue: "drafts".to_owned(),
             customer: None,
-            whole,
-            cut,
+            complete: whole,
+            censored: cut,
         };
         let mut times = RunTimes::new(RunTimePolicy::default());
         times.restore(&[kept], Duration::from_secs(age_s.into()), at(1.0));
-        let learnt = times.of(&work("drafts"), at(1.0));
-        learnt.typical <= learnt.long && learnt.long <= ESTIMATE * 16
+        let learnt = times.run_time(&work("drafts"), at(1.0));
+        learnt.typical <= learnt.p90 && learnt.p90 <= ESTIMATE * 16
     }
     check(holds as fn(Vec<u16>, Vec<u16>, u32) -> bool);
 }
--- a/crates/stairstall-core/tests/turns.rs
+++ b/crates/stairstall-core/tests/turns.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::{Gen, QuickCheck};
 use stairstall_core::batch::{
-    CustomerUsage, FleetSize, Policy, Resources, Timeliness, TurnPolicy, Wanted,
+    CompletionObjective, CustomerUsage, FleetCapacity, Policy, Resources, Timeliness, TurnPolicy,
 };
 use stairstall_core::{CustomerId, Timestamp};
 
@@ -18,26 +18,26 @@
     format!("customer-{number}").parse().expect("an id")
 }
 
-fn fleet() -> FleetSize {
+fn fleet() -> FleetCapacity {
     let worker = Resources::new(32_000, 64_000, 8);
-    (0..100).fold(FleetSize::default(), |sum, _| sum.plus(&worker))
+    (0..100).fold(FleetCapacity::default(), |sum, _| sum.plus(&worker))
 }
 
 /// An account of a fleet of 100 workers.
 fn usage(policy: TurnPolicy) -> CustomerUsage {
     let mut usage = CustomerUsage::new(policy);
-    usage.begin_charge(fleet, Timestamp::default());
+    usage.begin_charge_interval(fleet, Timestamp::default());
     usage
 }
 
 #[test]
 fn work_is_in_time_then_late_then_overdue() {
     let policy = TurnPolicy::default();
-    let wanted = Wanted {
-        due_unix_ms: 10_000,
+    let wanted = CompletionObjective {
+        eligible_unix_ms: 10_000,
         span_ms: 4_000,
     };
-    let turn_at = |at_unix_ms| wanted.turn(1_000, at_unix_ms, &policy);
+    let turn_at = |at_unix_ms| wanted.scheduling_key(1_000, at_unix_ms, &policy);
     assert_eq!(turn_at(13_000).timeliness, Timeliness::InTime);
     assert_eq!(turn_at(13_000).start_by_unix_ms, 13_000);
     assert_eq!(turn_at(13_001).timeliness, Timeliness::Late);
@@ -52,11 +52,11 @@
     let policy = TurnPolicy::default();
     let at_unix_ms = 100_000;
     let turn_of = |due_unix_ms| {
-        let wanted = Wanted {
-            due_unix_ms,
+        let wanted = CompletionObjective {
+            eligible_unix_ms: due_unix_ms,
             span_ms: 10_000,
         };
-        wanted.turn(5_000, at_unix_ms, &policy)
+        wanted.scheduling_key(5_000, at_unix_ms, &policy)
     };
     let (overdue, late, in_time) = (turn_of(60_000), turn_of(80_000), turn_of(99_000));
     assert!(in_time < late);
@@ -65,20 +65,20 @@
         by_timeliness: false,
         ..policy
     };
-    let oldest = Wanted {
-        due_unix_ms: 60_000,
+    let oldest = CompletionObjective {
+        eligible_unix_ms: 60_000,
         span_ms: 10_000,
     };
-    assert!(oldest.turn(5_000, at_unix_ms, &unsorted) < in_time);
+    assert!(oldest.scheduling_key(5_000, at_unix_ms, &unsorted) < in_time);
 }
 
 #[test]
 fn a_share_is_the_largest_of_processors_memory_and_accelerators() {
     let fleet = fleet();
     let halves = Resources::new(16_000, 64, 1);
-    assert_eq!(fleet.share_ppm(&halves, 100), 500_000);
+    assert_eq!(fleet.dominant_share_ppm(&halves, 100), 500_000);
     let whole = Resources::new(0, 0, 8);
-    assert_eq!(fleet.share_ppm(&whole, 100), 1_000_000);
+    assert_eq!(fleet.dominant_share_ppm(&whole, 100), 1_000_000);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     assert_eq!(used_at(0), 500);
     assert_eq!(used_at(30_000), 250);
     assert!(used_at(600_000) < 1);
-    usage.begin_charge(fleet, Timestamp::from_millis(600_000));
+    usage.begin_charge_interval(fleet, Timestamp::from_millis(600_000));
     assert!(usage.is_empty());
 }
 
@@ -99,19 +99,25 @@
 fn work_that_has_just_started_counts_at_once() {
     let mut usage = usage(TurnPolicy::default());
     let acme = customer(1);
-    usage.commit(Some(&acme), 100_000, Duration::from_secs(10));
+    usage.add_commitment(Some(&acme), 100_000, Duration::from_secs(10));
     assert_eq!(usage.used_ms(Some(&acme), Timestamp::default()), 1_000);
     let next = Timestamp::from_millis(1_000);
-    usage.begin_charge(fleet, next);
+    usage.begin_charge_interval(fleet, next);
     assert_eq!(usage.used_ms(Some(&acme), next), 0, "it is counted anew");
 }
 
 #[test]
 fn a_small_difference_of_use_changes_no_order() {
     let usage = usage(TurnPolicy::default());
-    assert_eq!(usage.step(1_010, 0, 1), usage.step(1_090, 0, 1));
-    assert!(usage.step(1_010, 0, 1) < usage.step(1_110, 0, 1));
-    assert_eq!(usage.step(2_000, 0, 2), usage.step(1_000, 0, 1));
+    assert_eq!(
+        usage.usage_level(1_010, 0, 1),
+        usage.usage_level(1_090, 0, 1)
+    );
+    assert!(usage.usage_level(1_010, 0, 1) < usage.usage_level(1_110, 0, 1));
+    assert_eq!(
+        usage.usage_level(2_000, 0, 2),
+        usage.usage_level(1_000, 0, 1)
+    );
 }
 
 #[test]
@@ -184,12 +190,12 @@
     for tick in 1..=1_200_u64 {
         let at_ms = tick * 250;
         let at = Timestamp::from_millis(at_ms);
-        let held = usage.begin_charge(fleet, at).expect("it is due");
+        let held = usage.begin_charge_interval(fleet, at).expect("it is due");
         for (who, ends_ms) in &running {
             let (share_ppm, _) = sizes[*who];
             let name = customer(*who);
             usage.charge(Some(&name), share_ppm, held, at);
-            usage.commit(
+            usage.add_commitment(
                 Some(&name),
                 share_ppm,
                 Duration::from_millis(ends_ms.saturating_sub(at_ms)),
@@ -200,7 +206,7 @@
             let taken: u64 = running.iter().map(|(who, _)| sizes[*who].0).sum();
             let steps = (0..sizes.len()).map(|who| {
                 let used_ms = usage.used_ms(Some(&customer(who)), at);
-                (usage.step(used_ms, 0, 1), who)
+                (usage.usage_level(used_ms, 0, 1), who)
             });
             let (_, who) = steps.min().expect("there are customers");
             let (share_ppm, takes_ms) = sizes[who];
@@ -209,7 +215,7 @@
             }
             running.push((who, at_ms + takes_ms));
             let takes = Duration::from_millis(takes_ms);
-            usage.commit(Some(&customer(who)), share_ppm, takes);
+            usage.add_commitment(Some(&customer(who)), share_ppm, takes);
             *had.entry(who).or_default() += share_ppm * takes_ms / 1_000;
         }
     }
--- a/crates/stairstall-core/tests/worker_pace.rs
+++ b/crates/stairstall-core/tests/worker_pace.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use stairstall_core::batch::{
-    GroupKey, KeptPace, Policy, RunShown, Stretch, WorkerPacePolicy, WorkerPaces,
+    GroupKey, Policy, ProgressSample, RunProgress, StoredPace, WorkerPacePolicy, WorkerPaces,
 };
 use stairstall_core::{Timestamp, WorkerId};
 
@@ -73,19 +73,19 @@
             .iter()
             .map(|index| WORK.mul_f64(size * self.factors[*index] * self.unevenness()))
             .collect();
-        let shown: Vec<RunShown<'_>> = (self.runs..)
+        let shown: Vec<RunProgress<'_>> = (self.runs..)
             .zip(ids.iter().zip(&spans))
-            .map(|(run, (id, span))| RunShown {
+            .map(|(run, (id, span))| RunProgress {
                 worker: id,
-                whole: Some(*span),
-                stretch: Stretch::of(run, 100, *span),
-                usual: WORK,
+                projected_total: Some(*span),
+                sample: ProgressSample::new(run, 100, *span),
+                expected: WORK,
             })
             .collect();
         self.runs += at_workers.len() as u64;
         let now = at(self.at_ms);
         self.paces.learn_from_step(&step(self.steps), &shown, now);
-        self.paces.settle(now);
+        self.paces.recenter(now);
     }
 
     /// Lets steps run at workers drawn from a range, one every 100 ms.
@@ -100,13 +100,13 @@
     }
 
     fn factor(&self, index: usize) -> f64 {
-        self.paces.of(&worker(index), at(self.at_ms)).factor
+        self.paces.pace(&worker(index), at(self.at_ms)).factor
     }
 
     /// Counts workers that are known for what they are, and those that are taken for what they aren't.
     fn right_and_wrong(&self) -> (usize, usize) {
         let is_slow = |index: usize| self.factor(index) > 1.6;
-        let knows = |index: usize| self.paces.of(&worker(index), at(self.at_ms)).is_known;
+        let knows = |index: usize| self.paces.pace(&worker(index), at(self.at_ms)).is_known;
         let known = (0..self.factors.len()).filter(|index| knows(*index));
         let (right, wrong): (Vec<_>, Vec<_>) =
             known.partition(|index| is_slow(*index) == (self.factors[*index] > 1.6));
@@ -125,7 +125,7 @@
             wrong * 20 <= right,
             "seed {seed}: {right} right, {wrong} wrong"
         );
-        assert!(load.paces.is_uneven(), "seed {seed}");
+        assert!(load.paces.is_heterogeneous(), "seed {seed}");
     }
 }
 
@@ -135,14 +135,14 @@
     load.factors.fill(1.0);
     load.run_steps(10, 0..30, 40);
     let odd = worker(4);
-    let shown = |span: Duration, id, run| RunShown {
+    let shown = |span: Duration, id, run| RunProgress {
         worker: id,
-        whole: Some(span),
-        stretch: Stretch::of(run, 100, span),
-        usual: WORK,
+        projected_total: Some(span),
+        sample: ProgressSample::new(run, 100, span),
+        expected: WORK,
     };
     let others: Vec<WorkerId> = (10..30).map(worker).collect();
-    let mut runs: Vec<RunShown<'_>> = (0..)
+    let mut runs: Vec<RunProgress<'_>> = (0..)
         .zip(&others)
         .map(|(run, id)| shown(WORK, id, 9_000 + run))
         .collect();
@@ -196,29 +196,29 @@
         let factor = if slow.contains(index) { SLOW } else { 1.0 };
         Some(WORK.mul_f64(factor))
     };
-    let begun: Vec<RunShown<'_>> = sound
+    let begun: Vec<RunProgress<'_>> = sound
         .iter()
         .chain(&slow)
-        .map(|id| RunShown {
+        .map(|id| RunProgress {
             worker: id,
-            whole: whole(id),
-            stretch: None,
-            usual: WORK,
+            projected_total: whole(id),
+            sample: None,
+            expected: WORK,
         })
         .collect();
     load.paces.learn_from_step(&step(1), &begun, at(2_000));
-    let last: Vec<RunShown<'_>> = (0..)
+    let last: Vec<RunProgress<'_>> = (0..)
         .zip(&slow)
-        .map(|(run, id)| RunShown {
+        .map(|(run, id)| RunProgress {
             worker: id,
-            whole: whole(id),
-            stretch: Stretch::of(run, 100, WORK.mul_f64(SLOW)),
-            usual: WORK,
+            projected_total: whole(id),
+            sample: ProgressSample::new(run, 100, WORK.mul_f64(SLOW)),
+            expected: WORK,
         })
         .collect();
     load.paces.learn_from_step(&step(1), &last, at(12_000));
     for id in &slow {
-        assert!(load.paces.of(id, at(12_000)).factor > 1.6);
+        assert!(load.paces.pace(id, at(12_000)).factor > 1.6);
     }
 }
 
@@ -229,13 +229,13 @@
     let members: Vec<WorkerId> = [0, 1, 40].into_iter().map(worker).collect();
     let members: Vec<&WorkerId> = members.iter().collect();
     let now = at(load.at_ms);
-    let known_before = load.paces.of(members[0], now);
+    let known_before = load.paces.pace(members[0], now);
     for run in 0..3 {
-        let stretch = Stretch::of(run, 100, WORK.mul_f64(SLOW)).expect("sound");
+        let stretch = ProgressSample::new(run, 100, WORK.mul_f64(SLOW)).expect("sound");
         load.paces.learn_from_gang(&members, &stretch, WORK, now);
     }
-    assert_eq!(load.paces.of(members[0], now), known_before);
-    let unknown = load.paces.of(members[2], now);
+    assert_eq!(load.paces.pace(members[0], now), known_before);
+    let unknown = load.paces.pace(members[2], now);
     assert!(!unknown.is_known, "a gang alone never says enough");
 }
 
@@ -244,17 +244,21 @@
     let mut load = Load::new(90, 6);
     load.run_steps(30, 0..90, 40);
     let now = at(load.at_ms);
-    let kept = load.paces.kept(now);
+    let kept = load.paces.to_stored(now);
     let text = serde_json::to_string(&kept).expect("it is written");
-    let read: Vec<KeptPace> = serde_json::from_str(&text).expect("it is read");
+    let read: Vec<StoredPace> = serde_json::from_str(&text).expect("it is read");
     let mut next = WorkerPaces::new(WorkerPacePolicy::default());
     next.restore(read, Duration::ZERO, at(5));
     for index in 0..90 {
-        let before = load.paces.of(&worker(index), now);
-        let after = next.of(&worker(index), at(5));
-        assert_eq!(before.differs(), after.differs(), "worker {index}");
+        let before = load.paces.pace(&worker(index), now);
+        let after = next.pace(&worker(index), at(5));
+        assert_eq!(
+            before.differs_from_typical(),
+            after.differs_from_typical(),
+            "worker {index}"
+        );
     }
-    assert_eq!(next.is_uneven(), load.paces.is_uneven());
+    assert_eq!(next.is_heterogeneous(), load.paces.is_heterogeneous());
 }
 
 #[test]
@@ -263,16 +267,16 @@
     load.run_steps(30, 0..60, 40);
     let now = at(load.at_ms);
     let spread = |paces: &WorkerPaces| {
-        let kept = paces.kept(now);
+        let kept = paces.to_stored(now);
         kept.iter()
             .find(|pace| pace.worker == worker(2))
             .map(|pace| pace.spread_percent)
     };
     let before = spread(&load.paces).expect("it is known");
-    load.paces.begin_life(&worker(2), now);
+    load.paces.record_restart(&worker(2), now);
     assert!(spread(&load.paces).is_none_or(|after| after > before));
     load.paces.forget(&worker(2));
-    assert!(!load.paces.of(&worker(2), now).is_known);
+    assert!(!load.paces.pace(&worker(2), now).is_known);
 }
 
 #[test]
@@ -283,7 +287,7 @@
         for _ in 0..300 {
             load.run_steps(1, 0..350, 40);
             let seen = load.paces.summary();
-            assert!(!seen.is_uneven, "seed {seed}: {seen:?}");
+            assert!(!seen.is_heterogeneous, "seed {seed}: {seen:?}");
         }
     }
 }
@@ -341,7 +345,7 @@
         load.run_step(&width);
     }
     assert!(load.paces.summary().known <= 4_096);
-    assert!(load.paces.kept(at(load.at_ms)).len() <= 512);
+    assert!(load.paces.to_stored(at(load.at_ms)).len() <= 512);
 }
 
 quickcheck! {
@@ -349,15 +353,15 @@
         let mut load = Load::new(30, 9);
         load.run_steps(10, 0..30, 40);
         let now = at(load.at_ms);
-        let before = load.paces.kept(now);
+        let before = load.paces.to_stored(now);
         let is_sound = (1..=100).contains(&gained) && took_ms > 0;
-        let told = Stretch::of(1, gained, Duration::from_millis(took_ms.into()));
-        let odd = Stretch { run: 1, span: Duration::ZERO, share };
+        let told = ProgressSample::new(1, gained, Duration::from_millis(took_ms.into()));
+        let odd = ProgressSample { run: 1, projected_total: Duration::ZERO, fraction: share };
         let id = worker(0);
-        let run = RunShown { worker: &id, whole: None, stretch: Some(odd), usual: WORK };
+        let run = RunProgress { worker: &id, projected_total: None, sample: Some(odd), expected: WORK };
         load.paces.learn_from_step(&step(1_000), &[run], now);
         load.paces.learn_from_gang(&[&id], &odd, WORK, now);
-        told.is_some() == is_sound && load.paces.kept(now) == before
+        told.is_some() == is_sound && load.paces.to_stored(now) == before
     }
 
     fn a_factor_is_always_a_sound_number(spans: Vec<(u8, u32)>) -> bool {
@@ -367,19 +371,19 @@
         for (run, (which, span_ms)) in (0..).zip(spans) {
             at_ms += 50;
             let span = Duration::from_millis(u64::from(span_ms));
-            let shown: Vec<RunShown<'_>> = ids
+            let shown: Vec<RunProgress<'_>> = ids
                 .iter()
-                .map(|id| RunShown {
+                .map(|id| RunProgress {
                     worker: id,
-                    whole: Some(span),
-                    stretch: Stretch::of(run, which % 101, span),
-                    usual: WORK,
+                    projected_total: Some(span),
+                    sample: ProgressSample::new(run, which % 101, span),
+                    expected: WORK,
                 })
                 .collect();
             paces.learn_from_step(&step(usize::from(which)), &shown, at(at_ms));
-            paces.settle(at(at_ms));
+            paces.recenter(at(at_ms));
         }
         let sound = |factor: f64| factor.is_finite() && factor > 0.0;
-        ids.iter().all(|id| sound(paces.of(id, at(at_ms)).factor))
+        ids.iter().all(|id| sound(paces.pace(id, at(at_ms)).factor))
     }
 }
--- a/crates/stairstall/src/render.rs
+++ b/crates/stairstall/src/render.rs
@@ -123,7 +123,7 @@
         line(&format!("  {ms:>8} ms  {}", span.as_str()))?;
     }
     line(&format!("  setbacks: {}", explanation.setbacks))?;
-    if let Some(waits) = &explanation.waits {
+    if let Some(waits) = &explanation.wait {
         line(&wait_line(waits))?;
     }
     for step in &explanation.steps {
@@ -138,7 +138,7 @@
     });
     format!(
         "  waits for {}{room}: rank {}, {} if it started now; its customer has used {} ms of the whole fleet lately, a fair part is {} ms",
-        waits.on,
+        waits.reason,
         waits.rank,
         waits.timeliness.as_str(),
         waits.used_ms,
@@ -154,10 +154,10 @@
         waiting,
         done,
         waited_ms,
-        behind,
+        steps_ahead: behind,
         ..
     } = step;
-    let on = step.on.as_str();
+    let on = step.phase.as_str();
     let place = if *waiting > 0 {
         format!(", waits for {waited_ms} ms behind {behind} steps")
     } else {
--- a/crates/stairstalld/src/batch/intake.rs
+++ b/crates/stairstalld/src/batch/intake.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairstall_core::JobId;
-use stairstall_core::batch::{AcceptedJob, Learnt, Progress};
+use stairstall_core::batch::{AcceptedJob, LearnedEstimates, Progress};
 use stairstall_ports::{Change, Item, Revision, StoreFault};
 
 use super::kept;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct KeptJobs {
     /// What an earlier planner had learnt, where that can be read.
-    learnt: Option<Learnt>,
+    learnt: Option<LearnedEstimates>,
     jobs: Vec<Item>,
     progress: Vec<Item>,
     /// Where news begin.
@@ -59,7 +59,7 @@
 }
 
 /// Reads what an earlier planner had learnt; a planner can do without.
-async fn read_learnt(node: &Node) -> Option<Learnt> {
+async fn read_learnt(node: &Node) -> Option<LearnedEstimates> {
     if !node.settings.policy.run_times.is_kept {
         return None;
     }
--- a/crates/stairstalld/src/batch/kept/tests.rs
+++ b/crates/stairstalld/src/batch/kept/tests.rs
@@ -1,5 +1,5 @@
 use stairstall_core::batch::{
-    GroupProgress, Incarnation, KeptPace, KeptRatios, Learnt, Place, Progress,
+    GroupProgress, Incarnation, LearnedEstimates, Place, Progress, StoredPace, StoredRatios,
 };
 
 use super::{read, write};
@@ -59,19 +59,19 @@
 }
 
 /// All that is written down of what was learnt, at a number of workers.
-fn learnt(workers: u32) -> Learnt {
+fn learnt(workers: u32) -> LearnedEstimates {
     let spread = |number: u32| (number.wrapping_mul(2_654_435_761) >> 16) % 97;
-    let ratios = |number: u32| KeptRatios {
+    let ratios = |number: u32| StoredRatios {
         queue: format!("queue-{}", number % 16),
         customer: (number >= 16).then(|| format!("customer-{number}").parse().expect("an id")),
-        whole: (0..32)
+        complete: (0..32)
             .map(|bin| short(spread(number * 32 + bin)))
             .collect(),
-        cut: (0..32)
+        censored: (0..32)
             .map(|bin| short(spread(number * 57 + bin) / 9))
             .collect(),
     };
-    let pace = |number: u32| KeptPace {
+    let pace = |number: u32| StoredPace {
         worker: format!(
             "i-{:010x}",
             u64::from(number) * 0x9e37_79b9_7f4a % 0xff_ffff_ffff
@@ -82,7 +82,7 @@
         spread_percent: short(spread(number) / 9),
         runs: u8::try_from(spread(number)).expect("small"),
     };
-    Learnt {
+    LearnedEstimates {
         at_unix_ms: 1_800_000_000_000,
         run_times: (0..128).map(ratios).collect(),
         paces: (0..workers).map(pace).collect(),
@@ -100,6 +100,9 @@
         let kept = write(&learnt).expect("a value");
         println!("{workers} workers: {} bytes", kept.len());
         assert!(kept.len() < most, "{workers} workers: {} bytes", kept.len());
-        assert_eq!(read::<Learnt>(&kept).expect("what was kept"), learnt);
+        assert_eq!(
+            read::<LearnedEstimates>(&kept).expect("what was kept"),
+            learnt
+        );
     }
 }
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use stairstall_core::batch::{
-    AcceptedJob, Catalog, ContactLag, CustomerUse, Decision, JobExplanation, JobSummary,
-    LoadSummary, Now, PaceSummary, Planner, Span,
+    AcceptedJob, Catalog, ContactLag, CustomerUsageTotal, Decision, JobExplanation, JobPhase,
+    JobSummary, LoadSummary, Now, PaceSummary, Planner,
 };
 use stairstall_core::{JobId, Lease};
 use stairstall_ports::Revision;
@@ -203,7 +203,7 @@
 
     /// Returns the customers that have used most, and the fair use of each, in milliseconds of the
     /// whole fleet.
-    pub(crate) fn customer_use(&self, most: usize) -> (Vec<CustomerUse>, u64) {
+    pub(crate) fn customer_use(&self, most: usize) -> (Vec<CustomerUsageTotal>, u64) {
         lock(&self.planner).customer_use(most, self.now())
     }
 
@@ -332,8 +332,8 @@
 
 /// Writes the line that says where an ended job's time went.
 fn tell_summary(node: &Node, token: u64, summary: &JobSummary) {
-    for span in Span::ALL {
-        let spent = summary.spans.get(&span).copied().unwrap_or_default();
+    for span in JobPhase::ALL {
+        let spent = summary.phases.get(&span).copied().unwrap_or_default();
         node.telemetry.span(summary.priority, span.as_str(), spent);
     }
     let name = |name: Option<String>| name.unwrap_or_else(|| "-".to_owned());
@@ -341,13 +341,13 @@
         priority = summary.priority,
         customer:% = name(summary.customer.as_ref().map(ToString::to_string)),
         zone:% = name(summary.zone.as_ref().map(ToString::to_string)),
-        outcome:? = summary.outcome, whole_ms = crate::clock::millis(summary.whole),
-        known_ms = summary.millis(Span::Known), room_ms = summary.millis(Span::Room),
-        stops_ms = summary.millis(Span::Stops), record_ms = summary.millis(Span::Record),
-        start_ms = summary.millis(Span::Start), run_ms = summary.millis(Span::Run),
-        rerun_ms = summary.millis(Span::Rerun), silent_ms = summary.millis(Span::Silent),
-        write_ms = summary.millis(Span::Write),
-        work_ms = crate::clock::millis(summary.work), aim_ms = crate::clock::millis(summary.aim),
+        outcome:? = summary.outcome, whole_ms = crate::clock::millis(summary.total),
+        known_ms = summary.phase_ms(JobPhase::Accepted), room_ms = summary.phase_ms(JobPhase::WaitingForCapacity),
+        stops_ms = summary.phase_ms(JobPhase::WaitingForPreemption), record_ms = summary.phase_ms(JobPhase::RecordingPlacement),
+        start_ms = summary.phase_ms(JobPhase::Starting), run_ms = summary.phase_ms(JobPhase::Running),
+        rerun_ms = summary.phase_ms(JobPhase::Rerunning), silent_ms = summary.phase_ms(JobPhase::WorkerSilent),
+        write_ms = summary.phase_ms(JobPhase::RecordingOutcome),
+        work_ms = crate::clock::millis(summary.work), aim_ms = crate::clock::millis(summary.target),
         estimate_ms = crate::clock::millis(summary.estimate),
         starts = summary.starts, setbacks:% = summary.setbacks,
         taken_over = summary.taken_over; "its end is written down");
--- a/crates/stairstalld/src/batch/upkeep.rs
+++ b/crates/stairstalld/src/batch/upkeep.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairstall_core::batch::{AcceptedJob, Learnt};
+use stairstall_core::batch::{AcceptedJob, LearnedEstimates};
 use stairstall_ports::{Commit, Committed};
 
 use super::node::Node;
@@ -25,7 +25,7 @@
 
 /// Does so for as long as the tenure lasts.
 pub(crate) async fn run(node: Arc<Node>, tenure: Arc<Tenure>) {
-    let mut written = Learnt::default();
+    let mut written = LearnedEstimates::default();
     for round in 1_u64.. {
         tokio::time::sleep(INTERVAL).await;
         if !tenure.is_in_force() {
@@ -60,7 +60,7 @@
 fn tell_paces(tenure: &Tenure) {
     let paces = tenure.pace_summary();
     log::info!(target: "pace", token = tenure.token(), known = paces.known, slow = paces.slow,
-        fast = paces.fast, uneven = paces.is_uneven; "pace of workers");
+        fast = paces.fast, uneven = paces.is_heterogeneous; "pace of workers");
 }
 
 /// Writes a line for each of the customers that have used most lately.
@@ -77,9 +77,9 @@
 
 /// Writes down what was learnt, where the next planner would know more by it than by what was
 /// written before; what can't be written is tried again the next time.
-async fn keep_learnt(node: &Node, tenure: &Tenure, written: &mut Learnt) {
+async fn keep_learnt(node: &Node, tenure: &Tenure, written: &mut LearnedEstimates) {
     let learnt = tenure.with(|planner, now| planner.learnt(now));
-    if !learnt.is_news_after(written) {
+    if !learnt.differs_significantly_from(written) {
         return;
     }
     let value = match kept::write(&learnt) {
