--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -39,7 +39,7 @@
     TotalRoom, WaitingWork, WorkerKind,
 };
 pub use planner::{
-    AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, VmLimits, Write,
+    AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, ProgressWrite, VmLimits,
 };
 pub use policy::{
     AcceptancePolicy, AdmissionPolicy, AdvicePolicy, FlowPolicy, HeadroomPolicy, HealthPolicy,
--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -13,9 +13,11 @@
 mod answers;
 mod bounds;
 mod candidate;
+mod candidate_worker;
 mod contact;
 mod crashes;
 mod directory;
+mod draining;
 mod ends;
 mod evacuation;
 mod explain;
@@ -23,12 +25,11 @@
 mod fit;
 mod flow;
 mod headroom;
+mod incarnations;
 mod job;
-mod learnt;
-mod leaving;
-mod lives;
+mod job_sync;
+mod learned;
 mod load;
-mod news;
 mod orders;
 mod paces;
 mod pass;
@@ -39,11 +40,10 @@
 mod restarts;
 mod run_times;
 mod runs;
-mod site;
 mod starts;
 mod stops;
-mod story;
 mod stuck;
+mod timelines;
 mod timing;
 mod usage;
 mod victims;
@@ -55,7 +55,7 @@
 use job::Job;
 pub use orders::{Order, OrderKind};
 use pool::Worker;
-pub use progress::Write;
+pub use progress::ProgressWrite;
 
 /// How often everything is looked through for what time alone changes.
 const HOUSEKEEPING: Duration = Duration::from_millis(25);
@@ -71,7 +71,7 @@
 pub struct Planner {
     token: u64,
     /// Lives of workers that have begun, each of which has a token of its own.
-    lives_begun: u64,
+    incarnations_started: u64,
     bounds: Bounds,
     flow: flow::Flow,
     policy: Policy,
@@ -89,7 +89,7 @@
     decisions: Vec<Decision>,
     changed: BTreeSet<JobId>,
     /// Jobs that something happened to since their accounts were brought up to date.
-    touched: BTreeSet<JobId>,
+    changed_timelines: BTreeSet<JobId>,
     summaries: Vec<JobSummary>,
     demand: UrgentDemand,
     evacuation: evacuation::Evacuation,
@@ -109,11 +109,11 @@
     /// When a worker last reported for the first time.
     last_new_report_at: Option<Timestamp>,
     /// Workers that should be asked now.
-    to_ask: Vec<WorkerId>,
+    workers_to_poll: Vec<WorkerId>,
     /// Claims that the ranks of runs were last set by; none where a run came from elsewhere since.
-    ranked_claims: Option<BTreeSet<JobId>>,
+    ranked_guaranteed_jobs: Option<BTreeSet<JobId>>,
     /// Counts changes of the set of workers.
-    worker_set: u64,
+    worker_set_version: u64,
     /// Whether urgent work has arrived since the last pass.
     hurries: bool,
     /// When the last pass was.
@@ -121,8 +121,8 @@
     /// When to plan again although nothing has happened: patience runs out with time.
     replan_at: Option<Timestamp>,
     /// Whether a planned start may have become possible.
-    emit_due: bool,
-    deposed: bool,
+    starts_due: bool,
+    superseded: bool,
 }
 
 impl Planner {
@@ -134,13 +134,13 @@
     /// Creates the planner of one tenure, which `token` fences.
     ///
     /// What an earlier planner may have started it learns from the progress
-    /// that [`Planner::load`] takes: places are written down before a start
+    /// that [`Planner::restore_job`] takes: places are written down before a start
     /// is sent.
     #[must_use]
     pub fn new(token: u64, bounds: Bounds) -> Self {
         Self {
             token,
-            lives_begun: 0,
+            incarnations_started: 0,
             bounds,
             flow: flow::Flow::default(),
             policy: Policy::default(),
@@ -155,7 +155,7 @@
             advice_requests: Vec::new(),
             decisions: Vec::new(),
             changed: BTreeSet::new(),
-            touched: BTreeSet::new(),
+            changed_timelines: BTreeSet::new(),
             summaries: Vec::new(),
             demand: UrgentDemand::default(),
             evacuation: evacuation::Evacuation::default(),
@@ -169,19 +169,19 @@
             looked_for_stuck_at: None,
             first_tick_at: None,
             last_new_report_at: None,
-            to_ask: Vec::new(),
-            ranked_claims: None,
-            worker_set: 0,
+            workers_to_poll: Vec::new(),
+            ranked_guaranteed_jobs: None,
+            worker_set_version: 0,
             hurries: false,
             planned_at: None,
             replan_at: None,
-            emit_due: false,
-            deposed: false,
+            starts_due: false,
+            superseded: false,
         }
     }
 
     /// Longest real time that a lease of `granted` on a worker's clock lasts from the request on.
-    fn lease_span(granted: Duration) -> Duration {
+    fn max_lease_duration(granted: Duration) -> Duration {
         granted + granted / Self::CLOCK_DRIFT_DIVISOR + Self::MESSAGE_MARGIN
     }
 
@@ -210,8 +210,8 @@
 
     /// Tells whether a worker has seen a higher token: another planner has taken over.
     #[must_use]
-    pub const fn is_deposed(&self) -> bool {
-        self.deposed
+    pub const fn is_superseded(&self) -> bool {
+        self.superseded
     }
 
     /// Takes a newer configuration.
@@ -223,7 +223,7 @@
     }
 
     /// Takes a job as an earlier planner left it.
-    pub fn load(
+    pub fn restore_job(
         &mut self,
         accepted: AcceptedJob,
         progress: Option<&Progress>,
@@ -248,7 +248,7 @@
             self.restore_runs(&id, progress, now);
             self.restore_losses(&id, progress, now);
         }
-        self.touch(&id);
+        self.mark_timeline_changed(&id);
         if cancelled {
             self.cancel(&id, now);
         }
@@ -262,7 +262,7 @@
         }
         let id = accepted.id.clone();
         self.foresee(&accepted, now);
-        self.touch(&id);
+        self.mark_timeline_changed(&id);
         self.hurries |= accepted.queue.priority == 0;
         let job = Job::new(Arc::new(accepted), now);
         self.jobs.insert(id.clone(), job);
@@ -308,16 +308,16 @@
                 Some(now.at + REPORTS_INTERVAL)
             };
         }
-        self.emit_due = false;
+        self.starts_due = false;
         self.emit_starts(now);
-        self.update_stories(now);
+        self.update_timelines(now);
         std::mem::take(&mut self.orders)
     }
 
     /// Tells whether something happened that asks for a tick.
     #[must_use]
-    pub fn wants_tick(&self) -> bool {
-        self.replan || self.emit_due || !self.orders.is_empty()
+    pub fn needs_tick(&self) -> bool {
+        self.replan || self.starts_due || !self.orders.is_empty()
     }
 
     /// Returns what a caller is told of a job; an end only once it is written down.
@@ -391,7 +391,7 @@
         };
         job.end(outcome, now);
         self.drop_forecast(id);
-        self.touched.insert(id.clone());
+        self.changed_timelines.insert(id.clone());
         self.changed.insert(id.clone());
         self.decisions.push(Decision::of_job(
             DecisionKind::Outcome,
--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -16,13 +16,13 @@
             job.outcome.is_none() && task.is_some_and(super::job::Task::is_waiting)
         });
         let run = self.adopted_run(id, running, now);
-        self.keep_run(id, &running.task, run);
-        self.ranked_claims = None;
+        self.insert_run(id, &running.task, run);
+        self.ranked_guaranteed_jobs = None;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         // The earlier planner's largest lease counts from before this one began.
-        worker.extend_lease(now.at + Self::lease_span(self.bounds.hold_max));
+        worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
         let why = if wanted {
             "it runs"
         } else {
@@ -52,7 +52,7 @@
             }
         }
         self.note_progress(running);
-        self.touch(&key.job);
+        self.mark_timeline_changed(&key.job);
     }
 
     /// Takes the places that were written down for what may run there.
@@ -93,12 +93,12 @@
         run.restored = true;
         run.resumes = true;
         run.incarnation = place.incarnation;
-        run.taken = place.taken;
+        run.start_confirmed = place.taken;
         run.is_listed = false;
-        let lease_until = now.at + Self::lease_span(self.bounds.hold_max);
+        let lease_until = now.at + Self::max_lease_duration(self.bounds.hold_max);
         self.recorded_worker(id, now).extend_lease(lease_until);
-        self.keep_run(id, task, run);
-        self.ranked_claims = None;
+        self.insert_run(id, task, run);
+        self.ranked_guaranteed_jobs = None;
     }
 
     /// Takes the first report of a run that an earlier planner wrote down.
@@ -145,15 +145,15 @@
             percent: running.percent,
             progressed_at: now.at,
             reported_at: now.at,
-            unwanted_since: None,
+            redundant_since: None,
             began: Some((now.at, running.percent)),
-            told: None,
+            pace_sampled: None,
             resumes: false,
-            taken: true,
+            start_confirmed: true,
             incarnation: None,
             fence: 0,
             is_listed: false,
-            recorded_by: 0,
+            placement_change: 0,
             restored: false,
             suspicion: self.suspicion(&running.task),
         };
--- a/crates/stairstall-core/src/batch/planner/advice.rs
+++ b/crates/stairstall-core/src/batch/planner/advice.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::site::Site;
+use super::candidate_worker::CandidateWorker;
 use super::{Now, Planner};
 use crate::batch::{AdvicePolicy, GroupKey};
 use crate::{Timestamp, WorkerId};
@@ -119,10 +119,10 @@
     pub(super) fn advised(
         &mut self,
         key: &GroupKey,
-        mut sites: Vec<Site>,
+        mut sites: Vec<CandidateWorker>,
         tasks: usize,
         now: Now,
-    ) -> Vec<Site> {
+    ) -> Vec<CandidateWorker> {
         if self.ticket_validity(key).is_none() {
             return sites;
         }
@@ -131,9 +131,10 @@
         let Some(advice) = self.advice_mut(key) else {
             return Vec::new();
         };
-        let has_ticket = |site: &Site| advice.ticket(&site.worker, now.at, margin).is_some();
+        let has_ticket =
+            |site: &CandidateWorker| advice.ticket(&site.worker, now.at, margin).is_some();
         let enough = sites.iter().filter(|site| has_ticket(site)).count() >= tasks;
-        let mut unknown: Vec<&Site> = sites
+        let mut unknown: Vec<&CandidateWorker> = sites
             .iter()
             .filter(|site| !has_ticket(site) && !advice.denied.contains(&site.worker))
             .collect();
--- a/crates/stairstall-core/src/batch/planner/answers.rs
+++ b/crates/stairstall-core/src/batch/planner/answers.rs
@@ -12,18 +12,18 @@
         let task = &order.task;
         self.note_start_answered();
         if outcome == StartOutcome::OtherLife {
-            self.drop_never_begun(order, now);
-            self.life_over(id, "another life answered a start", now);
+            self.drop_unstarted_runs(order, now);
+            self.end_incarnation(id, "another life answered a start", now);
             self.doubt_unheard(now);
             return;
         }
         if outcome == StartOutcome::Refused(RefusalReason::Fenced) {
             self.note_fenced(id, order.token);
-            self.drop_never_begun(order, now);
+            self.drop_unstarted_runs(order, now);
             return;
         }
         if let StartOutcome::Started { clock_ms } = outcome {
-            self.read_answer_clock(order, clock_ms, now);
+            self.check_answer_clock(order, clock_ms, now);
         }
         let Some(run) = self
             .workers
@@ -40,16 +40,16 @@
         }
         if let StartOutcome::Started { .. } = outcome {
             run.answered_at = run.answered_at.or(Some(now.at));
-            run.taken = true;
+            run.start_confirmed = true;
             if run.state == RunState::Starting {
-                run.enter(RunState::Running, now.at);
+                run.set_state(RunState::Running, now.at);
                 run.began = Some((now.at, 0));
                 run.progressed_at = now.at;
             }
-            self.touch(&task.group.job);
+            self.mark_timeline_changed(&task.group.job);
             self.note_taken(task, order.run);
             self.note_begun(&task.group.job, now);
-            self.update_stories(now);
+            self.update_timelines(now);
             return;
         }
         let first_try = run.tries <= 1;
@@ -98,7 +98,8 @@
         if outcome == StartOutcome::Unhealthy
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.life.suspect_until = Some(now.at + self.policy.health.suspect_after_refusal);
+            worker.incarnation_state.suspect_until =
+                Some(now.at + self.policy.health.suspect_after_refusal);
         }
         let did_nothing = match outcome {
             StartOutcome::NotSent | StartOutcome::Unhealthy => true,
@@ -129,11 +130,11 @@
         self.doubt_unless_heard(id, task, now);
         let run = self.run_at(id, task);
         let tries = run.map_or(0, |run| run.tries);
-        let is_done = run.is_some_and(|run| run.unwanted_since.is_some());
+        let is_done = run.is_some_and(|run| run.redundant_since.is_some());
         let why = if is_done {
             // The end of an earlier run may be heard between two tries.
             "the task is done"
-        } else if !self.knows_jobs() {
+        } else if !self.jobs_are_current() {
             "no answer to its start, and its job may have been cancelled"
         } else if !self.may_start_at(id, now) {
             "no answer to its start, and its zone may be evacuated"
@@ -143,7 +144,7 @@
             // A resent start could be carried out twice: now, and by the worker's next incarnation.
             // The next report tells whether the run has started.
             self.note_answered(id, task, now.at);
-            self.to_ask.push(id.clone());
+            self.workers_to_poll.push(id.clone());
             return;
         } else {
             self.emit_start(id, task, now);
--- a/crates/stairstall-core/src/batch/planner/site.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate_worker.rs
@@ -10,7 +10,7 @@
 
 /// Which workers are looked at.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Scope {
+pub(super) struct SearchScope {
     /// Only those near the data, and a gang that wants it on one rack.
     pub(super) near: bool,
     /// Whether lower ranks may be made to give way.
@@ -19,7 +19,7 @@
 
 /// A worker as a place for tasks of one step.
 #[derive(Debug, Clone)]
-pub(super) struct Site {
+pub(super) struct CandidateWorker {
     pub(super) worker: WorkerId,
     pub(super) rack: RackId,
     pub(super) room: Resources,
@@ -32,7 +32,7 @@
     /// How fast work is there.
     pub(super) pace: WorkerPace,
     /// Whether it has work that will tell its pace.
-    pub(super) is_explored: bool,
+    pub(super) pace_pending: bool,
     /// Whether it is in another zone than the job's caller.
     pub(super) in_other_zone: bool,
     pub(super) victims: Victims,
@@ -68,7 +68,7 @@
                 let lost = if run.gang {
                     gang_losses.get(&task.group).copied().unwrap_or(0)
                 } else {
-                    run.loss(at, policy.restore_cost)
+                    run.lost_work(at, policy.restore_cost)
                 };
                 let stop = run.room.weight() * millis(policy.stop_cost) / 1000;
                 Victim {
@@ -90,7 +90,7 @@
     }
 
     /// Returns the cost and the runs that must go so that `needs` fits; none where it can't.
-    pub(super) fn to_fit(
+    pub(super) fn select(
         &self,
         needs: &Resources,
         room: &Resources,
@@ -143,7 +143,7 @@
 
 /// Takes a victim out, and with a member of a gang all its members, giving their room back;
 /// returns the sites that have more room for it.
-pub(super) fn give_way(sites: &mut [Site], index: usize, task: &TaskKey) -> Vec<usize> {
+pub(super) fn preempt(sites: &mut [CandidateWorker], index: usize, task: &TaskKey) -> Vec<usize> {
     let is_gang = sites[index]
         .victims
         .0
@@ -160,7 +160,7 @@
     taken_out.collect()
 }
 
-impl Site {
+impl CandidateWorker {
     /// Takes victims out and gives their room back; true where there were any.
     fn take_out(&mut self, goes: impl Fn(&Victim) -> bool) -> bool {
         let before = self.victims.0.len();
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -2,7 +2,7 @@
 
 use crate::time::millis;
 
-use super::pool::{Answerer, Run, RunState};
+use super::pool::{AnswerSource, Run, RunState};
 use super::{Now, Planner, Worker};
 use crate::batch::{Decision, EndKind, HoldReport, HoldRequest, Incarnation, RunningTask, TaskKey};
 use crate::{Timestamp, WorkerId, ZoneId};
@@ -16,17 +16,17 @@
         let jobs = &self.jobs;
         let worker = self.workers.get_mut(id)?;
         let forgettable = worker
-            .life
-            .forgettable(|job, change| jobs.get(job).is_none_or(|job| job.written >= change));
+            .incarnation_state
+            .acknowledgeable(|job, change| jobs.get(job).is_none_or(|job| job.written >= change));
         let deadline_ms = worker
-            .life
+            .incarnation_state
             .clock_at(now.at)
             .map(|clock| clock.saturating_add(millis(self.bounds.hold_max)));
-        let last_seen = worker.life.news_to_forget(forgettable);
+        let last_seen = worker.incarnation_state.next_acknowledgement(forgettable);
         let request = worker.hold_request(last_seen, deadline_ms, longest_wait)?;
-        worker.set_asked(true);
+        worker.set_report_pending(true);
         if request.deadline_ms.is_some() {
-            worker.extend_lease(now.at + Self::lease_span(self.bounds.hold_max));
+            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
         }
         Some(request)
     }
@@ -53,38 +53,41 @@
             return;
         };
         if request.token == worker.fence {
-            worker.set_asked(false);
+            worker.set_report_pending(false);
         }
-        let told = match worker.life.answerer(report.incarnation, sent_at) {
-            Answerer::Known => request.last_seen,
-            Answerer::Later => {
-                self.begin_life(id, report.incarnation, now);
+        let told = match worker
+            .incarnation_state
+            .answer_source(report.incarnation, sent_at)
+        {
+            AnswerSource::Known => request.last_seen,
+            AnswerSource::Later => {
+                self.begin_incarnation(id, report.incarnation, now);
                 0
             }
-            Answerer::Earlier => return,
+            AnswerSource::Earlier => return,
         };
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         self.flow.note_report(report.bytes);
-        worker.life.read_clock(report.clock_ms, now.at);
-        worker.life.note_told(told);
-        if !worker.is_in_contact() || !worker.life.fenced {
+        worker.incarnation_state.read_clock(report.clock_ms, now.at);
+        worker.incarnation_state.record_acknowledged(told);
+        if !worker.is_in_contact() || !worker.incarnation_state.fenced {
             self.replan = true;
         }
         let is_fenced = request.token == worker.fence;
-        let life = &mut worker.life;
+        let life = &mut worker.incarnation_state;
         if life.note_report(report.incarnation, is_fenced, now.at) {
             self.last_new_report_at = Some(now.at);
         }
         let was_silent = !worker.is_in_contact();
         if was_silent {
-            worker.heard_again_at = Some(now.at);
+            worker.contact_restored_at = Some(now.at);
         }
         worker.set_contact(true);
-        worker.life.left_quietly = !worker.is_listed;
-        let silent_under = std::mem::take(&mut worker.lost);
-        let seen = worker.life.seen;
+        worker.incarnation_state.left_unannounced = !worker.is_listed;
+        let silent_under = std::mem::take(&mut worker.lost_tasks);
+        let seen = worker.incarnation_state.last_end_seen;
         let mut absent = worker.expected_in(is_fenced, sent_at);
         for running in &report.running {
             absent.retain(|task| *task != running.task);
@@ -96,14 +99,14 @@
             self.take_end(id, &end, now);
         }
         if was_silent {
-            self.touch_runs_at(id);
+            self.mark_timelines_changed_at(id);
         }
         self.settle_silence(id, &silent_under, now);
         if !report.more {
             self.take_absent(id, absent, now);
         }
-        self.update_stories(now);
-        self.forget_if_gone(id, now);
+        self.update_timelines(now);
+        self.remove_if_gone(id, now);
     }
 
     /// Takes runs for over that a report should have named.
@@ -113,7 +116,7 @@
         };
         let is_of_earlier = |task: &TaskKey| {
             let run = worker.runs.get(task);
-            run.is_some_and(|run| worker.life.differs(run.incarnation))
+            run.is_some_and(|run| worker.incarnation_state.differs_from(run.incarnation))
         };
         let lost = absent.extract_if(.., |task| is_of_earlier(task)).collect();
         let may_start = |task: &TaskKey| {
@@ -121,7 +124,7 @@
             run.is_some_and(|run| self.waits_for_late_start(task, run, now))
         };
         let unconfirmed: Vec<TaskKey> = absent.extract_if(.., |task| may_start(task)).collect();
-        self.lose_with_earlier_life(id, lost, now);
+        self.lose_runs_of_previous_incarnation(id, lost, now);
         for task in unconfirmed {
             self.handle_unconfirmed_start(id, &task, now);
         }
@@ -155,7 +158,7 @@
         };
         let number = run.number;
         if run.state == RunState::Stopping {
-            worker.release_room(task);
+            worker.release_resources(task);
         } else {
             self.stop_gang(task, number, "a member of its gang did not start", now);
         }
@@ -164,13 +167,13 @@
     /// Takes word that a worker did not answer.
     pub fn hold_failed(&mut self, id: &WorkerId, now: Now) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.set_asked(false);
+            worker.set_report_pending(false);
         }
         self.doubt(id, now);
         for task in self.unanswered_gang_members(id, now) {
             self.handle_unconfirmed_start(id, &task, now);
         }
-        self.forget_if_gone(id, now);
+        self.remove_if_gone(id, now);
     }
 
     /// Returns the gang members at a worker whose unanswered starts may still be carried out.
@@ -193,8 +196,8 @@
         }
         worker.set_contact(false);
         let zone = worker.listed.zone.clone();
-        self.to_ask.push(id.clone());
-        self.touch_runs_at(id);
+        self.workers_to_poll.push(id.clone());
+        self.mark_timelines_changed_at(id);
         self.decisions
             .push(Decision::of_worker(id, "it does not answer"));
         let of_zone = |w: &&Worker| w.is_listed && w.listed.zone == zone;
@@ -215,7 +218,8 @@
             return;
         };
         let ordered_at = worker.runs.get(task).map(|run| run.ordered_at);
-        let was_heard = ordered_at.is_some_and(|at| worker.life.heard_at > Some(at));
+        let was_heard =
+            ordered_at.is_some_and(|at| worker.incarnation_state.last_answer_at > Some(at));
         if !(was_heard && self.policy.health.reports_count) {
             self.doubt(id, now);
         }
@@ -240,10 +244,14 @@
             .workers
             .values_mut()
             .filter(|w| w.is_in_contact() && test(w))
-            .filter(|w| w.life.heard_at.is_none_or(|at| now.at - at > heard_lately));
+            .filter(|w| {
+                w.incarnation_state
+                    .last_answer_at
+                    .is_none_or(|at| now.at - at > heard_lately)
+            });
         for worker in doubtful {
             worker.set_contact(false);
-            self.to_ask.push(worker.listed.id.clone());
+            self.workers_to_poll.push(worker.listed.id.clone());
         }
     }
 
@@ -262,7 +270,7 @@
             for (task, _) in runs {
                 self.run_over(&id, &task, EndKind::Lapsed, "its lease is over", now);
             }
-            self.forget_if_gone(&id, now);
+            self.remove_if_gone(&id, now);
         }
     }
 
@@ -282,13 +290,13 @@
         match worker.runs.get_mut(&running.task) {
             Some(run) if run.number == running.run => {
                 let before = run.state;
-                run.note_running(running, worker.life.incarnation, now.at);
+                run.note_running(running, worker.incarnation_state.incarnation, now.at);
                 let has_begun = run.state != before;
                 let was_restored = std::mem::take(&mut run.restored);
                 let lasts = run.lasts;
                 self.note_progress(running);
                 if has_begun {
-                    self.touch(&running.task.group.job);
+                    self.mark_timeline_changed(&running.task.group.job);
                     self.note_taken(&running.task, running.run);
                 }
                 if lasts {
@@ -309,7 +317,7 @@
             return;
         };
         if !std::mem::replace(&mut job.begun, true) {
-            self.touched.insert(key.job.clone());
+            self.changed_timelines.insert(key.job.clone());
         }
         let Some(group) = job.group_mut(key) else {
             return;
@@ -346,11 +354,11 @@
         at: Timestamp,
     ) {
         self.incarnation = by;
-        self.taken = true;
+        self.start_confirmed = true;
         self.is_listed = true;
         self.late_start_until = None;
         if matches!(self.state, RunState::Starting | RunState::Planned) {
-            self.enter(RunState::Running, at);
+            self.set_state(RunState::Running, at);
         }
         if self.began.is_none() || std::mem::take(&mut self.resumes) {
             self.began = Some((at, running.percent));
--- a/crates/stairstall-core/src/batch/planner/crashes.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes.rs
@@ -34,10 +34,10 @@
     /// Counts the silence of a worker beyond its lease against the tasks that it may have crashed
     /// under.
     pub(super) fn count_silence(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)]) {
-        let Some(worker) = self.workers.get(id).filter(|worker| !worker.leaves()) else {
+        let Some(worker) = self.workers.get(id).filter(|worker| !worker.is_leaving()) else {
             return;
         };
-        let blamed = self.blamed(worker.life.heard_at, runs);
+        let blamed = self.blamed(worker.incarnation_state.last_answer_at, runs);
         for (task, answered) in &blamed {
             let silent = SilentWorker {
                 worker: id.clone(),
@@ -48,7 +48,9 @@
         }
         self.tell_losses(id, runs);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.lost.extend(blamed.into_iter().map(|(task, _)| task));
+            worker
+                .lost_tasks
+                .extend(blamed.into_iter().map(|(task, _)| task));
         }
     }
 
@@ -79,13 +81,13 @@
         let Some(worker) = self.workers.get(id).filter(|_| !tasks.is_empty()) else {
             return;
         };
-        let life = worker.life.clone();
+        let life = worker.incarnation_state.clone();
         for task in tasks {
             self.change_losses(task, |losses| {
                 let settled = losses.settle(id);
                 let crashed = settled
                     .iter()
-                    .filter(|silent| life.differs(silent.incarnation));
+                    .filter(|silent| life.differs_from(silent.incarnation));
                 crashed.for_each(|silent| losses.note_crash(silent.answered));
             });
         }
@@ -134,7 +136,7 @@
             for (index, losses) in &group.losses {
                 for silent in &losses.silent {
                     let worker = self.recorded_worker(&silent.worker, now);
-                    worker.lost.push(key.task(*index));
+                    worker.lost_tasks.push(key.task(*index));
                 }
             }
         }
--- a/crates/stairstall-core/src/batch/planner/crashes/apart.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes/apart.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-use super::super::pool::{Run, Suspicion, Worker};
+use super::super::pool::{CrashSuspicion, Run, Worker};
 use super::super::{Now, Planner};
 use crate::batch::{GroupKey, TaskKey, TaskLosses};
 use crate::{JobId, Timestamp};
 
 impl Planner {
     /// Returns what the workers that were lost under a task say of it.
-    pub(in crate::batch::planner) fn suspicion(&self, task: &TaskKey) -> Suspicion {
+    pub(in crate::batch::planner) fn suspicion(&self, task: &TaskKey) -> CrashSuspicion {
         let losses = self.task(task).map(|task| &task.losses);
-        losses.map_or(Suspicion::None, |losses| self.suspicion_by(losses))
+        losses.map_or(CrashSuspicion::None, |losses| self.suspicion_by(losses))
     }
 
-    fn suspicion_by(&self, losses: &TaskLosses) -> Suspicion {
+    fn suspicion_by(&self, losses: &TaskLosses) -> CrashSuspicion {
         if losses.is_empty() {
-            return Suspicion::None;
+            return CrashSuspicion::None;
         }
         let mut next = losses.at_worst();
         next.note_crash(true);
         if self.is_too_much(&next) {
-            Suspicion::LastChance
+            CrashSuspicion::LastAttempt
         } else {
-            Suspicion::Some
+            CrashSuspicion::Some
         }
     }
 
@@ -39,7 +39,7 @@
         let waiting = group.into_iter().flat_map(|group| &group.tasks);
         let mut waiting = waiting.filter(|task| task.is_waiting());
         let takes_last_chance =
-            waiting.any(|task| self.suspicion_by(&task.losses) == Suspicion::LastChance);
+            waiting.any(|task| self.suspicion_by(&task.losses) == CrashSuspicion::LastAttempt);
         let has_patience = self.waited(key, now) <= self.suspect_patience(urgent);
         Apart {
             job,
@@ -64,7 +64,7 @@
     pub(in crate::batch::planner) fn allows(&self, worker: &Worker, at: Timestamp) -> bool {
         let is_other = |task: &TaskKey| self.job != Some(&task.group.job);
         let is_fresh = |run: &Run| run.was_fresh(at, self.fresh_start);
-        let last_chance = worker.last_chance.as_ref().filter(|task| is_other(task));
+        let last_chance = worker.last_attempt.as_ref().filter(|task| is_other(task));
         if last_chance.is_some_and(|task| worker.runs.get(task).is_some_and(is_fresh)) {
             return false;
         }
--- a/crates/stairstall-core/src/batch/planner/crashes/blame.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes/blame.rs
@@ -42,6 +42,6 @@
 
     /// Tells whether its worker has said that it took it.
     const fn has_answered(&self) -> bool {
-        self.taken
+        self.start_confirmed
     }
 }
--- a/crates/stairstall-core/src/batch/planner/directory.rs
+++ b/crates/stairstall-core/src/batch/planner/directory.rs
@@ -14,19 +14,19 @@
         if known.is_some_and(|known| known.is_listed && known.listed == listed) {
             return;
         }
-        if known.is_some_and(|known| known.life.is_after(listed.incarnation)) {
+        if known.is_some_and(|known| known.incarnation_state.is_newer_than(listed.incarnation)) {
             // It was written by a life that is over.
             return;
         }
-        if known.is_some_and(|known| known.life.differs(listed.incarnation)) {
-            self.begin_life(&listed.id, listed.incarnation, now);
+        if known.is_some_and(|known| known.incarnation_state.differs_from(listed.incarnation)) {
+            self.begin_incarnation(&listed.id, listed.incarnation, now);
         }
         self.replan = true;
         self.retire_earlier_lives(&listed, now);
         let id = listed.id.clone();
         let known = self.workers.get(&id);
         if known.is_none_or(|known| known.listed.address != listed.address) {
-            self.worker_set += 1;
+            self.worker_set_version += 1;
         }
         if known.is_none() {
             let fence = self.next_fence();
@@ -38,12 +38,13 @@
         };
         let was_draining = worker.listed.draining;
         worker.in_evacuated_zone = self.evacuation.includes(&listed.zone);
-        worker.life.incarnation = worker.life.incarnation.or(listed.incarnation);
+        worker.incarnation_state.incarnation =
+            worker.incarnation_state.incarnation.or(listed.incarnation);
         worker.relist(listed, now.at);
         if worker.listed.draining && !was_draining {
             self.decisions
                 .push(Decision::of_worker(&id, "it is leaving"));
-            self.vacate(&id, now);
+            self.drain_worker(&id, now);
         }
     }
 
@@ -57,7 +58,7 @@
             .map(|w| w.listed.id.clone())
             .collect();
         for id in over {
-            self.life_over(&id, "another life listens at its address", now);
+            self.end_incarnation(&id, "another life listens at its address", now);
         }
     }
 
@@ -70,23 +71,23 @@
         let address = worker.listed.address.clone();
         let is_replaced = |other: &Worker| other.is_listed && other.listed.address == address;
         if !address.is_empty() && self.workers.values().any(is_replaced) {
-            self.life_over(id, "another life listens at its address", now);
+            self.end_incarnation(id, "another life listens at its address", now);
             return;
         }
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         if worker.has_left(now.at) {
-            self.life_over(id, "it has left", now);
+            self.end_incarnation(id, "it has left", now);
         } else {
-            self.forget_if_gone(id, now);
+            self.remove_if_gone(id, now);
         }
         self.replan = true;
     }
 
     /// Takes the workers that should be asked now rather than in their turn.
     pub fn take_to_ask(&mut self) -> Vec<WorkerId> {
-        std::mem::take(&mut self.to_ask)
+        std::mem::take(&mut self.workers_to_poll)
     }
 
     /// Tells whether a worker is known.
@@ -98,6 +99,6 @@
     /// Counts changes of the set of workers.
     #[must_use]
     pub const fn worker_set(&self) -> u64 {
-        self.worker_set
+        self.worker_set_version
     }
 }
--- a/crates/stairstall-core/src/batch/planner/leaving.rs
+++ b/crates/stairstall-core/src/batch/planner/draining.rs
@@ -8,7 +8,7 @@
 
 impl Planner {
     /// Stops what can't end before a leaving worker goes.
-    pub(super) fn vacate(&mut self, id: &WorkerId, now: Now) {
+    pub(super) fn drain_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -29,7 +29,7 @@
             .collect();
         for task in moving {
             let number = worker_run(self, id, &task);
-            self.note_setback(&task.group.job, Setback::WorkerLeft);
+            self.record_setback(&task.group.job, Setback::WorkerLeft);
             self.stop_run(id, &task, "its worker is leaving", now);
             self.stop_gang(&task, number, "a member's worker is leaving", now);
         }
--- a/crates/stairstall-core/src/batch/planner/ends.rs
+++ b/crates/stairstall-core/src/batch/planner/ends.rs
@@ -13,7 +13,7 @@
     pub(super) fn take_end(&mut self, id: &WorkerId, end: &End, now: Now) {
         let change = self.apply_end(id, end, now);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.life.note_end(end.number, change);
+            worker.incarnation_state.note_end(end.number, change);
         }
         self.replan = true;
     }
@@ -24,7 +24,7 @@
             .run_at(id, &end.task)
             .is_some_and(|run| run.number <= end.run && run.state != RunState::Planned);
         let run = if is_present {
-            self.drop_run(id, &end.task)
+            self.remove_run(id, &end.task)
         } else {
             None
         };
@@ -54,10 +54,10 @@
                 self.take_done(&end.task, now);
             }
             EndKind::Failed => {
-                self.note_setback(&end.task.group.job, Setback::Failed);
+                self.record_setback(&end.task.group.job, Setback::Failed);
                 self.take_failure(id, &end.task, end.run, now);
             }
-            EndKind::Lapsed => self.note_setback(&end.task.group.job, Setback::Lost),
+            EndKind::Lapsed => self.record_setback(&end.task.group.job, Setback::Lost),
             _ => {}
         }
         self.keep_checkpoint(end);
@@ -122,17 +122,20 @@
         };
         match end.kind {
             EndKind::Done => {
-                worker.life.succeeded_at = Some(now.at);
-                worker.life.failed_jobs.clear();
-                worker.life.suspect_until = None;
+                worker.incarnation_state.succeeded_at = Some(now.at);
+                worker.incarnation_state.failed_jobs.clear();
+                worker.incarnation_state.suspect_until = None;
             }
             EndKind::Failed => {
                 let job = &end.task.group.job;
-                if !worker.life.failed_jobs.contains(job) {
-                    worker.life.failed_jobs.push(job.clone());
+                if !worker.incarnation_state.failed_jobs.contains(job) {
+                    worker.incarnation_state.failed_jobs.push(job.clone());
                 }
-                if early || worker.life.failed_jobs.len() >= usize::from(policy.failed_jobs) {
-                    worker.life.suspect_until = Some(now.at + policy.suspect_after_failure);
+                if early
+                    || worker.incarnation_state.failed_jobs.len() >= usize::from(policy.failed_jobs)
+                {
+                    worker.incarnation_state.suspect_until =
+                        Some(now.at + policy.suspect_after_failure);
                     let why = "tasks fail there: nothing new for a while";
                     self.decisions.push(Decision::of_worker(id, why));
                 }
@@ -189,7 +192,7 @@
         }
         job.change();
         self.changed.insert(key.job.clone());
-        self.touched.insert(key.job.clone());
+        self.changed_timelines.insert(key.job.clone());
         if job.is_complete() {
             self.end_job(&key.job, Outcome::Completed, "every task is done", now);
         } else {
@@ -217,7 +220,7 @@
                 self.stop_run(id, task, "the task is done", now);
                 return;
             }
-            run.unwanted_since.get_or_insert(now.at);
+            run.redundant_since.get_or_insert(now.at);
             worker.has_unsettled = true;
         }
     }
@@ -280,7 +283,7 @@
         if entry.place.as_ref() == Some(id) {
             entry.place = None;
         }
-        self.touch(&key.job);
+        self.mark_timeline_changed(&key.job);
         log::trace!(target: "planner", task:% = task, run = run.number; "released: {why}");
         self.replan = true;
     }
@@ -294,7 +297,7 @@
         why: &str,
         now: Now,
     ) {
-        let Some(run) = self.drop_run(id, task) else {
+        let Some(run) = self.remove_run(id, task) else {
             return;
         };
         self.decisions.push(Decision::of_run(
@@ -311,7 +314,7 @@
             } else {
                 Setback::NotStarted
             };
-            self.note_setback(&task.group.job, setback);
+            self.record_setback(&task.group.job, setback);
         }
         self.release(id, task, &run, why);
         if run.state != RunState::Planned {
--- a/crates/stairstall-core/src/batch/planner/evacuation.rs
+++ b/crates/stairstall-core/src/batch/planner/evacuation.rs
@@ -45,7 +45,7 @@
             return;
         }
         // Starts that waited for this knowledge can go out again.
-        self.emit_due |= !self.knows_evacuations(now);
+        self.starts_due |= !self.knows_evacuations(now);
         self.evacuation.read_at = Some(asked_at);
         if zones == self.evacuation.zones {
             return;
@@ -81,7 +81,7 @@
             })
             .collect();
         for (id, task) in places {
-            self.drop_planned(&id, &task, "its zone is evacuated", now);
+            self.cancel_planned(&id, &task, "its zone is evacuated", now);
         }
     }
 
--- a/crates/stairstall-core/src/batch/planner/explain.rs
+++ b/crates/stairstall-core/src/batch/planner/explain.rs
@@ -23,7 +23,7 @@
             age_ms: now.unix_ms.saturating_sub(accepted.accepted_unix_ms),
             spent_ms: story.spans_ms,
             setbacks: story.setbacks,
-            waits: self.waiting(id, now).map(Into::into),
+            waits: self.wait_status(id, now).map(Into::into),
             steps: self.explain_steps(id, job, now),
         })
     }
@@ -65,7 +65,7 @@
 
     /// Counts the waiting steps whose turn comes before that of a step.
     fn count_before(&self, key: &GroupKey, now: Now) -> u32 {
-        let claims = self.claims();
+        let claims = self.guaranteed_jobs();
         let candidates = self.list_candidates(&claims, now);
         let before = candidates.iter().position(|other| other.key == *key);
         u32::try_from(before.unwrap_or(0)).unwrap_or(u32::MAX)
--- a/crates/stairstall-core/src/batch/planner/fences.rs
+++ b/crates/stairstall-core/src/batch/planner/fences.rs
@@ -17,19 +17,19 @@
     ///
     /// Once there are none left the role is given up: the next planner has as many again.
     pub(super) const fn next_fence(&mut self) -> u64 {
-        if self.lives_begun + 1 == LIVES_PER_TENURE {
-            self.deposed = true;
+        if self.incarnations_started + 1 == LIVES_PER_TENURE {
+            self.superseded = true;
         } else {
-            self.lives_begun += 1;
+            self.incarnations_started += 1;
         }
-        self.token * LIVES_PER_TENURE + self.lives_begun
+        self.token * LIVES_PER_TENURE + self.incarnations_started
     }
 
     /// Takes word that a worker has seen a higher token than a call brought: another planner has taken over,
     /// unless the call was meant for an earlier life.
     pub fn note_fenced(&mut self, id: &WorkerId, token: u64) {
         if self.is_present_fence(id, token) {
-            self.deposed = true;
+            self.superseded = true;
         }
     }
 
--- a/crates/stairstall-core/src/batch/planner/fit.rs
+++ b/crates/stairstall-core/src/batch/planner/fit.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use super::candidate::{Candidate, URGENT};
+use super::candidate_worker::{CandidateWorker, SearchScope, Victims};
 use super::job::{Group, Job};
-use super::pass::{Pass, RoomKind};
-use super::pool::{Health, Run, RunState, Suspicion, Worker};
-use super::site::{Scope, Site, Victims};
+use super::pass::{CapacityKind, Pass};
+use super::pool::{CrashSuspicion, RequiredHealth, Run, RunState, Worker};
 use super::{Now, Planner};
 use crate::WorkerId;
 use crate::batch::{Decision, DecisionKind, GroupKey, Setback, StepSpec, WorkerPace};
@@ -52,8 +52,9 @@
             let sites = self.sites(candidate, &step, scope, pass, now);
             let sites = self.advised(key, sites, waiting.len(), now);
             let choice = search(&step, count, scope, sites, paces.as_ref());
-            let choice =
-                choice.filter(|choice| self.is_worth_it(candidate, &step, choice, pass, now));
+            let choice = choice.filter(|choice| {
+                self.is_preemption_worthwhile(candidate, &step, choice, pass, now)
+            });
             let choice = choice.map(|choice| {
                 let paces = paces.as_ref();
                 let sooner =
@@ -67,13 +68,13 @@
                 self.settle(candidate, &step, &taken, &choice, scope, now);
                 pass.note_placed(choice.places.len(), accelerators);
                 if !choice.victims.is_empty() {
-                    pass.forget_room();
+                    pass.invalidate_capacity();
                 }
             }
         }
         let waited = now.at - ready_since;
         if step.gang && !waiting.is_empty() && waited >= self.policy.places.hold_back_after {
-            self.hold_back(candidate, &step, &mut pass.held_back, now);
+            self.hold_back(candidate, &step, &mut pass.reserved, now);
         }
     }
 
@@ -84,7 +85,7 @@
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
-        scope: Scope,
+        scope: SearchScope,
         free: &Choice,
         paces: Option<&PaceCosts>,
         pass: &mut Pass,
@@ -94,7 +95,7 @@
         if candidate.rank > URGENT || scope.preempts {
             return None;
         }
-        let scope = Scope {
+        let scope = SearchScope {
             preempts: true,
             ..scope
         };
@@ -109,7 +110,7 @@
         let is_in_time = paces.ends_in_time(choice.slowest, self.bounds.stop_max);
         (is_better && is_in_time)
             .then_some(choice)
-            .filter(|choice| self.is_worth_it(candidate, step, choice, pass, now))
+            .filter(|choice| self.is_preemption_worthwhile(candidate, step, choice, pass, now))
     }
 
     /// Tells whether looking for places can lead to anything: there must be room, or an adviser
@@ -118,7 +119,7 @@
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        scope: Scope,
+        scope: SearchScope,
         count: usize,
         pass: &mut Pass,
         now: Now,
@@ -128,9 +129,9 @@
             return true;
         }
         let kind = if scope.preempts {
-            RoomKind::Above(self.spared_for(candidate, now))
+            CapacityKind::Above(self.spared_for(candidate, now))
         } else {
-            RoomKind::Free
+            CapacityKind::Free
         };
         let ceiling = self.ceiling(key, step, scope.near, kind, pass);
         count > 0 && ceiling.allows(step, as_u32(count), scope)
@@ -140,7 +141,7 @@
     fn spared_for(&self, candidate: &Candidate, now: Now) -> u8 {
         let since_accepted = self.since_accepted(&candidate.key, now);
         let waited = self.waited(&candidate.key, now).max(since_accepted);
-        self.spared_rank(candidate.rank, waited)
+        self.protected_rank(candidate.rank, waited)
     }
 
     pub(super) fn waited(&self, key: &GroupKey, now: Now) -> Duration {
@@ -177,10 +178,10 @@
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        scope: Scope,
+        scope: SearchScope,
         pass: &mut Pass,
         now: Now,
-    ) -> Vec<Site> {
+    ) -> Vec<CandidateWorker> {
         let key = &candidate.key;
         let urgent = candidate.rank <= URGENT;
         let demand = self.demanded_health(key, urgent, self.waited(key, now));
@@ -194,11 +195,14 @@
         let is_advised = self.ticket_validity(key).is_some();
         let costs = self.place_costs(step, key);
         if scope.preempts {
-            pass.gang_losses
-                .get_or_insert_with(|| self.gang_losses(now));
+            pass.gang_preemption_costs
+                .get_or_insert_with(|| self.gang_preemption_costs(now));
         }
-        let losses = pass.gang_losses.as_ref().filter(|_| scope.preempts);
-        let held_back = &pass.held_back;
+        let losses = pass
+            .gang_preemption_costs
+            .as_ref()
+            .filter(|_| scope.preempts);
+        let held_back = &pass.reserved;
         let apart = self.apart(key, urgent, now);
         let knows_paces = self.paces.is_uneven();
         self.workers
@@ -206,16 +210,16 @@
             .filter(|(_, w)| scope.preempts || is_advised || needs.fits(&w.free()))
             .filter(|(_, w)| w.takes_tasks() && w.suits(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
-            .filter(|(_, w)| w.is_quiet_for(step))
+            .filter(|(_, w)| w.can_colocate(step))
             .filter(|(_, w)| apart.allows(w, now.at))
             .filter(|(_, w)| !scope.near || w.is_near(step))
             .filter(|(id, _)| urgent || self.may_use(candidate, step, id, held_back, now))
             .filter(|(_, w)| w.is_healthy(demand, now.at))
-            .map(|(id, w)| Site {
+            .map(|(id, w)| CandidateWorker {
                 worker: id.clone(),
                 rack: w.listed.rack.clone(),
                 room: if scope.preempts {
-                    w.free_soon()
+                    w.free_after_stops()
                 } else {
                     w.free()
                 },
@@ -227,7 +231,7 @@
                 } else {
                     WorkerPace::UNKNOWN
                 },
-                is_explored: knows_paces && w.runs.values().any(|run| !run.gang),
+                pace_pending: knows_paces && w.runs.values().any(|run| !run.gang),
                 in_other_zone: home.as_ref().is_some_and(|home| *home != w.listed.zone),
                 victims: losses.map_or_else(Victims::default, |losses| {
                     Victims::of(w, spares, losses, now.at, &self.policy.victims)
@@ -238,16 +242,16 @@
     }
 
     /// Returns what a worker must have shown before it gets a task of the step.
-    fn demanded_health(&self, key: &GroupKey, urgent: bool, waited: Duration) -> Health {
+    fn demanded_health(&self, key: &GroupKey, urgent: bool, waited: Duration) -> RequiredHealth {
         let failures = self.group_of(key).map_or(0, Group::worst_failures);
         let failed_early = self.group_of(key).is_some_and(|group| group.failed_early);
         let attempts = self.attempts(&key.job).unwrap_or(1);
         if waited > self.suspect_patience(urgent) {
-            Health::Any
+            RequiredHealth::Any
         } else if failed_early && failures + 1 >= attempts {
-            Health::Proven
+            RequiredHealth::Proven
         } else {
-            Health::NotSuspect
+            RequiredHealth::NotSuspect
         }
     }
 
@@ -277,13 +281,13 @@
         step: &StepSpec,
         tasks: &[u32],
         choice: &Choice,
-        scope: Scope,
+        scope: SearchScope,
         now: Now,
     ) {
         let key = &candidate.key;
         for (id, task) in &choice.victims {
-            self.note_setback(&task.group.job, Setback::GaveWay);
-            self.note_gave_way(&task.group, now);
+            self.record_setback(&task.group.job, Setback::GaveWay);
+            self.record_preemption(&task.group, now);
             self.stop_run(id, task, &format!("gives way to {key}"), now);
             if let Some(run) = self.run_at(id, task) {
                 let number = run.number;
@@ -308,11 +312,11 @@
             return;
         };
         self.changed.insert(key.job.clone());
-        self.touch(&key.job);
+        self.mark_timeline_changed(&key.job);
         for (index, id) in tasks.iter().zip(&choice.places) {
             let task = key.task(*index);
             let mut run = self.planned_run(candidate, step, id, number, now);
-            run.recorded_by = recorded_by;
+            run.placement_change = recorded_by;
             run.suspicion = self.suspicion(&task);
             if let Some(job) = self.jobs.get_mut(&key.job)
                 && let Some(group) = job.group_mut(key)
@@ -323,7 +327,7 @@
                 task.incarnation = run.incarnation;
                 task.taken = false;
             }
-            self.keep_run(id, &task, run);
+            self.insert_run(id, &task, run);
             let why = format!(
                 "rank {}, waited {waited} ms, {}{}{}",
                 candidate.rank,
@@ -344,7 +348,7 @@
             ));
         }
         self.planned.insert(key.clone());
-        self.commit_use(candidate, step, tasks.len(), now);
+        self.commit_usage(candidate, step, tasks.len(), now);
     }
 
     /// Says the pace that is counted on at a worker, where it is known to differ.
@@ -385,17 +389,17 @@
             percent: 0,
             progressed_at: now.at,
             reported_at: now.at,
-            unwanted_since: None,
+            redundant_since: None,
             began: None,
-            told: None,
+            pace_sampled: None,
             resumes: false,
-            taken: false,
+            start_confirmed: false,
             fence: 0,
             incarnation: self.incarnation_of(id),
             is_listed: false,
-            recorded_by: 0,
+            placement_change: 0,
             restored: false,
-            suspicion: Suspicion::None,
+            suspicion: CrashSuspicion::None,
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/fit/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/choose.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::super::site::{self, Scope, Site};
+use super::super::candidate_worker::{self, CandidateWorker, SearchScope};
 use super::cost::PaceCosts;
 use crate::batch::{Resources, StepSpec, TaskKey};
 use crate::{RackId, WorkerId};
@@ -29,8 +29,8 @@
 pub(super) fn search(
     step: &StepSpec,
     count: usize,
-    scope: Scope,
-    sites: Vec<Site>,
+    scope: SearchScope,
+    sites: Vec<CandidateWorker>,
     paces: Option<&PaceCosts>,
 ) -> Option<Choice> {
     if count == 0 {
@@ -49,7 +49,7 @@
 
 /// Chooses places by what the pace of workers costs beside all else.
 fn choose_by_pace(
-    sites: Vec<Site>,
+    sites: Vec<CandidateWorker>,
     needs: &Resources,
     count: usize,
     whole: bool,
@@ -71,13 +71,13 @@
 /// Chooses places for a gang, which goes at the pace of its slowest member: the fastest workers are
 /// tried first, then slower ones with them; the cheapest is taken.
 fn choose_of_one_pace(
-    sites: &[Site],
+    sites: &[CandidateWorker],
     needs: &Resources,
     count: usize,
     paces: &PaceCosts,
 ) -> Option<Choice> {
     let choices = slowest_of_sets(sites).into_iter().filter_map(|slowest| {
-        let mut set: Vec<Site> = sites
+        let mut set: Vec<CandidateWorker> = sites
             .iter()
             .filter(|site| site.pace.factor <= slowest)
             .cloned()
@@ -95,7 +95,7 @@
 
 /// Returns the factors of the slowest workers of each set that may be tried, fastest first; the last
 /// has all workers.
-fn slowest_of_sets(sites: &[Site]) -> Vec<f64> {
+fn slowest_of_sets(sites: &[CandidateWorker]) -> Vec<f64> {
     let mut factors: Vec<f64> = sites.iter().map(|site| site.pace.factor).collect();
     factors.sort_by(f64::total_cmp);
     factors.dedup();
@@ -116,8 +116,8 @@
     slowest
 }
 
-fn by_rack(sites: Vec<Site>) -> BTreeMap<RackId, Vec<Site>> {
-    let mut racks = BTreeMap::<RackId, Vec<Site>>::new();
+fn by_rack(sites: Vec<CandidateWorker>) -> BTreeMap<RackId, Vec<CandidateWorker>> {
+    let mut racks = BTreeMap::<RackId, Vec<CandidateWorker>>::new();
     for site in sites {
         racks.entry(site.rack.clone()).or_default().push(site);
     }
@@ -125,7 +125,7 @@
 }
 
 /// Tells whether `count` tasks would have room if all that may gave way.
-fn might_hold(sites: &[Site], needs: &Resources, count: usize) -> bool {
+fn might_hold(sites: &[CandidateWorker], needs: &Resources, count: usize) -> bool {
     let most = u32::try_from(count).unwrap_or(u32::MAX);
     let times = sites.iter().map(|site| {
         let room = site.room.plus(&site.victims.room());
@@ -153,12 +153,12 @@
     victims: Vec<TaskKey>,
 }
 
-impl Site {
+impl CandidateWorker {
     /// Notes that a task there will tell the worker's pace.
     fn explore(&mut self, paces: &PaceCosts) {
         let factor = self.pace.factor;
         let before = paces.of(self, factor);
-        self.is_explored = true;
+        self.pace_pending = true;
         self.penalty = self.penalty.saturating_sub(before) + paces.of(self, factor);
     }
 
@@ -167,7 +167,7 @@
             return None;
         }
         let wanted = needs.plus(&self.shortage);
-        let (cost, victims) = self.victims.to_fit(&wanted, &self.room)?;
+        let (cost, victims) = self.victims.select(&wanted, &self.room)?;
         let left = self.room.minus(needs);
         Some(Offer {
             rank: (
@@ -188,7 +188,7 @@
 ///
 /// With `paces` a worker whose pace the first task there will tell is no better than others for the next.
 fn choose(
-    mut sites: Vec<Site>,
+    mut sites: Vec<CandidateWorker>,
     needs: &Resources,
     count: usize,
     whole: bool,
@@ -208,7 +208,7 @@
         choice.cost += offer.cost + sites[index].penalty;
         choice.in_other_zones += usize::from(sites[index].in_other_zone);
         for victim in offer.victims {
-            for changed in site::give_way(&mut sites, index, &victim) {
+            for changed in candidate_worker::preempt(&mut sites, index, &victim) {
                 offers[changed] = sites[changed].offer(needs);
             }
             choice.victims.push((sites[index].worker.clone(), victim));
--- a/crates/stairstall-core/src/batch/planner/fit/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/cost.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::super::candidate::{Candidate, URGENT};
-use super::super::pool::{Suspicion, Worker};
-use super::super::site::Site;
+use super::super::candidate_worker::CandidateWorker;
+use super::super::pool::{CrashSuspicion, Worker};
 use super::super::{Now, Planner};
 use crate::batch::{GroupKey, PlacePolicy, StepSpec, WorkerPacePolicy};
 use crate::time::millis;
@@ -34,7 +34,7 @@
         if worker.is_suspect(at) {
             cost += self.work * u64::from(self.policy.suspect_penalty);
         }
-        if self.has_failed && worker.life.succeeded_at.is_none() {
+        if self.has_failed && worker.incarnation_state.succeeded_at.is_none() {
             cost += self.work * u64::from(self.policy.unproven_penalty);
         }
         if self.failed_at.contains(&&worker.listed.id) {
@@ -94,7 +94,7 @@
         clippy::cast_sign_loss,
         reason = "core-milliseconds of work are far below 2^52"
     )]
-    pub(super) fn of(&self, site: &Site, factor: f64) -> u64 {
+    pub(super) fn of(&self, site: &CandidateWorker, factor: f64) -> u64 {
         let times = if self.is_pressed || self.ends_late(factor) && !self.is_overdue {
             self.when_pressed(site, factor)
         } else {
@@ -104,7 +104,7 @@
     }
 
     /// It pays the time that it needs there, and for what isn't known.
-    fn when_pressed(&self, site: &Site, factor: f64) -> f64 {
+    fn when_pressed(&self, site: &CandidateWorker, factor: f64) -> f64 {
         let mut times = factor;
         if self.is_late_by_pace(factor) {
             times += fraction(self.policy.late_percent);
@@ -117,7 +117,7 @@
 
     /// It pays the place that others could have used better; a worker that isn't known costs a
     /// task nothing that will tell its pace.
-    fn when_there_is_time(&self, site: &Site, factor: f64) -> f64 {
+    fn when_there_is_time(&self, site: &CandidateWorker, factor: f64) -> f64 {
         if self.explores(site) {
             return 0.0;
         }
@@ -125,8 +125,8 @@
         fraction(self.policy.spare_percent) * factor / (here * here)
     }
 
-    fn explores(&self, site: &Site) -> bool {
-        !self.is_gang && !site.pace.is_known && !site.is_explored
+    fn explores(&self, site: &CandidateWorker) -> bool {
+        !self.is_gang && !site.pace.is_known && !site.pace_pending
     }
 }
 
@@ -200,6 +200,6 @@
     /// Tells whether it has a run of another job under which workers were lost before.
     fn has_suspect_beside(&self, job: &JobId) -> bool {
         let mut others = self.runs.iter().filter(|(task, _)| task.group.job != *job);
-        others.any(|(_, run)| run.suspicion != Suspicion::None)
+        others.any(|(_, run)| run.suspicion != CrashSuspicion::None)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::super::candidate::Candidate;
-use super::super::pass::{HeldBack, Holder};
+use super::super::pass::{ReservationHolder, ReservedWorkers};
 use super::super::pool::Worker;
 use super::super::{Now, Planner};
 use crate::batch::{GroupKey, Resources, StepSpec, Timeliness};
@@ -47,7 +47,7 @@
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
-        held_back: &mut HeldBack,
+        held_back: &mut ReservedWorkers,
         now: Now,
     ) {
         let key = &candidate.key;
@@ -88,8 +88,8 @@
         &mut self,
         candidates: &[Candidate],
         now: Now,
-    ) -> HeldBack {
-        let mut held_back = HeldBack::default();
+    ) -> ReservedWorkers {
+        let mut held_back = ReservedWorkers::default();
         let keeps_dates = self.policy.places.keeps_dates;
         self.reservations.retain(|key, reservation| {
             let candidate = candidates.iter().find(|one| one.key == *key);
@@ -116,7 +116,7 @@
         candidate: &Candidate,
         step: &StepSpec,
         id: &WorkerId,
-        held_back: &HeldBack,
+        held_back: &ReservedWorkers,
         now: Now,
     ) -> bool {
         let Some(holder) = held_back.workers.get(id) else {
@@ -125,7 +125,7 @@
         if holder.comes_after(candidate) {
             return true;
         }
-        self.ends_before(holder.date, candidate, step, id, now)
+        self.ends_before(holder.expected_start, candidate, step, id, now)
     }
 
     /// Tells whether a task of a step surely ends at a worker before a date.
@@ -152,7 +152,7 @@
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        held_back: &HeldBack,
+        held_back: &ReservedWorkers,
     ) -> Option<Found> {
         let sites = self.sites_by_date(candidate, step, held_back);
         let soonest = soonest_of(&sites, step);
@@ -175,7 +175,7 @@
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        held_back: &HeldBack,
+        held_back: &ReservedWorkers,
     ) -> Vec<DatedSite<'_>> {
         let service = self.service_of(&candidate.key);
         let shown_percent = self.policy.places.shown_percent;
@@ -201,13 +201,13 @@
     }
 }
 
-impl HeldBack {
+impl ReservedWorkers {
     fn add(&mut self, candidate: &Candidate, reservation: &Reservation) {
-        let holder = Holder {
+        let holder = ReservationHolder {
             gang: candidate.key.clone(),
             rank: reservation.rank,
             used: candidate.turn.used,
-            date: reservation.filled_until,
+            expected_start: reservation.filled_until,
         };
         for id in &reservation.workers {
             self.workers.insert(id.clone(), holder.clone());
@@ -221,7 +221,7 @@
     }
 }
 
-impl Holder {
+impl ReservationHolder {
     /// Tells whether a step comes before the gang that room is kept for: it is that gang, of a rank
     /// before it, the oldest aged one, or of a customer that has had less.
     fn comes_after(&self, candidate: &Candidate) -> bool {
--- a/crates/stairstall-core/src/batch/planner/fit/scope.rs
+++ b/crates/stairstall-core/src/batch/planner/fit/scope.rs
@@ -5,8 +5,8 @@
 use super::super::Now;
 use super::super::Planner;
 use super::super::candidate::{CLAIM, Candidate, URGENT};
-use super::super::pass::{Pass, RoomKind};
-use super::super::site::Scope;
+use super::super::candidate_worker::SearchScope;
+use super::super::pass::{CapacityKind, Pass};
 use crate::Timestamp;
 use crate::batch::{GroupKey, StepSpec};
 
@@ -19,14 +19,14 @@
         ready_since: Timestamp,
         pass: &mut Pass,
         now: Now,
-    ) -> Vec<Scope> {
+    ) -> Vec<SearchScope> {
         let urgent = candidate.rank <= URGENT;
-        let mut scopes = vec![Scope {
+        let mut scopes = vec![SearchScope {
             near: true,
             preempts: false,
         }];
         if urgent {
-            scopes.push(Scope {
+            scopes.push(SearchScope {
                 near: true,
                 preempts: true,
             });
@@ -36,7 +36,7 @@
             self.policy
                 .places
                 .near_patience_urgent
-                .max(self.claim_patience())
+                .max(self.guaranteed_wait_limit())
         } else if urgent {
             self.policy.places.near_patience_urgent
         } else {
@@ -45,12 +45,12 @@
         let waited = now.at - ready_since;
         let gives_up = waited >= patience || !self.could_be_near(&candidate.key, step, pass);
         if prefers_near && gives_up {
-            scopes.push(Scope {
+            scopes.push(SearchScope {
                 near: false,
                 preempts: false,
             });
             if urgent {
-                scopes.push(Scope {
+                scopes.push(SearchScope {
                     near: false,
                     preempts: true,
                 });
@@ -64,11 +64,11 @@
         if !step.gang {
             return true;
         }
-        let scope = Scope {
+        let scope = SearchScope {
             near: true,
             preempts: false,
         };
-        let ceiling = self.ceiling(key, step, scope.near, RoomKind::Whole, pass);
+        let ceiling = self.ceiling(key, step, scope.near, CapacityKind::Whole, pass);
         ceiling.allows(step, step.count, scope)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -101,14 +101,14 @@
         let window = self.flow.start_window(&self.policy.flow);
         let window = usize::try_from(window).unwrap_or(usize::MAX).max(1);
         let under_way = *pass
-            .under_way
+            .starts_in_flight
             .get_or_insert_with(|| self.starts_under_way());
         let left = window.saturating_sub(under_way);
         let fits = count <= left || under_way == 0;
         let startable = match (gang, fits) {
             (true, true) => count,
             (true, false) => {
-                pass.under_way = Some(under_way.max(window));
+                pass.starts_in_flight = Some(under_way.max(window));
                 0
             }
             (false, _) => count.min(left),
@@ -131,7 +131,9 @@
         let listed = self.workers.values().filter(|w| w.is_listed);
         let (answering, silent): (Vec<_>, Vec<_>) = listed.partition(|w| w.is_in_contact());
         let busy = answering.into_iter().filter(|w| !w.runs.is_empty());
-        let ages = busy.filter_map(|w| w.life.heard_at).map(|at| now.at - at);
+        let ages = busy
+            .filter_map(|w| w.incarnation_state.last_answer_at)
+            .map(|at| now.at - at);
         ContactLag {
             silent: silent.len(),
             oldest_report: ages.max().unwrap_or_default(),
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -74,7 +74,7 @@
             watched: self.first_tick_at.map_or(Duration::ZERO, |at| now.at - at),
         };
         *pass
-            .room_for_urgent
+            .urgent_headroom
             .get_or_insert_with(|| self.demand.room(&outlook, policy, now.at))
     }
 
@@ -91,10 +91,10 @@
         let Some(job) = job.filter(|_| is_gang && yields_from > 0.0) else {
             return 1.0;
         };
-        if self.waits_to_return(&candidate.key, now) {
+        if self.in_preemption_backoff(&candidate.key, now) {
             return f64::MAX;
         }
-        if turn.timeliness != Timeliness::InTime || self.gave_way(&candidate.key) {
+        if turn.timeliness != Timeliness::InTime || self.was_preempted(&candidate.key) {
             // What urgent work takes back a moment later is lost to both.
             return 1.0;
         }
--- a/crates/stairstall-core/src/batch/planner/lives.rs
+++ b/crates/stairstall-core/src/batch/planner/incarnations.rs
@@ -7,11 +7,11 @@
 
 impl Planner {
     /// Takes word that this life of a worker is over: nothing of it runs.
-    pub fn life_over(&mut self, id: &WorkerId, why: &str, now: Now) {
+    pub fn end_incarnation(&mut self, id: &WorkerId, why: &str, now: Now) {
         let Some(mut worker) = self.workers.remove(id) else {
             return;
         };
-        self.worker_set += 1;
+        self.worker_set_version += 1;
         if worker.is_listed {
             self.paces.begin_life(id, now.at);
         } else {
@@ -21,14 +21,14 @@
             .push(Decision::of_worker(id, format!("its life is over: {why}")));
         let runs: Vec<_> = std::mem::take(&mut worker.runs).into_iter().collect();
         self.release_lost(id, &runs, now);
-        let mut suspects = std::mem::take(&mut worker.lost);
-        if worker.leaves() {
+        let mut suspects = std::mem::take(&mut worker.lost_tasks);
+        if worker.is_leaving() {
             self.forgive(id, &suspects);
         } else {
             // A crash lists no ends: uncounted, its tasks would start on worker after worker, each of
             // which they may crash too.
             self.confirm(id, &suspects);
-            suspects.extend(self.count_crash(id, worker.life.heard_at, &runs));
+            suspects.extend(self.count_crash(id, worker.incarnation_state.last_answer_at, &runs));
             self.give_up_crashing(&suspects, now);
         }
         self.replan = true;
@@ -41,7 +41,7 @@
     pub(super) fn release_lost(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)], now: Now) {
         for (task, run) in runs {
             self.run_index.remove(task, id);
-            self.note_setback(&task.group.job, Setback::Lost);
+            self.record_setback(&task.group.job, Setback::Lost);
             self.release(id, task, run, "its worker's life is over");
         }
         for (task, run) in runs {
@@ -57,7 +57,7 @@
     /// Drops a worker that is listed no longer and has nothing.
     ///
     /// One that may have crashed under tasks is asked on for a while: its answer tells that it did not.
-    pub(super) fn forget_if_gone(&mut self, id: &WorkerId, now: Now) {
+    pub(super) fn remove_if_gone(&mut self, id: &WorkerId, now: Now) {
         let vanished_after = self.policy.health.vanished_after;
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -65,12 +65,12 @@
         if worker.is_listed || !worker.runs.is_empty() {
             return;
         }
-        if worker.lost.is_empty() {
+        if worker.lost_tasks.is_empty() {
             self.workers.remove(id);
-            self.worker_set += 1;
+            self.worker_set_version += 1;
             self.paces.forget(id);
         } else if worker.has_vanished(now.at, vanished_after) {
-            self.life_over(id, "it is listed no longer and does not answer", now);
+            self.end_incarnation(id, "it is listed no longer and does not answer", now);
         }
     }
 
@@ -84,17 +84,20 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in left {
-            self.life_over(&id, "it has left", now);
+            self.end_incarnation(&id, "it has left", now);
         }
     }
 
     /// Takes workers for crashed that were lost while they ran something, and have come back neither
     /// to the directory nor to an answer.
     pub(super) fn end_lives_of_the_vanished(&mut self, now: Now) {
-        let doubtful = self.workers.iter().filter(|(_, w)| !w.lost.is_empty());
+        let doubtful = self
+            .workers
+            .iter()
+            .filter(|(_, w)| !w.lost_tasks.is_empty());
         let doubtful: Vec<WorkerId> = doubtful.map(|(id, _)| id.clone()).collect();
         for id in doubtful {
-            self.forget_if_gone(&id, now);
+            self.remove_if_gone(&id, now);
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/learnt.rs
+++ b/crates/stairstall-core/src/batch/planner/learned.rs
@@ -8,7 +8,7 @@
 impl Planner {
     /// Returns what the next planner should know at once.
     #[must_use]
-    pub fn learnt(&self, now: Now) -> Learnt {
+    pub fn learned_estimates(&self, now: Now) -> Learnt {
         Learnt {
             at_unix_ms: now.unix_ms,
             run_times: self.run_times.kept(now.at),
@@ -16,9 +16,9 @@
         }
     }
 
-    /// Takes what an earlier planner had learnt; call it before [`Planner::load`], which judges what
+    /// Takes what an earlier planner had learnt; call it before [`Planner::restore_job`], which judges what
     /// runs by it.
-    pub fn take_learnt(&mut self, learnt: Learnt, now: Now) {
+    pub fn restore_learned_estimates(&mut self, learnt: Learnt, now: Now) {
         let age = Duration::from_millis(now.unix_ms.saturating_sub(learnt.at_unix_ms));
         self.run_times.restore(&learnt.run_times, age, now.at);
         self.paces.restore(learnt.paces, age, now.at);
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -5,7 +5,7 @@
 
 use super::job::{Job, Task};
 use super::pool::{Run, RunState, Worker};
-use super::queue::accelerators;
+use super::queue::max_accelerators;
 use super::{Now, Planner};
 use crate::batch::load::MAX_ENTRIES;
 use crate::batch::{
@@ -195,7 +195,7 @@
         let urgent = self.jobs.values().filter(|job| {
             job.accepted.queue.priority == 0 && now.at - job.arrived_at <= URGENT_WINDOW
         });
-        urgent.fold(0, |sum: u32, job| sum.saturating_add(accelerators(job)))
+        urgent.fold(0, |sum: u32, job| sum.saturating_add(max_accelerators(job)))
     }
 
     /// Keeps when a job that arrives should begin, where that was worked out a moment ago.
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -167,7 +167,7 @@
         for (id, task) in told {
             let worker = self.workers.get_mut(&id);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&task)) {
-                run.told = Some((run.reported_at, run.percent));
+                run.pace_sampled = Some((run.reported_at, run.percent));
             }
         }
     }
@@ -202,7 +202,7 @@
 
     /// Returns from when on, and from which percentage, nothing was learnt from it.
     fn told_until(&self) -> Option<(Timestamp, u8)> {
-        self.told.or(self.began)
+        self.pace_sampled.or(self.began)
     }
 
     /// Returns what is new of it, once that is enough.
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -3,26 +3,26 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::Planner;
+use super::candidate_worker::SearchScope;
 use super::pool::Worker;
-use super::site::Scope;
 use crate::batch::{GroupKey, Resources, StepSpec};
 use crate::{RackId, ServiceId, Timestamp, WorkerId};
 
 /// Workers whose room is kept for gangs that wait.
 #[derive(Debug, Default)]
-pub(super) struct HeldBack {
-    pub(super) workers: BTreeMap<WorkerId, Holder>,
+pub(super) struct ReservedWorkers {
+    pub(super) workers: BTreeMap<WorkerId, ReservationHolder>,
 }
 
 /// Whom a worker's room is kept for.
 #[derive(Debug, Clone)]
-pub(super) struct Holder {
+pub(super) struct ReservationHolder {
     pub(super) gang: GroupKey,
     pub(super) rank: u8,
     /// What its customer has used, as it stood in this pass.
     pub(super) used: u64,
     /// From when on it is to be free.
-    pub(super) date: Timestamp,
+    pub(super) expected_start: Timestamp,
 }
 
 /// Facts about the fleet that hold until something is made to give way.
@@ -31,20 +31,20 @@
 /// 5,000 waiting tasks, and 0.6 ms with these (`benches/planner`): most of the steps are alike.
 #[derive(Debug, Default)]
 pub(super) struct Pass {
-    pub(super) held_back: HeldBack,
+    pub(super) reserved: ReservedWorkers,
     ceilings: HashMap<Shape, Ceiling>,
     free_accelerators: Option<u32>,
     /// Accelerators to be kept free for urgent work, once that was asked for.
-    pub(super) room_for_urgent: Option<f64>,
+    pub(super) urgent_headroom: Option<f64>,
     /// Runs that wait to be started or for an answer, once they were counted.
-    pub(super) under_way: Option<usize>,
+    pub(super) starts_in_flight: Option<usize>,
     /// What stopping each gang that runs would throw away, once it was asked for.
-    pub(super) gang_losses: Option<BTreeMap<GroupKey, u64>>,
+    pub(super) gang_preemption_costs: Option<BTreeMap<GroupKey, u64>>,
 }
 
 /// The room of a worker that a step may count on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum RoomKind {
+pub(super) enum CapacityKind {
     /// All that the worker has.
     Whole,
     /// What nothing has or will have.
@@ -56,7 +56,7 @@
 /// What decides how many tasks of a step fit into a worker's room.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Shape {
-    kind: RoomKind,
+    kind: CapacityKind,
     service: Option<ServiceId>,
     needs: Resources,
     required_label: Option<String>,
@@ -75,7 +75,7 @@
 
 impl Ceiling {
     /// Tells whether `count` tasks of a step might find room.
-    pub(super) const fn allows(self, step: &StepSpec, count: u32, scope: Scope) -> bool {
+    pub(super) const fn allows(self, step: &StepSpec, count: u32, scope: SearchScope) -> bool {
         if !step.gang {
             return self.total > 0;
         }
@@ -90,15 +90,15 @@
 
 impl Pass {
     /// Forgets what no longer holds once something gives way.
-    pub(super) fn forget_room(&mut self) {
+    pub(super) fn invalidate_capacity(&mut self) {
         self.ceilings.clear();
         self.free_accelerators = None;
-        self.gang_losses = None;
+        self.gang_preemption_costs = None;
     }
 
     /// Notes tasks that got places, and how many accelerators they took that were free.
     pub(super) fn note_placed(&mut self, tasks: usize, accelerators: u32) {
-        if let Some(under_way) = &mut self.under_way {
+        if let Some(under_way) = &mut self.starts_in_flight {
             *under_way += tasks;
         }
         if let Some(free) = &mut self.free_accelerators {
@@ -114,7 +114,7 @@
         key: &GroupKey,
         step: &StepSpec,
         near: bool,
-        kind: RoomKind,
+        kind: CapacityKind,
         pass: &mut Pass,
     ) -> Ceiling {
         let shape = Shape {
@@ -164,11 +164,11 @@
 }
 
 impl Worker {
-    fn room_of(&self, kind: RoomKind) -> Resources {
+    fn room_of(&self, kind: CapacityKind) -> Resources {
         match kind {
-            RoomKind::Whole => self.listed.capacity,
-            RoomKind::Free => self.free(),
-            RoomKind::Above(rank) => self.room_above(rank),
+            CapacityKind::Whole => self.listed.capacity,
+            CapacityKind::Free => self.free(),
+            CapacityKind::Above(rank) => self.room_above(rank),
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -6,15 +6,15 @@
 use crate::batch::{HoldRequest, ListedWorker, Resources, StepSpec, TaskKey};
 use crate::{RackId, ServiceId, Timestamp, WorkerId, ZoneId};
 
-mod life;
+mod incarnation;
 mod run;
 
-pub(super) use life::{Answerer, Life};
-pub(super) use run::{Run, RunState, Suspicion};
+pub(super) use incarnation::{AnswerSource, IncarnationState};
+pub(super) use run::{CrashSuspicion, Run, RunState};
 
 /// What a worker must have shown before it gets a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Health {
+pub(super) enum RequiredHealth {
     /// Nothing.
     Any,
     /// Nothing failed or stood still there lately.
@@ -29,7 +29,7 @@
     pub(super) listed: ListedWorker,
     pub(super) is_listed: bool,
     /// What is known of its present life.
-    pub(super) life: Life,
+    pub(super) incarnation_state: IncarnationState,
     /// The token that all calls meant for its present life bring.
     pub(super) fence: u64,
     /// Whether its availability zone is evacuated, so that nothing may start there.
@@ -48,13 +48,13 @@
     leaves_at: Option<Timestamp>,
     /// The last task that was put here for its last chance: until it has worked for a while, nothing
     /// else starts here.
-    pub(super) last_chance: Option<TaskKey>,
+    pub(super) last_attempt: Option<TaskKey>,
     /// Tasks whose runs were given up when its lease was over: it may have crashed under them.
-    pub(super) lost: Vec<TaskKey>,
+    pub(super) lost_tasks: Vec<TaskKey>,
     /// Since when the directory lists it no longer.
     unlisted_at: Option<Timestamp>,
     /// When it last answered after a silence.
-    pub(super) heard_again_at: Option<Timestamp>,
+    pub(super) contact_restored_at: Option<Timestamp>,
 }
 
 impl Worker {
@@ -62,7 +62,7 @@
         let mut worker = Self {
             listed: listed.clone(),
             is_listed: true,
-            life: Life::begun(listed.incarnation),
+            incarnation_state: IncarnationState::begun(listed.incarnation),
             fence,
             in_evacuated_zone: false,
             runs: BTreeMap::new(),
@@ -72,10 +72,10 @@
             is_asked: false,
             lease_until: None,
             leaves_at: None,
-            last_chance: None,
-            lost: Vec::new(),
+            last_attempt: None,
+            lost_tasks: Vec::new(),
             unlisted_at: None,
-            heard_again_at: None,
+            contact_restored_at: None,
         };
         worker.relist(listed, at);
         worker
@@ -109,7 +109,7 @@
     pub(super) fn relist(&mut self, listed: ListedWorker, at: Timestamp) {
         self.is_listed = true;
         self.unlisted_at = None;
-        self.life.left_quietly = false;
+        self.incarnation_state.left_unannounced = false;
         let is_new = listed.incarnation != self.listed.incarnation;
         if is_new || listed.draining && !self.listed.draining || self.leaves_at.is_none() {
             self.leaves_at = listed
@@ -130,8 +130,8 @@
     }
 
     /// Tells whether it goes by plan: its end is not a crash.
-    pub(super) const fn leaves(&self) -> bool {
-        self.listed.draining || self.life.left_quietly
+    pub(super) const fn is_leaving(&self) -> bool {
+        self.listed.draining || self.incarnation_state.left_unannounced
     }
 
     /// Tells whether it has been missing in the directory for so long, without an answer.
@@ -177,7 +177,7 @@
     }
 
     /// Returns the room that is free once what is being stopped has ended.
-    pub(super) fn free_soon(&self) -> Resources {
+    pub(super) fn free_after_stops(&self) -> Resources {
         self.listed.capacity.minus(&self.claimed_soon())
     }
 
@@ -218,20 +218,24 @@
     /// another kind than the one before.
     pub(super) fn takes_tasks(&self) -> bool {
         let stays = !self.listed.draining && !self.in_evacuated_zone;
-        let is_described = !self.life.differs(self.listed.incarnation);
-        self.is_listed && is_described && self.life.fenced && self.contact && stays
+        let is_described = !self.incarnation_state.differs_from(self.listed.incarnation);
+        self.is_listed && is_described && self.incarnation_state.fenced && self.contact && stays
     }
 
     pub(super) fn is_suspect(&self, at: Timestamp) -> bool {
-        self.life.suspect_until.is_some_and(|until| at < until)
+        self.incarnation_state
+            .suspect_until
+            .is_some_and(|until| at < until)
     }
 
     /// Tells whether it has shown what is demanded.
-    pub(super) fn is_healthy(&self, demand: Health, at: Timestamp) -> bool {
+    pub(super) fn is_healthy(&self, demand: RequiredHealth, at: Timestamp) -> bool {
         match demand {
-            Health::Any => true,
-            Health::NotSuspect => !self.is_suspect(at),
-            Health::Proven => self.life.succeeded_at.is_some() && !self.is_suspect(at),
+            RequiredHealth::Any => true,
+            RequiredHealth::NotSuspect => !self.is_suspect(at),
+            RequiredHealth::Proven => {
+                self.incarnation_state.succeeded_at.is_some() && !self.is_suspect(at)
+            }
         }
     }
 
@@ -244,7 +248,7 @@
 
     /// Tells whether nothing there would be disturbed by the step, nor disturb it: what fills
     /// shares no worker with what serves.
-    pub(super) fn is_quiet_for(&self, step: &StepSpec) -> bool {
+    pub(super) fn can_colocate(&self, step: &StepSpec) -> bool {
         self.runs
             .values()
             .all(|run| !(step.fills && run.serves || step.serves() && run.fills))
@@ -265,7 +269,7 @@
         self.contact = contact;
     }
 
-    pub(super) const fn set_asked(&mut self, asked: bool) {
+    pub(super) const fn set_report_pending(&mut self, asked: bool) {
         self.is_asked = asked;
     }
 
@@ -277,12 +281,12 @@
     ///
     /// Orders carry only the ID, so a delayed one may then reach the next incarnation.
     pub(super) const fn may_keep_id(&self) -> bool {
-        self.life.incarnation.is_some()
+        self.incarnation_state.incarnation.is_some()
     }
 
     /// Releases the room of a stopped run that is kept only because its start may reach the next
     /// incarnation.
-    pub(super) fn release_room(&mut self, task: &TaskKey) {
+    pub(super) fn release_resources(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
             let room = std::mem::take(&mut run.room);
             self.claimed = self.claimed.minus(&room);
@@ -301,12 +305,12 @@
         deadline_ms: Option<u64>,
         longest_wait: Duration,
     ) -> Option<HoldRequest> {
-        let asks_only = !self.life.fenced || !self.contact;
+        let asks_only = !self.incarnation_state.fenced || !self.contact;
         let present = self.is_busy();
-        if !asks_only && !present && self.life.knows_all_seen() {
+        if !asks_only && !present && self.incarnation_state.knows_all_seen() {
             return None;
         }
-        let waits = present && !asks_only && !self.life.has_unsaved();
+        let waits = present && !asks_only && !self.incarnation_state.has_unsaved();
         Some(HoldRequest {
             token: self.fence,
             deadline_ms: if asks_only { None } else { deadline_ms },
--- a/crates/stairstall-core/src/batch/planner/pool/life.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
@@ -22,21 +22,21 @@
 ///
 /// Kept across lives, the number of the last end would pass over the first ends of a new one.
 #[derive(Debug, Clone, Default)]
-pub(in crate::batch::planner) struct Life {
+pub(in crate::batch::planner) struct IncarnationState {
     /// Which life it is; none until the worker or the directory says so.
     pub(in crate::batch::planner) incarnation: Option<Incarnation>,
     /// When it first answered a request for a report.
     first_report_at: Option<Timestamp>,
     /// The life before it, as far as it was known.
-    pub(in crate::batch::planner) earlier: Earlier,
+    pub(in crate::batch::planner) previous: PreviousIncarnation,
     /// Whether it has answered its own token: nothing that was meant for an earlier life is carried out any more.
     pub(in crate::batch::planner) fenced: bool,
     /// When it last answered anything.
-    pub(in crate::batch::planner) heard_at: Option<Timestamp>,
+    pub(in crate::batch::planner) last_answer_at: Option<Timestamp>,
     /// Its clock in milliseconds, and when that was read.
     clock: Option<(u64, Timestamp)>,
     /// Highest end that was taken in.
-    pub(in crate::batch::planner) seen: u64,
+    pub(in crate::batch::planner) last_end_seen: u64,
     unsaved: VecDeque<Unsaved>,
     /// Highest end that it was told to forget, as far as it has answered.
     told_seen: u64,
@@ -47,22 +47,22 @@
     /// Jobs whose runs failed there since the last success.
     pub(in crate::batch::planner) failed_jobs: Vec<JobId>,
     /// Whether it has answered since the directory dropped it, as one does that leaves without a word.
-    pub(in crate::batch::planner) left_quietly: bool,
+    pub(in crate::batch::planner) left_unannounced: bool,
 }
 
 /// What is kept of the life before a life.
 #[derive(Debug, Clone, Copy, Default)]
-pub(in crate::batch::planner) struct Earlier {
+pub(in crate::batch::planner) struct PreviousIncarnation {
     incarnation: Option<Incarnation>,
     /// When it was last heard.
-    pub(in crate::batch::planner) heard_at: Option<Timestamp>,
+    pub(in crate::batch::planner) last_answer_at: Option<Timestamp>,
     /// Whether it went by plan: its end was no crash.
     pub(in crate::batch::planner) has_left: bool,
 }
 
 /// Which life an answer came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::batch::planner) enum Answerer {
+pub(in crate::batch::planner) enum AnswerSource {
     /// The one that is known.
     Known,
     /// One that began after it.
@@ -71,7 +71,7 @@
     Earlier,
 }
 
-impl Life {
+impl IncarnationState {
     /// A life of which only its beginning is known.
     pub(in crate::batch::planner) fn begun(incarnation: Option<Incarnation>) -> Self {
         Self {
@@ -86,53 +86,53 @@
         incarnation: Option<Incarnation>,
         has_left: bool,
     ) -> Self {
-        let earlier = Earlier {
+        let earlier = PreviousIncarnation {
             incarnation: self.incarnation,
-            heard_at: self.heard_at.or(self.earlier.heard_at),
+            last_answer_at: self.last_answer_at.or(self.previous.last_answer_at),
             has_left,
         };
         Self {
-            earlier,
+            previous: earlier,
             ..Self::begun(incarnation)
         }
     }
 
     /// Tells whether another life is named; what is not told is no other.
-    pub(in crate::batch::planner) fn differs(&self, other: Option<Incarnation>) -> bool {
+    pub(in crate::batch::planner) fn differs_from(&self, other: Option<Incarnation>) -> bool {
         self.incarnation
             .zip(other)
             .is_some_and(|(own, other)| own != other)
     }
 
     /// Tells whether an entry was written by a life that began before this one.
-    pub(in crate::batch::planner) fn is_after(&self, written_by: Option<Incarnation>) -> bool {
+    pub(in crate::batch::planner) fn is_newer_than(&self, written_by: Option<Incarnation>) -> bool {
         let is_lower = self.incarnation > written_by;
-        self.differs(written_by) && (is_lower || self.follows(written_by))
+        self.differs_from(written_by) && (is_lower || self.follows(written_by))
     }
 
     /// Tells whether the life before is named, whatever the time of day was when it began.
     fn follows(&self, named: Option<Incarnation>) -> bool {
-        named.is_some() && named == self.earlier.incarnation
+        named.is_some() && named == self.previous.incarnation
     }
 
     /// Tells which life answered a request that left at `sent_at`.
     ///
     /// Answers may pass each other, and the time of day may be set back between two lives: what was
     /// asked after this life had answered can't have reached an earlier one.
-    pub(in crate::batch::planner) fn answerer(
+    pub(in crate::batch::planner) fn answer_source(
         &self,
         named: Option<Incarnation>,
         sent_at: Timestamp,
-    ) -> Answerer {
-        if !self.differs(named) {
-            return Answerer::Known;
+    ) -> AnswerSource {
+        if !self.differs_from(named) {
+            return AnswerSource::Known;
         }
         let asked_after = self.first_report_at.is_some_and(|at| at <= sent_at);
         let seems_later = named > self.incarnation && !self.follows(named);
         if asked_after || seems_later {
-            Answerer::Later
+            AnswerSource::Later
         } else {
-            Answerer::Earlier
+            AnswerSource::Earlier
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     pub(in crate::batch::planner) const fn read_clock(&mut self, clock_ms: u64, at: Timestamp) {
-        self.heard_at = Some(at);
+        self.last_answer_at = Some(at);
         self.clock = Some((clock_ms, at));
     }
 
@@ -179,12 +179,12 @@
         number: u64,
         change: Option<(JobId, u64)>,
     ) {
-        self.seen = number;
+        self.last_end_seen = number;
         self.unsaved.push_back(Unsaved { number, change });
     }
 
     /// Returns the highest end that it may forget; `lasts` tells which changes are kept.
-    pub(in crate::batch::planner) fn forgettable(
+    pub(in crate::batch::planner) fn acknowledgeable(
         &mut self,
         lasts: impl Fn(&JobId, u64) -> bool,
     ) -> u64 {
@@ -198,7 +198,7 @@
             }
             self.unsaved.pop_front();
         }
-        self.seen
+        self.last_end_seen
     }
 
     /// Tells whether ends wait for what they change to last.
@@ -208,14 +208,14 @@
 
     /// Tells whether it was told to forget all ends that were taken in.
     pub(in crate::batch::planner) const fn knows_all_seen(&self) -> bool {
-        self.told_seen >= self.seen
+        self.told_seen >= self.last_end_seen
     }
 
     /// Returns what to tell it to forget: nothing that it knows already.
     ///
     /// A request may reach a new life. Some workers keep listing an end whose number was named
     /// before it came, up to 500 in a report, behind which later ends would not be seen.
-    pub(in crate::batch::planner) const fn news_to_forget(&self, forgettable: u64) -> u64 {
+    pub(in crate::batch::planner) const fn next_acknowledgement(&self, forgettable: u64) -> u64 {
         if forgettable > self.told_seen {
             forgettable
         } else {
@@ -224,7 +224,7 @@
     }
 
     /// Notes that it has answered a request to forget ends.
-    pub(in crate::batch::planner) fn note_told(&mut self, last_seen: u64) {
+    pub(in crate::batch::planner) fn record_acknowledged(&mut self, last_seen: u64) {
         self.told_seen = self.told_seen.max(last_seen);
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pool/run.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/run.rs
@@ -21,13 +21,13 @@
 
 /// What the workers that were lost under a task say of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::batch::planner) enum Suspicion {
+pub(in crate::batch::planner) enum CrashSuspicion {
     /// None was lost.
     None,
     /// It may have crashed them.
     Some,
     /// The next crash fails it.
-    LastChance,
+    LastAttempt,
 }
 
 /// One run of a task at a worker.
@@ -68,20 +68,20 @@
     /// When the worker last reported it.
     pub(in crate::batch::planner) reported_at: Timestamp,
     /// Since when its task is done by another run.
-    pub(in crate::batch::planner) unwanted_since: Option<Timestamp>,
+    pub(in crate::batch::planner) redundant_since: Option<Timestamp>,
     /// When it began, and the percentage it began at.
     pub(in crate::batch::planner) began: Option<(Timestamp, u8)>,
     /// Until when, and until which percentage, its worker's pace was learnt from it.
-    pub(in crate::batch::planner) told: Option<(Timestamp, u8)>,
+    pub(in crate::batch::planner) pace_sampled: Option<(Timestamp, u8)>,
     /// Whether it goes on from a checkpoint or under a new planner, so that only its first report
     /// tells where it began.
     pub(in crate::batch::planner) resumes: bool,
     /// Whether it is known only from what an earlier planner wrote down.
     pub(in crate::batch::planner) restored: bool,
     /// What the workers that were lost under its task before say of it.
-    pub(in crate::batch::planner) suspicion: Suspicion,
+    pub(in crate::batch::planner) suspicion: CrashSuspicion,
     /// Whether its worker has said that it took it: a place alone is no proof that a start was sent.
-    pub(in crate::batch::planner) taken: bool,
+    pub(in crate::batch::planner) start_confirmed: bool,
     /// Which life of its worker was told to start it last, or lists it.
     pub(in crate::batch::planner) incarnation: Option<Incarnation>,
     /// The token that the last start of it brought; none was sent to a run that was found.
@@ -89,11 +89,11 @@
     /// Whether a report of that life has listed it.
     pub(in crate::batch::planner) is_listed: bool,
     /// The change of its job that writes its place down; no start is sent before that lasts.
-    pub(in crate::batch::planner) recorded_by: u64,
+    pub(in crate::batch::planner) placement_change: u64,
 }
 
 impl Run {
-    pub(in crate::batch::planner) fn enter(&mut self, state: RunState, at: Timestamp) {
+    pub(in crate::batch::planner) fn set_state(&mut self, state: RunState, at: Timestamp) {
         self.state = state;
         self.since = at;
     }
@@ -111,11 +111,15 @@
     /// Tells whether it has to be looked at as time passes.
     pub(in crate::batch::planner) const fn is_unsettled(&self) -> bool {
         matches!(self.state, RunState::Planned | RunState::Stopping)
-            || self.unwanted_since.is_some()
+            || self.redundant_since.is_some()
     }
 
     /// Returns the work that a stop would throw away, in core-milliseconds.
-    pub(in crate::batch::planner) fn loss(&self, now: Timestamp, restore_cost: Duration) -> u64 {
+    pub(in crate::batch::planner) fn lost_work(
+        &self,
+        now: Timestamp,
+        restore_cost: Duration,
+    ) -> u64 {
         let ran = self
             .began
             .map_or(0, |(at, _)| millis(now - at))
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -15,10 +15,10 @@
 
 /// One job's progress to write down.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct ProgressWrite {
     /// The job.
     pub job: JobId,
-    /// Say this to [`Planner::written`] once it lasts.
+    /// Say this to [`Planner::progress_written`] once it lasts.
     pub change: u64,
     /// What to write.
     pub progress: Progress,
@@ -33,7 +33,12 @@
 
     /// Takes the progress of up to `most` jobs to be written down, urgent ones first, but of none
     /// in `busy`: those are being written, and their turn comes after that.
-    pub fn take_writes(&mut self, most: usize, busy: &BTreeSet<JobId>, now: Now) -> Vec<Write> {
+    pub fn take_writes(
+        &mut self,
+        most: usize,
+        busy: &BTreeSet<JobId>,
+        now: Now,
+    ) -> Vec<ProgressWrite> {
         let free = self.changed.iter().filter(|id| !busy.contains(*id));
         let mut free: Vec<(u8, &JobId)> = free.map(|id| (self.priority_of(id), id)).collect();
         free.sort_unstable();
@@ -46,7 +51,7 @@
             .filter_map(|id| {
                 self.changed.remove(&id);
                 let job = self.jobs.get(&id)?;
-                Some(Write {
+                Some(ProgressWrite {
                     change: job.changes,
                     progress: job.progress(now),
                     job: id,
@@ -61,16 +66,16 @@
     }
 
     /// Takes word that a change lasts.
-    pub fn written(&mut self, id: &JobId, change: u64) {
+    pub fn progress_written(&mut self, id: &JobId, change: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.written = job.written.max(change);
-            self.emit_due = true;
-            self.touch(id);
+            self.starts_due = true;
+            self.mark_timeline_changed(id);
         }
     }
 
     /// Takes word that a write may not have lasted: it is due again.
-    pub fn not_written(&mut self, id: &JobId) {
+    pub fn progress_write_failed(&mut self, id: &JobId) {
         if self.jobs.contains_key(id) {
             self.changed.insert(id.clone());
         }
@@ -78,8 +83,8 @@
 
     /// Takes up to `most` jobs whose ends are written down, as they should be kept from now on.
     ///
-    /// What can't be kept so now is offered again by [`Planner::not_trimmed`].
-    pub fn take_trims(&mut self, most: usize) -> Vec<AcceptedJob> {
+    /// What can't be kept so now is offered again by [`Planner::job_trim_failed`].
+    pub fn take_jobs_to_trim(&mut self, most: usize) -> Vec<AcceptedJob> {
         let ended = self.jobs.values_mut().filter(|job| job.may_be_trimmed());
         let trims = ended.take(most).map(|job| {
             job.trims = Trims::Taken;
@@ -89,7 +94,7 @@
     }
 
     /// Takes word that a job is kept in its short form: what it ran is forgotten here too.
-    pub fn trimmed(&mut self, id: &JobId) {
+    pub fn job_trimmed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = Arc::new(job.accepted.trimmed());
             job.occurrences = Vec::new();
@@ -97,7 +102,7 @@
     }
 
     /// Takes word that a job may not be kept in its short form.
-    pub fn not_trimmed(&mut self, id: &JobId) {
+    pub fn job_trim_failed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.trims = Trims::Due;
         }
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::candidate::{CLAIM, Candidate, URGENT};
+use super::candidate_worker::SearchScope;
 use super::job::Job;
-use super::pass::{Pass, RoomKind};
-use super::site::Scope;
+use super::pass::{CapacityKind, Pass};
 use super::{Now, Planner};
 use crate::batch::{Aged, GroupKey, Timeliness, Turn};
 use crate::{CustomerId, JobId};
@@ -13,15 +13,15 @@
 impl Planner {
     /// Gives places to what waits, in order of rank and turn; true where something still does.
     pub(super) fn plan(&mut self, now: Now) -> bool {
-        let claims = self.claims();
-        if self.ranked_claims.as_ref() != Some(&claims) {
+        let claims = self.guaranteed_jobs();
+        if self.ranked_guaranteed_jobs.as_ref() != Some(&claims) {
             self.renew_ranks(&claims);
-            self.ranked_claims = Some(claims.clone());
+            self.ranked_guaranteed_jobs = Some(claims.clone());
         }
         let mut candidates = self.candidates(&claims, now);
         let mut pass = Pass::default();
         let aged = self.let_oldest_first(&mut candidates, &mut pass, now);
-        pass.held_back = self.renew_reservations(&candidates, now);
+        pass.reserved = self.renew_reservations(&candidates, now);
         for candidate in &candidates {
             self.place(candidate, &mut pass, now);
         }
@@ -50,7 +50,7 @@
             let is_overdue = !policy.by_timeliness || one.turn.timeliness == Timeliness::Overdue;
             let job = self.jobs.get(&one.key.job);
             let job = job.filter(|_| is_overdue && one.rank > URGENT)?;
-            let (wanted, _) = self.wanted(&one.key, job, now);
+            let (wanted, _) = self.job_objective(&one.key, job, now);
             let since_unix_ms = wanted.aged_unix_ms(policy)?;
             let key = one.key.clone();
             let aged = Aged { since_unix_ms, key };
@@ -74,11 +74,11 @@
         let mut waiting = group.tasks.iter().filter(|task| task.is_waiting());
         let may_start = waiting.any(|task| !self.is_held(task));
         let count = if step.gang { step.count } else { 1 };
-        let scope = Scope {
+        let scope = SearchScope {
             near: false,
             preempts: false,
         };
-        let ceiling = self.ceiling(key, step, scope.near, RoomKind::Whole, pass);
+        let ceiling = self.ceiling(key, step, scope.near, CapacityKind::Whole, pass);
         may_start && ceiling.allows(step, count, scope)
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Returns the urgent jobs that stay within their customers' own shares, oldest first.
-    pub(super) fn claims(&self) -> BTreeSet<JobId> {
+    pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut urgent: Vec<&Job> = self
             .jobs
             .values()
@@ -103,7 +103,7 @@
                 continue;
             };
             let sum = used.entry(customer).or_default();
-            let with = sum.saturating_add(accelerators(job));
+            let with = sum.saturating_add(max_accelerators(job));
             if with <= self.catalog.guaranteed(customer) {
                 *sum = with;
                 claims.insert(job.accepted.id.clone());
@@ -174,7 +174,7 @@
 }
 
 /// Returns how many accelerators a job may take at a time, at most.
-pub(super) fn accelerators(job: &Job) -> u32 {
+pub(super) fn max_accelerators(job: &Job) -> u32 {
     job.accepted.spec.steps.iter().fold(0, |sum: u32, step| {
         sum.saturating_add(step.needs.accelerators.saturating_mul(step.count))
     })
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -21,7 +21,7 @@
                 {
                     in_vain.push((id.clone(), task.clone(), why));
                 }
-                let done_since = run.unwanted_since.map(|since| now.at - since);
+                let done_since = run.redundant_since.map(|since| now.at - since);
                 if run.state != RunState::Stopping
                     && done_since > Some(self.policy.orders.unwanted_patience)
                 {
@@ -47,7 +47,7 @@
             self.stop_run(&id, &task, "the task is done", now);
         }
         for (id, task, why) in in_vain {
-            self.drop_planned(&id, &task, why, now);
+            self.cancel_planned(&id, &task, why, now);
         }
     }
 
@@ -93,7 +93,7 @@
                     continue;
                 }
                 let written = jobs.get(&task.group.job).map_or(0, |job| job.written);
-                if run.recorded_by > written {
+                if run.placement_change > written {
                     run.since = now.at;
                 }
             }
@@ -101,8 +101,8 @@
     }
 
     /// Gives a planned run up, and with it the other planned members of its gang.
-    pub(super) fn drop_planned(&mut self, id: &WorkerId, task: &TaskKey, why: &str, now: Now) {
-        self.note_setback(&task.group.job, Setback::PlaceGivenUp);
+    pub(super) fn cancel_planned(&mut self, id: &WorkerId, task: &TaskKey, why: &str, now: Now) {
+        self.record_setback(&task.group.job, Setback::PlaceGivenUp);
         self.stop_run(id, task, why, now);
         let is_gang = self.step(&task.group).is_some_and(|step| step.gang);
         if is_gang {
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -12,44 +12,56 @@
 impl Planner {
     /// Returns which life of a worker is known.
     pub(super) fn incarnation_of(&self, id: &WorkerId) -> Option<Incarnation> {
-        self.workers.get(id)?.life.incarnation
+        self.workers.get(id)?.incarnation_state.incarnation
     }
 
     /// Takes word that a worker has started again under its id.
-    pub(super) fn begin_life(&mut self, id: &WorkerId, incarnation: Option<Incarnation>, now: Now) {
+    pub(super) fn begin_incarnation(
+        &mut self,
+        id: &WorkerId,
+        incarnation: Option<Incarnation>,
+        now: Now,
+    ) {
         let fence = self.next_fence();
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.life = worker.life.next(incarnation, worker.leaves());
+        worker.incarnation_state = worker
+            .incarnation_state
+            .next(incarnation, worker.is_leaving());
         worker.fence = fence;
         worker.set_contact(false);
         self.paces.begin_life(id, now.at);
         if worker.is_busy() {
             // A deadline by the clock of the life before is far ahead of the new one's, which holds
             // what arrives with it as long as it may.
-            worker.extend_lease(now.at + Self::lease_span(self.bounds.hold_max));
+            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
         }
         let planned = worker.tasks_where(|run| run.state == RunState::Planned);
         let lost = worker.tasks_where(Run::was_only_there);
-        self.to_ask.push(id.clone());
+        self.workers_to_poll.push(id.clone());
         let why = "its life is over: it has started again under its id";
         self.decisions.push(Decision::of_worker(id, why));
-        self.touch_runs_at(id);
+        self.mark_timelines_changed_at(id);
         self.drop_tickets_of(id);
         for task in planned {
-            self.drop_planned(id, &task, "its worker has started again", now);
+            self.cancel_planned(id, &task, "its worker has started again", now);
         }
-        self.lose_with_earlier_life(id, lost, now);
+        self.lose_runs_of_previous_incarnation(id, lost, now);
         self.replan = true;
     }
 
     /// Takes runs for lost with an earlier life of their worker.
-    pub(super) fn lose_with_earlier_life(&mut self, id: &WorkerId, tasks: Vec<TaskKey>, now: Now) {
+    pub(super) fn lose_runs_of_previous_incarnation(
+        &mut self,
+        id: &WorkerId,
+        tasks: Vec<TaskKey>,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get(id).filter(|_| !tasks.is_empty()) else {
             return;
         };
-        let earlier = worker.life.earlier;
+        let earlier = worker.incarnation_state.previous;
         let runs = tasks.into_iter().filter_map(|task| {
             let run = worker.runs.get(&task)?.clone();
             Some((task, run))
@@ -58,10 +70,10 @@
         let suspects = if earlier.has_left {
             Vec::new()
         } else {
-            self.count_crash(id, earlier.heard_at, &runs)
+            self.count_crash(id, earlier.last_answer_at, &runs)
         };
         for (task, _) in &runs {
-            self.drop_run(id, task);
+            self.remove_run(id, task);
         }
         self.release_lost(id, &runs, now);
         self.give_up_crashing(&suspects, now);
@@ -71,7 +83,7 @@
     ///
     /// A clock that has gone back is that of a new life: it is asked at once which it is, and may
     /// hold the run for the longest lease.
-    pub(super) fn read_answer_clock(&mut self, order: &Order, clock_ms: u64, now: Now) {
+    pub(super) fn check_answer_clock(&mut self, order: &Order, clock_ms: u64, now: Now) {
         let id = &order.worker;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -80,11 +92,11 @@
             // It is the clock of an earlier life, by which a deadline would be far ahead.
             return;
         }
-        if worker.life.is_clock_set_back(clock_ms, now.at) {
-            worker.extend_lease(now.at + Self::lease_span(self.bounds.hold_max));
+        if worker.incarnation_state.is_clock_set_back(clock_ms, now.at) {
+            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
             self.doubt(id, now);
         } else {
-            worker.life.read_clock(clock_ms, now.at);
+            worker.incarnation_state.read_clock(clock_ms, now.at);
         }
     }
 
@@ -92,7 +104,7 @@
     ///
     /// That is a start that another life refused, and those sent after it. Counted as crashes, four such
     /// starts within 45 ms ended a job as failed under which one worker had crashed.
-    pub(super) fn drop_never_begun(&mut self, refused: &Order, now: Now) {
+    pub(super) fn drop_unstarted_runs(&mut self, refused: &Order, now: Now) {
         let Some(worker) = self.workers.get(&refused.worker) else {
             return;
         };
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -108,7 +108,7 @@
     /// Returns what a run that goes on tells of its whole time; of a gang the first member tells.
     fn told_so_far(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunSoFar> {
         let run = self.run_at(id, task)?;
-        let tells = run.state == RunState::Running && run.unwanted_since.is_none();
+        let tells = run.state == RunState::Running && run.redundant_since.is_none();
         if !tells || run.gang && task.index != 0 {
             return None;
         }
@@ -163,7 +163,7 @@
     fn undisturbed_since(&self, id: &WorkerId, step: &StepSpec, run: &Run) -> Option<Timestamp> {
         let (began, from) = run.began?;
         let is_whole = from == 0 && !run.resumes && !run.restored;
-        let heard_again_at = self.workers.get(id)?.heard_again_at;
+        let heard_again_at = self.workers.get(id)?.contact_restored_at;
         let was_silent = heard_again_at.is_some_and(|at| at > began);
         let is_far = self.slowdown(step, id) > 1;
         (is_whole && !was_silent && !is_far).then_some(began)
--- a/crates/stairstall-core/src/batch/planner/runs.rs
+++ b/crates/stairstall-core/src/batch/planner/runs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Planner;
-use super::pool::{Run, Suspicion};
+use super::pool::{CrashSuspicion, Run};
 use crate::batch::{GroupKey, TaskKey};
 use crate::{JobId, WorkerId};
 
@@ -81,10 +81,10 @@
 
 impl Planner {
     /// Keeps a run at a worker that is known.
-    pub(super) fn keep_run(&mut self, id: &WorkerId, task: &TaskKey, run: Run) {
+    pub(super) fn insert_run(&mut self, id: &WorkerId, task: &TaskKey, run: Run) {
         if let Some(worker) = self.workers.get_mut(id) {
-            if run.suspicion == Suspicion::LastChance {
-                worker.last_chance = Some(task.clone());
+            if run.suspicion == CrashSuspicion::LastAttempt {
+                worker.last_attempt = Some(task.clone());
             }
             worker.insert(task.clone(), run);
             self.run_index.insert(task, id);
@@ -92,7 +92,7 @@
     }
 
     /// Takes a run away from its worker.
-    pub(super) fn drop_run(&mut self, id: &WorkerId, task: &TaskKey) -> Option<Run> {
+    pub(super) fn remove_run(&mut self, id: &WorkerId, task: &TaskKey) -> Option<Run> {
         let run = self.workers.get_mut(id)?.remove(task)?;
         self.run_index.remove(task, id);
         Some(run)
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -9,7 +9,7 @@
 impl Planner {
     /// Sends the starts whose room is free: of a gang all or none.
     pub(super) fn emit_starts(&mut self, now: Now) {
-        if !self.knows_evacuations(now) || !self.knows_jobs() {
+        if !self.knows_evacuations(now) || !self.jobs_are_current() {
             return;
         }
         let groups: Vec<GroupKey> = self.planned.iter().cloned().collect();
@@ -89,7 +89,7 @@
     /// Tells whether a run's place is written down, so that a later planner knows of it.
     fn is_recorded(&self, worker: &Worker, task: &TaskKey) -> bool {
         let written = self.jobs.get(&task.group.job).map(|job| job.written);
-        let needed = worker.runs.get(task).map(|run| run.recorded_by);
+        let needed = worker.runs.get(task).map(|run| run.placement_change);
         needed <= written
     }
 
@@ -98,7 +98,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let Some(clock_ms) = worker.life.clock_at(now.at) else {
+        let Some(clock_ms) = worker.incarnation_state.clock_at(now.at) else {
             return;
         };
         let lease = self.policy.orders.start_lease.min(self.bounds.hold_max);
@@ -109,14 +109,14 @@
         };
         let waited = millis(now.at - run.since);
         run.resumes = checkpoint.is_some();
-        run.enter(RunState::Starting, now.at);
+        run.set_state(RunState::Starting, now.at);
         run.ordered_at = now.at;
         run.tries += 1;
-        run.incarnation = worker.life.incarnation;
+        run.incarnation = worker.incarnation_state.incarnation;
         run.fence = worker.fence;
         run.late_start_until = late_start_until;
         let (number, tries, token) = (run.number, run.tries, run.fence);
-        worker.extend_lease(now.at + Self::lease_span(lease));
+        worker.extend_lease(now.at + Self::max_lease_duration(lease));
         let Some(job) = self.jobs.get(&task.group.job) else {
             return;
         };
@@ -135,7 +135,7 @@
         if let Some(job) = self.jobs.get_mut(&task.group.job) {
             job.story.starts += 1;
         }
-        self.touch(&task.group.job);
+        self.mark_timeline_changed(&task.group.job);
         self.decisions.push(Decision::of_run(
             DecisionKind::Start,
             task,
--- a/crates/stairstall-core/src/batch/planner/stops.rs
+++ b/crates/stairstall-core/src/batch/planner/stops.rs
@@ -19,7 +19,7 @@
         match run.state {
             RunState::Stopping => {}
             RunState::Planned => {
-                if let Some(run) = self.drop_run(id, task) {
+                if let Some(run) = self.remove_run(id, task) {
                     self.release(id, task, &run, why);
                 }
             }
@@ -28,7 +28,7 @@
                     // Whether it is there at all, the worker's first report tells.
                     return;
                 }
-                run.enter(RunState::Stopping, now.at);
+                run.set_state(RunState::Stopping, now.at);
                 run.answered_at = None;
                 let number = run.number;
                 self.send_stop(id, task, number, now);
@@ -49,7 +49,7 @@
         let restore_cost = self.policy.victims.restore_cost;
         run.map_or_else(String::new, |run| {
             let ran = run.began.map_or(0, |(at, _)| millis(now.at - at));
-            let lost = run.loss(now.at, restore_cost) / 1000;
+            let lost = run.lost_work(now.at, restore_cost) / 1000;
             format!(
                 "{} percent after {ran} ms, {lost} core-seconds lost",
                 run.percent
@@ -76,7 +76,7 @@
     }
 
     /// Takes what became of a stop.
-    pub fn take_stop(&mut self, order: &Order, outcome: StopOutcome, now: Now) {
+    pub fn handle_stop_outcome(&mut self, order: &Order, outcome: StopOutcome, now: Now) {
         match outcome {
             StopOutcome::Taken => {
                 let (id, task) = (&order.worker, &order.task);
@@ -89,14 +89,14 @@
             }
             StopOutcome::Fenced => self.note_fenced(&order.worker, order.token),
             StopOutcome::OtherLife => {
-                self.life_over(&order.worker, "another life answered a stop", now);
+                self.end_incarnation(&order.worker, "another life answered a stop", now);
             }
-            StopOutcome::Unknown => self.stop_again(order, now),
+            StopOutcome::Unknown => self.retry_stop(order, now),
         }
     }
 
     /// Sends a stop again at once that got no answer: what waits for the room waits for it.
-    fn stop_again(&mut self, order: &Order, now: Now) {
+    fn retry_stop(&mut self, order: &Order, now: Now) {
         let (id, task) = (&order.worker, &order.task);
         let max_tries = self.policy.orders.max_tries;
         self.doubt_unless_heard(id, task, now);
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -129,9 +129,10 @@
                 let why = format!("a task there: {}; nothing new for a while", misplaced.why);
                 self.decisions.push(Decision::of_worker(id, why));
             }
-            worker.life.suspect_until = Some(now.at + self.policy.health.suspect_after_stall);
+            worker.incarnation_state.suspect_until =
+                Some(now.at + self.policy.health.suspect_after_stall);
         }
-        self.note_setback(&task.group.job, Setback::Stalled);
+        self.record_setback(&task.group.job, Setback::Stalled);
         self.stop_run(id, task, misplaced.why, now);
         self.stop_gang(
             task,
--- a/crates/stairstall-core/src/batch/planner/story.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -11,33 +11,33 @@
 
 impl Planner {
     /// Notes that something about a job has changed, so that its span is looked at again.
-    pub(super) fn touch(&mut self, id: &JobId) {
-        if !self.touched.contains(id) {
-            self.touched.insert(id.clone());
+    pub(super) fn mark_timeline_changed(&mut self, id: &JobId) {
+        if !self.changed_timelines.contains(id) {
+            self.changed_timelines.insert(id.clone());
         }
     }
 
     /// Notes the same of every job that has a run at a worker.
-    pub(super) fn touch_runs_at(&mut self, id: &WorkerId) {
+    pub(super) fn mark_timelines_changed_at(&mut self, id: &WorkerId) {
         let runs = self.workers.get(id).map(|worker| worker.runs.keys());
         let jobs = runs
             .into_iter()
             .flatten()
             .map(|task| task.group.job.clone());
-        self.touched.extend(jobs);
+        self.changed_timelines.extend(jobs);
     }
 
     /// Counts a setback of a job.
-    pub(super) fn note_setback(&mut self, id: &JobId, setback: Setback) {
+    pub(super) fn record_setback(&mut self, id: &JobId, setback: Setback) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.story.set_back(setback);
-            self.touch(id);
+            self.mark_timeline_changed(id);
         }
     }
 
     /// Brings the accounts of the jobs up to date that something happened to.
-    pub(super) fn update_stories(&mut self, now: Now) {
-        for id in std::mem::take(&mut self.touched) {
+    pub(super) fn update_timelines(&mut self, now: Now) {
+        for id in std::mem::take(&mut self.changed_timelines) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -100,7 +100,7 @@
         };
         let is_silent = !worker.is_in_contact();
         match run.state {
-            RunState::Planned if run.recorded_by > job.written => Span::Record,
+            RunState::Planned if run.placement_change > job.written => Span::Record,
             RunState::Planned => Span::Stops,
             _ if is_silent => Span::Silent,
             RunState::Starting => Span::Start,
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -38,7 +38,10 @@
             .is_some_and(|at| now.at - at >= self.policy.takeover.reports_quiet);
         is_quiet
             || now.at - first_tick_at >= self.policy.takeover.reports_patience
-            || self.workers.values().all(|w| w.life.fenced || !w.is_listed)
+            || self
+                .workers
+                .values()
+                .all(|w| w.incarnation_state.fenced || !w.is_listed)
     }
 
     /// Returns when the next tick is due, if nothing happens before.
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -25,7 +25,7 @@
     /// Returns the customers that have used most lately, and what each would have if all had used alike,
     /// in milliseconds of the whole fleet.
     #[must_use]
-    pub fn customer_use(&self, most: usize, now: Now) -> (Vec<CustomerUse>, u64) {
+    pub fn customer_usage(&self, most: usize, now: Now) -> (Vec<CustomerUse>, u64) {
         (
             self.usage.most_used(most, now.at),
             self.usage.fair_ms(now.at),
@@ -71,12 +71,12 @@
     }
 
     pub(super) fn is_claim(&self, key: &GroupKey) -> bool {
-        let claims = self.ranked_claims.as_ref();
+        let claims = self.ranked_guaranteed_jobs.as_ref();
         claims.is_some_and(|claims| claims.contains(&key.job))
     }
 
     /// Commits a customer to tasks that have just got places.
-    pub(super) fn commit_use(
+    pub(super) fn commit_usage(
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
@@ -109,7 +109,7 @@
                 ..Turn::default()
             };
         }
-        let (wanted, left_ms) = self.wanted(key, job, now);
+        let (wanted, left_ms) = self.job_objective(key, job, now);
         let mut turn = wanted.turn(left_ms, now.unix_ms, self.usage.policy());
         if job.step(key).is_some_and(|step| step.lasts) {
             turn.timeliness = Timeliness::InTime;
@@ -119,7 +119,7 @@
     }
 
     /// Returns until when a time of a job is wanted, and how long it would take from a step on.
-    pub(super) fn wanted(&self, key: &GroupKey, job: &Job, now: Now) -> (Wanted, u64) {
+    pub(super) fn job_objective(&self, key: &GroupKey, job: &Job, now: Now) -> (Wanted, u64) {
         let chains = job.accepted.spec.chains_ms(|step| {
             if step.lasts {
                 return 0;
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -20,7 +20,7 @@
 impl Planner {
     /// Returns how long a claim lets other urgent work go on: as long as it can still begin in
     /// time after a stop.
-    pub(super) fn claim_patience(&self) -> Duration {
+    pub(super) fn guaranteed_wait_limit(&self) -> Duration {
         if !self.policy.victims.claims_wait {
             return Duration::ZERO;
         }
@@ -38,8 +38,8 @@
     /// Returns the rank up to which nothing gives way to work of `rank` that has waited so long.
     ///
     /// Urgent work that gives way to urgent work is late itself, so that one late job becomes two.
-    pub(super) fn spared_rank(&self, rank: u8, waited: Duration) -> u8 {
-        if rank == CLAIM && waited < self.claim_patience() {
+    pub(super) fn protected_rank(&self, rank: u8, waited: Duration) -> u8 {
+        if rank == CLAIM && waited < self.guaranteed_wait_limit() {
             URGENT
         } else {
             rank
@@ -48,12 +48,12 @@
 
     /// Returns what stopping each gang that runs would cost: the work that is thrown away, more for one
     /// that was stopped before, and its whole work once more where only that would make it late.
-    pub(super) fn gang_losses(&self, now: Now) -> BTreeMap<GroupKey, u64> {
+    pub(super) fn gang_preemption_costs(&self, now: Now) -> BTreeMap<GroupKey, u64> {
         let mut losses = BTreeMap::new();
         for worker in self.workers.values() {
             for (task, run) in worker.runs.iter().filter(|(_, run)| run.gang) {
                 *losses.entry(task.group.clone()).or_insert(0) +=
-                    run.loss(now.at, self.policy.victims.restore_cost);
+                    run.lost_work(now.at, self.policy.victims.restore_cost);
             }
         }
         for (key, loss) in &mut losses {
@@ -83,7 +83,7 @@
 
     /// Tells whether a gang that runs would be in time, and late if it started anew.
     fn would_become_late(&self, key: &GroupKey, job: &Job, now: Now) -> bool {
-        let (wanted, anew_ms) = self.wanted(key, job, now);
+        let (wanted, anew_ms) = self.job_objective(key, job, now);
         let objective_unix_ms = wanted.objective_unix_ms();
         let runs = self.run_index.of_group(key);
         let run = runs.first().and_then(|(id, task)| self.run_at(id, task));
@@ -93,7 +93,7 @@
 
     /// Tells whether what gives way is worth less than what it makes room for, each gang counted whole
     /// and once. A claim on a customer's own share does not wait for longer than it may.
-    pub(super) fn is_worth_it(
+    pub(super) fn is_preemption_worthwhile(
         &self,
         candidate: &Candidate,
         step: &StepSpec,
@@ -102,7 +102,7 @@
         now: Now,
     ) -> bool {
         let most = self.policy.victims.most_lost;
-        let Some(losses) = pass.gang_losses.as_ref().filter(|_| most > 0) else {
+        let Some(losses) = pass.gang_preemption_costs.as_ref().filter(|_| most > 0) else {
             return true;
         };
         let takes = self.run_time(&candidate.key, step, now).typical;
@@ -116,7 +116,7 @@
                 continue;
             };
             if !run.gang {
-                lost += run.loss(now.at, self.policy.victims.restore_cost);
+                lost += run.lost_work(now.at, self.policy.victims.restore_cost);
             } else if gangs.insert(&task.group) {
                 lost += losses.get(&task.group).copied().unwrap_or(0);
             }
@@ -134,11 +134,11 @@
         let looks_again_ms = ends_ms + millis(LOOKS_AGAIN);
         let objective_unix_ms = candidate.turn.objective_unix_ms;
         let is_last = ends_ms <= objective_unix_ms && looks_again_ms > objective_unix_ms;
-        is_last || waited >= self.claim_patience()
+        is_last || waited >= self.guaranteed_wait_limit()
     }
 
     /// Notes that runs of a step give way, once for all that do so together.
-    pub(super) fn note_gave_way(&mut self, key: &GroupKey, now: Now) {
+    pub(super) fn record_preemption(&mut self, key: &GroupKey, now: Now) {
         let job = self.jobs.get_mut(&key.job);
         let Some(group) = job.and_then(|job| job.group_mut(key)) else {
             return;
@@ -151,7 +151,7 @@
 
     /// Tells whether a gang that gave way should wait, because the room that is free now may be taken
     /// back from it as well: for longer each time.
-    pub(super) fn waits_to_return(&self, key: &GroupKey, now: Now) -> bool {
+    pub(super) fn in_preemption_backoff(&self, key: &GroupKey, now: Now) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
         let stopped = group.and_then(|group| Some((group.gave_way, group.gave_way_at?)));
@@ -162,7 +162,7 @@
     }
 
     /// Tells whether a gang gave way before.
-    pub(super) fn gave_way(&self, key: &GroupKey) -> bool {
+    pub(super) fn was_preempted(&self, key: &GroupKey) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
         group.is_some_and(|group| group.gave_way > 0)
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -12,7 +12,7 @@
 impl Planner {
     /// Returns where a job stands that waits with its first open step; none where nothing of it waits.
     #[must_use]
-    pub fn waiting(&self, id: &JobId, now: Now) -> Option<Waiting> {
+    pub fn wait_status(&self, id: &JobId, now: Now) -> Option<Waiting> {
         let job = self.jobs.get(id).filter(|job| job.outcome.is_none())?;
         let (key, reason) = self.open_step(job, now)?;
         let rank = if self.is_claim(&key) {
--- a/crates/stairstall-core/tests/batch/crashes.rs
+++ b/crates/stairstall-core/tests/batch/crashes.rs
@@ -51,7 +51,7 @@
     let now = fleet.now();
     fleet
         .planner
-        .life_over(&place, "another life answered", now);
+        .end_incarnation(&place, "another life answered", now);
     let decisions = fleet.planner.take_decisions();
     let loss = decisions.iter().find(|d| d.kind == DecisionKind::Loss);
     let loss = loss.expect("it is told");
@@ -180,7 +180,7 @@
     fleet.crash(&place);
     fleet
         .planner
-        .life_over(&place, "another life answered", now);
+        .end_incarnation(&place, "another life answered", now);
     fleet.settle();
     let kept = &fleet.kept[&id("j")].occurrences[0][0].losses[&0];
     assert_eq!((kept.crashes, kept.unanswered), (0, 1));
--- a/crates/stairstall-core/tests/batch/fences.rs
+++ b/crates/stairstall-core/tests/batch/fences.rs
@@ -30,7 +30,10 @@
     fleet.begin_unheard_life(&start.worker, 1);
     let now = fleet.now();
     fleet.planner.take_start(&start, FENCED, now);
-    assert!(!fleet.planner.is_deposed(), "its own later token was seen");
+    assert!(
+        !fleet.planner.is_superseded(),
+        "its own later token was seen"
+    );
     fleet.pass(100);
     let again = fleet.place_of(&task("j", 0, 0));
     assert!(again.is_some_and(|again| again != start.worker));
@@ -60,7 +63,7 @@
     let start = fleet.first_start();
     let now = fleet.now();
     fleet.planner.take_start(&start, FENCED, now);
-    assert!(fleet.planner.is_deposed());
+    assert!(fleet.planner.is_superseded());
 }
 
 #[test]
@@ -71,11 +74,11 @@
     fleet.cut_off(&id);
     fleet.begin_unheard_life(&id, 1);
     fleet.planner.note_fenced(&id, start.token);
-    assert!(!fleet.planner.is_deposed());
+    assert!(!fleet.planner.is_superseded());
     let now = fleet.now();
     let asked = fleet.planner.hold_request(&id, now).expect("it is asked");
     fleet.planner.note_fenced(&id, asked.token);
-    assert!(fleet.planner.is_deposed());
+    assert!(fleet.planner.is_superseded());
 }
 
 /// By the clock of the life before, its deadline would be far ahead, and the worker would hold the run for the longest.
--- a/crates/stairstall-core/tests/batch/harness.rs
+++ b/crates/stairstall-core/tests/batch/harness.rs
@@ -341,7 +341,7 @@
             }
             listed.id = format!("life-{}", self.lives).parse().expect("an id");
             self.planner
-                .life_over(&worker, "another life answered", now);
+                .end_incarnation(&worker, "another life answered", now);
             self.planner.unlist_worker(&worker, now);
             self.add(listed, now);
         }
@@ -380,7 +380,8 @@
         }
         let request = self.planner.hold_request(id, now)?;
         if self.replaced.contains(id) {
-            self.planner.life_over(id, "another life answered", now);
+            self.planner
+                .end_incarnation(id, "another life answered", now);
             return None;
         }
         let worker = self.workers.get_mut(id)?;
@@ -474,7 +475,8 @@
                 if worker.running.contains_key(&order.task) {
                     worker.end(&order.task, EndKind::Stopped);
                 }
-                self.planner.take_stop(order, StopOutcome::Taken, now);
+                self.planner
+                    .handle_stop_outcome(order, StopOutcome::Taken, now);
             }
         }
     }
@@ -484,7 +486,9 @@
             OrderKind::Start { .. } => {
                 self.planner.take_start(order, StartOutcome::OtherLife, now);
             }
-            OrderKind::Stop => self.planner.take_stop(order, StopOutcome::OtherLife, now),
+            OrderKind::Stop => self
+                .planner
+                .handle_stop_outcome(order, StopOutcome::OtherLife, now),
         }
     }
 
@@ -493,7 +497,9 @@
         let now = self.now();
         match order.kind {
             OrderKind::Start { .. } => self.planner.take_start(order, StartOutcome::Unknown, now),
-            OrderKind::Stop => self.planner.take_stop(order, StopOutcome::Unknown, now),
+            OrderKind::Stop => self
+                .planner
+                .handle_stop_outcome(order, StopOutcome::Unknown, now),
         }
     }
 
@@ -516,7 +522,7 @@
     pub fn write_all(&mut self) {
         let now = self.now();
         for write in self.planner.take_writes(1000, &BTreeSet::new(), now) {
-            self.planner.written(&write.job, write.change);
+            self.planner.progress_written(&write.job, write.change);
             self.kept.insert(write.job, write.progress);
         }
     }
@@ -545,7 +551,7 @@
         }
         for job in jobs {
             let kept = self.kept.get(&job.id);
-            self.planner.load(job.clone(), kept, false, now);
+            self.planner.restore_job(job.clone(), kept, false, now);
         }
         self.tell_evacuations();
     }
--- a/crates/stairstall-core/tests/batch/lossy/world.rs
+++ b/crates/stairstall-core/tests/batch/lossy/world.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::batch::{
     AcceptedJob, CallerState, GroupKey, ListedWorker, Now, Order, OrderKind, Outcome, Planner,
-    Progress, Resources, StartOutcome, StopOutcome, TaskKey, Write,
+    Progress, ProgressWrite, Resources, StartOutcome, StopOutcome, TaskKey,
 };
 use stairstall_core::{JobId, Timestamp, WorkerId};
 
@@ -137,7 +137,7 @@
     pub delays_start_ms: Option<u64>,
     pub delays_naming_ms: Option<u64>,
     news: Timeline<News>,
-    writes: Timeline<(u64, Write)>,
+    writes: Timeline<(u64, ProgressWrite)>,
     /// Tasks whose end as done was taken note of.
     noted_done: BTreeSet<TaskKey>,
     /// By task, the workers that were lost while it may have run there.
@@ -236,7 +236,7 @@
         }
         for (id, job) in &self.jobs {
             let progress = self.kept.get(id);
-            self.planner.load(job.clone(), progress, false, now);
+            self.planner.restore_job(job.clone(), progress, false, now);
         }
         self.busy.clear();
         self.asking.clear();
@@ -543,7 +543,7 @@
                 self.planner.take_start(order, outcome, now);
             }
             (Call::Stop(order), Answer::Stop(outcome)) => {
-                self.planner.take_stop(order, outcome, now);
+                self.planner.handle_stop_outcome(order, outcome, now);
             }
             _ => unreachable!("answers fit their calls"),
         }
@@ -558,7 +558,9 @@
                 self.asking.insert(sent.worker.clone(), rests);
             }
             Call::Start(order) => self.planner.take_start(order, StartOutcome::Unknown, now),
-            Call::Stop(order) => self.planner.take_stop(order, StopOutcome::Unknown, now),
+            Call::Stop(order) => self
+                .planner
+                .handle_stop_outcome(order, StopOutcome::Unknown, now),
         }
     }
 
@@ -600,7 +602,7 @@
             // A write of an earlier planner fails: the role is no longer its own.
             if token == self.planner.token() {
                 self.busy.remove(&write.job);
-                self.planner.written(&write.job, write.change);
+                self.planner.progress_written(&write.job, write.change);
                 self.kept.insert(write.job, write.progress);
             }
         }
--- a/crates/stairstall-core/tests/batch/paces.rs
+++ b/crates/stairstall-core/tests/batch/paces.rs
@@ -64,7 +64,7 @@
         paces,
         ..Learnt::default()
     };
-    fleet.planner.take_learnt(learnt, now);
+    fleet.planner.restore_learned_estimates(learnt, now);
 }
 
 /// A fleet whose workers are known: the first `sound` of usual pace, then `slow` slow ones.
--- a/crates/stairstall-core/tests/batch/records.rs
+++ b/crates/stairstall-core/tests/batch/records.rs
@@ -39,25 +39,35 @@
     long.spec.payload = "x".repeat(4_000);
     fleet.submit(long.clone());
     fleet.submit(job("open", 2, vec![step(1, 1)]));
-    assert!(fleet.planner.take_trims(10).is_empty(), "nothing has ended");
+    assert!(
+        fleet.planner.take_jobs_to_trim(10).is_empty(),
+        "nothing has ended"
+    );
     complete(&mut fleet, "long");
-    let trims = fleet.planner.take_trims(10);
+    let trims = fleet.planner.take_jobs_to_trim(10);
     let names: Vec<&str> = trims.iter().map(|trim| trim.id.as_str()).collect();
     assert_eq!(names, ["long"]);
     let bytes = serde_json::to_vec(&trims[0]).expect("a record").len();
     assert!(bytes < 500, "{bytes} bytes are kept of it");
     assert_eq!(trims[0].mark, long.mark, "who wrote it is still told");
-    assert!(fleet.planner.take_trims(10).is_empty(), "it is under way");
-    fleet.planner.not_trimmed(&id("long"));
-    assert_eq!(fleet.planner.take_trims(10), trims, "it is offered again");
-    fleet.planner.trimmed(&id("long"));
+    assert!(
+        fleet.planner.take_jobs_to_trim(10).is_empty(),
+        "it is under way"
+    );
+    fleet.planner.job_trim_failed(&id("long"));
+    assert_eq!(
+        fleet.planner.take_jobs_to_trim(10),
+        trims,
+        "it is offered again"
+    );
+    fleet.planner.job_trimmed(&id("long"));
     fleet.take_over(&trims, &[("w1", "r1")]);
     fleet.hold_all();
     fleet.settle();
     let state = fleet.planner.caller_state(&id("long"));
     assert_eq!(state, Some(CallerState::Ended(Outcome::Completed)));
     assert!(
-        fleet.planner.take_trims(10).is_empty(),
+        fleet.planner.take_jobs_to_trim(10).is_empty(),
         "it is short already"
     );
 }
--- a/crates/stairstall-core/tests/batch/restarts.rs
+++ b/crates/stairstall-core/tests/batch/restarts.rs
@@ -222,7 +222,9 @@
     fleet.submit(job("j", 0, vec![gang(2, 8)]));
     let lost: WorkerId = "w2".parse().expect("an id");
     let now = fleet.now();
-    fleet.planner.life_over(&lost, "another life answered", now);
+    fleet
+        .planner
+        .end_incarnation(&lost, "another life answered", now);
     let orders = fleet.planner.tick(now);
     let stops = orders.iter().filter(|o| o.kind == OrderKind::Stop);
     let stopped: Vec<&str> = stops.map(|order| order.worker.as_str()).collect();
--- a/crates/stairstall-core/tests/batch/run_times.rs
+++ b/crates/stairstall-core/tests/batch/run_times.rs
@@ -67,7 +67,7 @@
 }
 
 fn learnt(fleet: &Fleet) -> Learnt {
-    fleet.planner.learnt(fleet.now())
+    fleet.planner.learned_estimates(fleet.now())
 }
 
 /// Returns how many runs the planner has learnt from in a queue.
@@ -246,7 +246,7 @@
     let now = fleet.now();
     if with_record {
         let read: Learnt = serde_json::from_str(&record).expect("it can be read");
-        next.take_learnt(read, now);
+        next.restore_learned_estimates(read, now);
     }
     for listed in fleet.listed.values() {
         next.list_worker(listed.clone(), now);
--- a/crates/stairstall-core/tests/batch/silence.rs
+++ b/crates/stairstall-core/tests/batch/silence.rs
@@ -17,7 +17,7 @@
     assert_eq!(orders[0].kind, OrderKind::Stop);
     fleet
         .planner
-        .take_stop(&orders[0], StopOutcome::Unknown, now);
+        .handle_stop_outcome(&orders[0], StopOutcome::Unknown, now);
     assert_eq!(fleet.planner.tick(now), orders);
 }
 
--- a/crates/stairstall-core/tests/batch/turns.rs
+++ b/crates/stairstall-core/tests/batch/turns.rs
@@ -306,16 +306,21 @@
     load.hand_in("acme", job("waits", 1, vec![gang(2, 8)]));
     load.pass(300);
     let now = load.fleet.now();
-    let waiting = load.fleet.planner.waiting(&id("waits"), now);
+    let waiting = load.fleet.planner.wait_status(&id("waits"), now);
     let waiting = waiting.expect("it waits");
     assert_eq!(waiting.rank, 2);
     assert_eq!(waiting.timeliness, Timeliness::InTime);
     assert_eq!(waiting.reason, WaitReason::Turn);
     assert!(!waiting.used.is_zero(), "its customer's other job runs");
-    assert!(load.fleet.planner.waiting(&id("running"), now).is_none());
+    assert!(
+        load.fleet
+            .planner
+            .wait_status(&id("running"), now)
+            .is_none()
+    );
     load.pass(1_400);
     let now = load.fleet.now();
-    let waiting = load.fleet.planner.waiting(&id("waits"), now);
+    let waiting = load.fleet.planner.wait_status(&id("waits"), now);
     let reason = waiting.expect("it waits").reason;
     assert!(matches!(reason, WaitReason::Date(_)), "{reason:?}");
 }
@@ -536,7 +541,7 @@
         }
         load.pass(200);
         let now = load.fleet.now();
-        let waiting = load.fleet.planner.waiting(&id("wide"), now);
+        let waiting = load.fleet.planner.wait_status(&id("wide"), now);
         if let Some(WaitReason::Date(left)) = waiting.map(|waiting| waiting.reason) {
             let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
             date_ms = date_ms.or(Some(load.fleet.at_ms + left_ms));
--- a/crates/stairstall-core/tests/batch/unasked.rs
+++ b/crates/stairstall-core/tests/batch/unasked.rs
@@ -31,7 +31,9 @@
         let now = fleet.now();
         for order in fleet.planner.tick(now) {
             if order.kind == OrderKind::Stop {
-                fleet.planner.take_stop(&order, StopOutcome::Unknown, now);
+                fleet
+                    .planner
+                    .handle_stop_outcome(&order, StopOutcome::Unknown, now);
             }
         }
         fleet.at_ms += 400;
@@ -49,7 +51,9 @@
     fleet.planner.cancel(&id("j"), now);
     let stops = fleet.planner.tick(now);
     assert_eq!(stops.len(), 1);
-    fleet.planner.take_stop(&stops[0], StopOutcome::Taken, now);
+    fleet
+        .planner
+        .handle_stop_outcome(&stops[0], StopOutcome::Taken, now);
     fleet.at_ms += 10;
     fleet.hold_all();
     assert_eq!(fleet.planner.runs(), 0, "the worker does not know it");
--- a/crates/stairstalld/src/batch/intake.rs
+++ b/crates/stairstalld/src/batch/intake.rs
@@ -79,7 +79,7 @@
     if let Some(learnt) = kept.learnt {
         log::info!(target: "intake", token = tenure.token(), run_times = learnt.run_times.len(),
             paces = learnt.paces.len(); "what was learnt is read");
-        tenure.with(|planner, now| planner.take_learnt(learnt, now));
+        tenure.with(|planner, now| planner.restore_learned_estimates(learnt, now));
     }
     let mut revisions = Revisions::new();
     let mut progress: BTreeMap<JobId, Progress> = BTreeMap::new();
@@ -108,7 +108,7 @@
     for job in kept.jobs.iter().filter_map(read_job) {
         let id = job.id.clone();
         tenure.with(|planner, now| {
-            planner.load(job, progress.get(&id), cancelled.contains(&id), now);
+            planner.restore_job(job, progress.get(&id), cancelled.contains(&id), now);
         });
     }
     (kept.at, revisions)
@@ -164,7 +164,7 @@
         Err(StoreFault::HistoryGone) => reread(node, tenure).await?,
         Err(fault) => return Err(fault),
     };
-    tenure.with(|planner, _| planner.confirm_jobs(asked_at));
+    tenure.with(|planner, _| planner.confirm_jobs_current(asked_at));
     Ok(at)
 }
 
--- a/crates/stairstalld/src/batch/links.rs
+++ b/crates/stairstalld/src/batch/links.rs
@@ -203,7 +203,9 @@
         }
         Err(WorkerFault::OtherLife) => {
             node.telemetry.hold("other life");
-            tenure.with(|planner, now| planner.life_over(&worker.id, "another life answered", now));
+            tenure.with(|planner, now| {
+                planner.end_incarnation(&worker.id, "another life answered", now);
+            });
         }
         Err(WorkerFault::Fenced) => {
             node.telemetry.hold("fenced");
--- a/crates/stairstalld/src/batch/orders.rs
+++ b/crates/stairstalld/src/batch/orders.rs
@@ -62,7 +62,7 @@
                 StopOutcome::Unknown
             };
             node.telemetry.order("stop", stop_word(outcome));
-            tenure.with(|planner, now| planner.take_stop(&order, outcome, now));
+            tenure.with(|planner, now| planner.handle_stop_outcome(&order, outcome, now));
         }
     }
 }
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -89,7 +89,7 @@
             return;
         }
         if !lease.is_valid(self.clock.now()) {
-            self.with(Planner::doubt_jobs);
+            self.with(Planner::mark_jobs_stale);
             self.resumed.notify_one();
         }
         *lease = renewed;
@@ -115,13 +115,13 @@
         let now = self.now();
         let mut planner = lock(&self.planner);
         let result = act(&mut planner, now);
-        if planner.wants_tick() {
+        if planner.needs_tick() {
             self.wake.notify_one();
         }
         if planner.has_writes() {
             self.dirty.notify_one();
         }
-        if planner.is_deposed() {
+        if planner.is_superseded() {
             self.give_up("a worker has seen a higher token");
         }
         result
@@ -204,7 +204,7 @@
     /// Returns the customers that have used most, and the fair use of each, in milliseconds of the
     /// whole fleet.
     pub(crate) fn customer_use(&self, most: usize) -> (Vec<CustomerUse>, u64) {
-        lock(&self.planner).customer_use(most, self.now())
+        lock(&self.planner).customer_usage(most, self.now())
     }
 
     /// Returns how many jobs are open and how many runs there are.
--- a/crates/stairstalld/src/batch/upkeep.rs
+++ b/crates/stairstalld/src/batch/upkeep.rs
@@ -39,7 +39,7 @@
         if node.settings.policy.run_times.is_kept && round.is_multiple_of(ROUNDS_PER_LEARNT) {
             keep_learnt(&node, &tenure, &mut written).await;
         }
-        let trims = tenure.with(|planner, _| planner.take_trims(JOBS_PER_WRITE));
+        let trims = tenure.with(|planner, _| planner.take_jobs_to_trim(JOBS_PER_WRITE));
         if !trims.is_empty() {
             write(&node, &tenure, &trims).await;
         }
@@ -78,7 +78,7 @@
 /// Writes down what was learnt, where the next planner would know more by it than by what was
 /// written before; what can't be written is tried again the next time.
 async fn keep_learnt(node: &Node, tenure: &Tenure, written: &mut Learnt) {
-    let learnt = tenure.with(|planner, now| planner.learnt(now));
+    let learnt = tenure.with(|planner, now| planner.learned_estimates(now));
     if !learnt.is_news_after(written) {
         return;
     }
@@ -115,9 +115,9 @@
     tenure.with(|planner, _| {
         for job in trims {
             if is_done {
-                planner.trimmed(&job.id);
+                planner.job_trimmed(&job.id);
             } else {
-                planner.not_trimmed(&job.id);
+                planner.job_trim_failed(&job.id);
             }
         }
     });
--- a/crates/stairstalld/src/batch/writer.rs
+++ b/crates/stairstalld/src/batch/writer.rs
@@ -8,7 +8,7 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
 use stairstall_core::JobId;
-use stairstall_core::batch::{Planner, Write};
+use stairstall_core::batch::{Planner, ProgressWrite};
 use stairstall_ports::{Commit, Committed, Item, Revision, StoreFault};
 use tokio::time::Instant;
 
@@ -28,7 +28,7 @@
 
 /// A write that was sent, and what became of it.
 struct Sent {
-    writes: Vec<Write>,
+    writes: Vec<ProgressWrite>,
     /// Length of its values.
     bytes: usize,
     outcome: Result<Committed, StoreFault>,
@@ -129,7 +129,7 @@
 
     /// Puts as many writes into a commit as the window lets, one at least, and gives the others
     /// back; returns the commit, what is in it, and the length of its values.
-    fn fill(&self, writes: Vec<Write>) -> (Commit, Vec<Write>, usize) {
+    fn fill(&self, writes: Vec<ProgressWrite>) -> (Commit, Vec<ProgressWrite>, usize) {
         let left = self.window().saturating_sub(self.bytes_under_way);
         let mut commit = Commit::default().when(keys::PLANNER, self.tenure.role_revision);
         let mut sent = Vec::new();
@@ -137,7 +137,7 @@
         for write in writes {
             if bytes > left {
                 self.tenure
-                    .with(|planner, _| planner.not_written(&write.job));
+                    .with(|planner, _| planner.progress_write_failed(&write.job));
                 continue;
             }
             match kept::write(&write.progress) {
@@ -175,7 +175,7 @@
         if !self.lasts(&sent) {
             self.tenure.with(|planner, _| {
                 for write in &sent.writes {
-                    planner.not_written(&write.job);
+                    planner.progress_write_failed(&write.job);
                 }
             });
             self.node.pause(PAUSE).await;
@@ -189,7 +189,7 @@
                 let revisions = &mut self.revisions;
                 self.tenure.with(|planner, _| {
                     for write in &sent.writes {
-                        planner.written(&write.job, write.change);
+                        planner.progress_written(&write.job, write.change);
                         revisions.insert(write.job.clone(), *revision);
                     }
                 });
@@ -206,7 +206,12 @@
 }
 
 /// Learns from the keys as they are who holds the role and what was written after all.
-fn take_conflict(tenure: &Tenure, revisions: &mut Revisions, writes: &[Write], items: &[Item]) {
+fn take_conflict(
+    tenure: &Tenure,
+    revisions: &mut Revisions,
+    writes: &[ProgressWrite],
+    items: &[Item],
+) {
     let holds = items
         .iter()
         .any(|item| item.key == keys::PLANNER && item.revision == tenure.role_revision);
