--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -36,7 +36,7 @@
 pub use learned::LearnedEstimates;
 pub use load::{CustomerBacklog, FleetHistory, LoadSummary, QueueRunTime, ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast, WaitingWork, WorkerKind};
 pub use peers::{PeerAddress, PeerTable};
-pub use planner::{AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, VmLimits, Write};
+pub use planner::{AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, ProgressWrite, VmLimits};
 pub use policy::{AcceptancePolicy, AdmissionPolicy, AdvicePolicy, FlowPolicy, HeadroomPolicy, HealthPolicy, LeavingPolicy, LinkPolicy, OrderPolicy, PacePolicy, PlacePolicy, Policy, PolicyError, ReachPolicy, ReportPolicy, RolePolicy, RunTimePolicy, TakeoverPolicy, TurnPolicy, VictimPolicy, WorkerPacePolicy, WritePolicy};
 pub use record::{AcceptedJob, CallerState, GroupProgress, Outcome, Progress, RunPlacement, SilentWorker, TaskLosses};
 pub use resources::Resources;
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -25,7 +25,7 @@
     /// Returns the customers that have used most lately, and what each would have if all had used alike,
     /// in milliseconds of the whole fleet.
     #[must_use]
-    pub fn customer_use(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
+    pub fn customer_usage(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
         (
             self.usage.top_customers(most, now.at),
             self.usage.mean_used_ms(now.at),
@@ -77,12 +77,12 @@
     }
 
     pub(super) fn is_claim(&self, key: &GroupKey) -> bool {
-        let claims = self.ranked_claims.as_ref();
+        let claims = self.ranked_guaranteed_jobs.as_ref();
         claims.is_some_and(|claims| claims.contains(&key.job))
     }
 
     /// Commits a customer to tasks that have just got places.
-    pub(super) fn commit_use(
+    pub(super) fn commit_usage(
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
@@ -119,7 +119,7 @@
                 ..SchedulingKey::default()
             };
         }
-        let (wanted, left_ms) = self.wanted(key, job, now);
+        let (wanted, left_ms) = self.job_objective(key, job, now);
         let mut turn = wanted.scheduling_key(left_ms, now.unix_ms, self.usage.policy());
         if job.step(key).is_some_and(|step| step.long_running) {
             turn.timeliness = Timeliness::InTime;
@@ -129,7 +129,7 @@
     }
 
     /// Returns until when a time of a job is wanted, and how long it would take from a step on.
-    pub(super) fn wanted(&self, key: &GroupKey, job: &Job, now: Now) -> (CompletionObjective, u64) {
+    pub(super) fn job_objective(&self, key: &GroupKey, job: &Job, now: Now) -> (CompletionObjective, u64) {
         let chains = job.accepted.spec.critical_paths_ms(|step| {
             if step.long_running {
                 return 0;
--- a/crates/stairstall-core/tests/batch/run_times.rs
+++ b/crates/stairstall-core/tests/batch/run_times.rs
@@ -65,7 +65,7 @@
 }
 
 fn learnt(fleet: &Fleet) -> LearnedEstimates {
-    fleet.planner.learnt(fleet.now())
+    fleet.planner.learned_estimates(fleet.now())
 }
 
 /// Returns how many runs the planner has learnt from in a queue.
@@ -244,7 +244,7 @@
     let now = fleet.now();
     if with_record {
         let read: LearnedEstimates = serde_json::from_str(&record).expect("it can be read");
-        next.take_learnt(read, now);
+        next.restore_learned_estimates(read, now);
     }
     for listed in fleet.listed.values() {
         next.list_worker(listed.clone(), now);
