--- a/crates/stairstall-core/benches/planner.rs
+++ b/crates/stairstall-core/benches/planner.rs
@@ -110,7 +110,7 @@
         fleet
             .workers
             .insert(listed.id.clone(), FakeWorker::default());
-        fleet.planner.list_worker(listed, now);
+        fleet.planner.handle_listed_worker(listed, now);
     }
     hold_all(&mut fleet);
     let mut tasks = 0;
--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -10,17 +10,14 @@
 
 mod adopt;
 mod advice;
-mod answers;
 mod bounds;
 mod candidate;
 mod contact;
 mod crashes;
 mod directory;
-mod ends;
 mod evacuation;
 mod explain;
-mod fences;
-mod fit;
+mod fencing;
 mod flow;
 mod headroom;
 mod job;
@@ -32,14 +29,17 @@
 mod orders;
 mod paces;
 mod pass;
+mod placement;
 mod pool;
 mod progress;
 mod queue;
 mod resend;
 mod restarts;
+mod run_ends;
 mod run_times;
 mod runs;
 mod site;
+mod start_outcomes;
 mod starts;
 mod stops;
 mod story;
@@ -73,7 +73,7 @@
     /// Lives of workers that have begun, each of which has a token of its own.
     lives_begun: u64,
     bounds: Bounds,
-    flow: flow::Flow,
+    flow: flow::FlowControl,
     policy: Policy,
     catalog: Arc<Catalog>,
     jobs: BTreeMap<JobId, Job>,
@@ -83,7 +83,7 @@
     run_index: runs::RunIndex,
     planned: BTreeSet<GroupKey>,
     /// Workers whose room is kept for waiting gangs.
-    reservations: BTreeMap<GroupKey, fit::Reservation>,
+    reservations: BTreeMap<GroupKey, placement::Reservation>,
     orders: Vec<Order>,
     advice_requests: Vec<AdviceRequest>,
     decisions: Vec<Decision>,
@@ -92,7 +92,7 @@
     touched: BTreeSet<JobId>,
     summaries: Vec<JobSummary>,
     demand: UrgentDemand,
-    evacuation: evacuation::Evacuation,
+    evacuation: evacuation::EvacuatedZones,
     paces: WorkerPaces,
     run_times: RunTimes,
     usage: CustomerUsage,
@@ -142,7 +142,7 @@
             token,
             lives_begun: 0,
             bounds,
-            flow: flow::Flow::default(),
+            flow: flow::FlowControl::default(),
             policy: Policy::default(),
             catalog: Arc::default(),
             jobs: BTreeMap::new(),
@@ -158,7 +158,7 @@
             touched: BTreeSet::new(),
             summaries: Vec::new(),
             demand: UrgentDemand::default(),
-            evacuation: evacuation::Evacuation::default(),
+            evacuation: evacuation::EvacuatedZones::default(),
             paces: WorkerPaces::default(),
             run_times: RunTimes::default(),
             usage: CustomerUsage::default(),
@@ -235,13 +235,13 @@
             return;
         }
         let mut job = Job::new(Arc::new(accepted), now);
-        job.story.taken_over = true;
+        job.timeline.taken_over = true;
         if let Some(progress) = progress {
             job.restore(progress, now);
         }
         if job.outcome.is_some() {
             // An earlier planner has told its story, or the part that it knew.
-            job.story.tell();
+            job.timeline.tell();
         }
         self.jobs.insert(id.clone(), job);
         if let Some(progress) = progress {
@@ -290,7 +290,7 @@
             self.kept_house_at = Some(now.at);
             self.end_lives_of_the_left(now);
             self.end_lives_of_the_vanished(now);
-            self.end_leases(now);
+            self.expire_leases(now);
             self.resend(now);
             self.start_due_occurrences(now);
             self.charge_customers(now);
@@ -325,8 +325,8 @@
     pub fn caller_state(&self, id: &JobId) -> Option<CallerState> {
         let job = self.jobs.get(id)?;
         Some(match job.outcome {
-            Some(outcome) if job.is_written() => CallerState::Ended(outcome),
-            _ if job.begun => CallerState::Running,
+            Some(outcome) if job.is_stored() => CallerState::Ended(outcome),
+            _ if job.has_started => CallerState::Running,
             _ => CallerState::Queued,
         })
     }
@@ -344,7 +344,7 @@
             .jobs
             .values()
             .filter(|job| job.accepted.queue.name == queue)
-            .filter(|job| job.outcome.is_none() && !job.begun);
+            .filter(|job| job.outcome.is_none() && !job.has_started);
         waiting.count() as u64
     }
 
@@ -375,7 +375,7 @@
             .jobs
             .values()
             .filter(|job| job.ended_at.is_some_and(|ended| now.at - ended > keep))
-            .filter(|job| job.is_written() && !self.run_index.has_job(&job.accepted.id))
+            .filter(|job| job.is_stored() && !self.run_index.has_job(&job.accepted.id))
             .map(|job| job.accepted.id.clone())
             .collect();
         for id in &expired {
--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -41,14 +41,14 @@
         }
         let incarnation = self.incarnation_of(id);
         if let Some(job) = self.jobs.get_mut(&key.job) {
-            job.begun = true;
+            job.has_started = true;
             if let Some(group) = job.group_mut(key) {
                 group.last_run = group.last_run.max(running.run);
                 let task = &mut group.tasks[running.task.index as usize];
                 task.place = Some(id.clone());
                 task.run = running.run;
                 task.incarnation = incarnation;
-                task.taken = true;
+                task.start_confirmed = true;
             }
         }
         self.note_progress(running);
@@ -74,7 +74,7 @@
     /// Returns a worker that was written down, whether the directory lists it or not.
     pub(super) fn recorded_worker(&mut self, id: &WorkerId, now: Now) -> &mut Worker {
         if !self.workers.contains_key(id) {
-            let fence = self.next_fence();
+            let fence = self.next_fencing_token();
             let worker = Worker::unlisted(id, fence, now.at);
             self.workers.insert(id.clone(), worker);
         }
--- a/crates/stairstall-core/src/batch/planner/advice.rs
+++ b/crates/stairstall-core/src/batch/planner/advice.rs
@@ -51,7 +51,7 @@
     }
 
     /// Takes the adviser's answer to a question.
-    pub fn take_advice(
+    pub fn handle_advice(
         &mut self,
         request: &AdviceRequest,
         good: Vec<(WorkerId, String)>,
@@ -73,7 +73,7 @@
     }
 
     /// Takes word that a question got no answer.
-    pub fn advice_failed(&mut self, request: &AdviceRequest) {
+    pub fn handle_advice_failure(&mut self, request: &AdviceRequest) {
         if let Some(advice) = self.advice_mut(&request.group) {
             advice.is_asking = false;
         }
@@ -87,7 +87,7 @@
     }
 
     /// Forgets what the adviser said of a worker: it holds for one of its lives.
-    pub(super) fn drop_tickets_of(&mut self, id: &WorkerId) {
+    pub(super) fn clear_worker_advice(&mut self, id: &WorkerId) {
         let jobs = self.jobs.values_mut().filter(|job| job.outcome.is_none());
         for group in jobs.flat_map(|job| job.occurrences.iter_mut().flatten()) {
             group.advice.tickets.remove(id);
--- a/crates/stairstall-core/src/batch/planner/candidate.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate.rs
@@ -3,9 +3,9 @@
 use crate::batch::{GroupKey, Turn};
 
 /// Rank of a customer's claim on its own share: nothing comes before it.
-pub(super) const CLAIM: u8 = 0;
+pub(super) const GUARANTEED_RANK: u8 = 0;
 /// Rank of urgent work beyond its customer's own share.
-pub(super) const URGENT: u8 = 1;
+pub(super) const URGENT_RANK: u8 = 1;
 
 /// A step whose tasks may start.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -12,12 +12,12 @@
     ///
     /// A deadline counts as sent from this moment on.
     pub fn hold_request(&mut self, id: &WorkerId, now: Now) -> Option<HoldRequest> {
-        let longest_wait = self.longest_wait();
+        let longest_wait = self.report_wait();
         let jobs = &self.jobs;
         let worker = self.workers.get_mut(id)?;
-        let forgettable = worker
-            .life
-            .forgettable(|job, change| jobs.get(job).is_none_or(|job| job.written >= change));
+        let forgettable = worker.life.forgettable(|job, change| {
+            jobs.get(job).is_none_or(|job| job.stored_changes >= change)
+        });
         let deadline_ms = worker
             .life
             .clock_at(now.at)
@@ -40,7 +40,7 @@
     }
 
     /// Takes the answer to a request that left at `sent_at`.
-    pub fn take_hold(
+    pub fn handle_worker_report(
         &mut self,
         id: &WorkerId,
         request: &HoldRequest,
@@ -127,7 +127,7 @@
         }
         for task in absent {
             let why = "the worker does not know it";
-            self.run_over(id, &task, EndKind::Lapsed, why, now);
+            self.end_unreported_run(id, &task, EndKind::Lapsed, why, now);
         }
     }
 
@@ -162,11 +162,11 @@
     }
 
     /// Takes word that a worker did not answer.
-    pub fn hold_failed(&mut self, id: &WorkerId, now: Now) {
+    pub fn handle_report_failure(&mut self, id: &WorkerId, now: Now) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.set_asked(false);
         }
-        self.doubt(id, now);
+        self.mark_unresponsive(id, now);
         for task in self.unanswered_gang_members(id, now) {
             self.handle_unconfirmed_start(id, &task, now);
         }
@@ -184,7 +184,7 @@
     }
 
     /// Gives a worker nothing new until it answers; with several of a zone, the whole zone.
-    pub(super) fn doubt(&mut self, id: &WorkerId, now: Now) {
+    pub(super) fn mark_unresponsive(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -210,14 +210,19 @@
     ///
     /// Each doubt takes a worker out for a report's time, and three at once a whole zone with all
     /// places that wait for room there.
-    pub(super) fn doubt_unless_heard(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    pub(super) fn mark_unresponsive_unless_heard(
+        &mut self,
+        id: &WorkerId,
+        task: &TaskKey,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let ordered_at = worker.runs.get(task).map(|run| run.ordered_at);
         let was_heard = ordered_at.is_some_and(|at| worker.life.heard_at > Some(at));
         if !(was_heard && self.policy.health.reports_count) {
-            self.doubt(id, now);
+            self.mark_unresponsive(id, now);
         }
     }
 
@@ -230,7 +235,7 @@
     /// has shown that the directory is behind; the others are asked all the time.
     ///
     /// Otherwise the task goes to one worker after the other whose life is over: four in 45 ms.
-    pub(super) fn doubt_unheard(&mut self, now: Now) {
+    pub(super) fn mark_unheard_unresponsive(&mut self, now: Now) {
         self.doubt_unheard_where(|worker| !worker.is_busy(), now);
     }
 
@@ -248,7 +253,7 @@
     }
 
     /// Takes what runs on silent workers for over once their leases are.
-    pub(super) fn end_leases(&mut self, now: Now) {
+    pub(super) fn expire_leases(&mut self, now: Now) {
         let over: Vec<(WorkerId, Vec<(TaskKey, Run)>)> = self
             .workers
             .iter()
@@ -260,7 +265,7 @@
         for (id, runs) in over {
             self.count_silence(&id, &runs);
             for (task, _) in runs {
-                self.run_over(&id, &task, EndKind::Lapsed, "its lease is over", now);
+                self.end_unreported_run(&id, &task, EndKind::Lapsed, "its lease is over", now);
             }
             self.forget_if_gone(&id, now);
         }
@@ -308,7 +313,7 @@
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        if !std::mem::replace(&mut job.begun, true) {
+        if !std::mem::replace(&mut job.has_started, true) {
             self.touched.insert(key.job.clone());
         }
         let Some(group) = job.group_mut(key) else {
--- a/crates/stairstall-core/src/batch/planner/crashes.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes.rs
@@ -11,8 +11,8 @@
 use crate::batch::{Decision, DecisionKind, Outcome, Progress, SilentWorker, TaskKey, TaskLosses};
 use crate::{JobId, Timestamp, WorkerId};
 
-mod apart;
-mod blame;
+mod attribution;
+mod isolation;
 
 impl Planner {
     /// Counts a crash against the tasks that a worker whose life is over may have crashed under;
@@ -53,7 +53,7 @@
     }
 
     /// Takes back what was counted against tasks because of a worker that did not crash.
-    pub(super) fn forgive(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
+    pub(super) fn retract_losses(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
             self.change_losses(task, |losses| {
                 losses.settle(id);
@@ -63,7 +63,7 @@
     }
 
     /// Takes a silent worker for crashed.
-    pub(super) fn confirm(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
+    pub(super) fn confirm_crashes(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
             self.change_losses(task, |losses| {
                 for silent in losses.settle(id) {
@@ -90,12 +90,12 @@
             });
         }
         self.replan = true;
-        self.give_up_crashing(tasks, now);
+        self.fail_crashing_jobs(tasks, now);
     }
 
     /// Fails the jobs of those tasks that workers crash under again and again: each further start
     /// would take another worker down, with all that runs there.
-    pub(super) fn give_up_crashing(&mut self, tasks: &[TaskKey], now: Now) {
+    pub(super) fn fail_crashing_jobs(&mut self, tasks: &[TaskKey], now: Now) {
         for task in tasks {
             let job = &task.group.job;
             let is_open = self.jobs.get(job).is_some_and(|job| job.outcome.is_none());
@@ -150,7 +150,7 @@
             return;
         };
         change(&mut entry.losses);
-        job.change();
+        job.record_change();
         self.changed.insert(key.job.clone());
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Tells whether a task must not start until it is known whether workers have crashed under it.
-    pub(super) fn is_held(&self, task: &Task) -> bool {
+    pub(super) fn is_blocked_by_losses(&self, task: &Task) -> bool {
         self.is_too_much(&task.losses.at_worst())
     }
 }
--- a/crates/stairstall-core/src/batch/planner/crashes/apart.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes/isolation.rs
@@ -28,20 +28,20 @@
     }
 
     /// Returns which workers a step's tasks must keep away from.
-    pub(in crate::batch::planner) fn apart(
+    pub(in crate::batch::planner) fn isolation(
         &self,
         key: &GroupKey,
         urgent: bool,
         now: Now,
-    ) -> Apart<'_> {
+    ) -> Isolation<'_> {
         let job = self.jobs.get_key_value(&key.job).map(|(id, _)| id);
         let group = self.jobs.get(&key.job).and_then(|job| job.group(key));
         let waiting = group.into_iter().flat_map(|group| &group.tasks);
         let mut waiting = waiting.filter(|task| task.is_waiting());
         let takes_last_chance =
             waiting.any(|task| self.suspicion_by(&task.losses) == Suspicion::LastChance);
-        let has_patience = self.waited(key, now) <= self.suspect_patience(urgent);
-        Apart {
+        let has_patience = self.waiting_time(key, now) <= self.suspect_patience(urgent);
+        Isolation {
             job,
             fresh_start: self.policy.health.fresh_start,
             wants_quiet: takes_last_chance && has_patience,
@@ -51,7 +51,7 @@
 
 /// Keeps what takes its last chance apart from what else has just started, so that a crash right after
 /// the start leaves no doubt about its cause.
-pub(in crate::batch::planner) struct Apart<'a> {
+pub(in crate::batch::planner) struct Isolation<'a> {
     job: Option<&'a JobId>,
     fresh_start: Duration,
     /// Whether it takes a last chance itself, and still waits for a worker where nothing has just
@@ -59,7 +59,7 @@
     wants_quiet: bool,
 }
 
-impl Apart<'_> {
+impl Isolation<'_> {
     /// Tells whether tasks may start at a worker.
     pub(in crate::batch::planner) fn allows(&self, worker: &Worker, at: Timestamp) -> bool {
         let is_other = |task: &TaskKey| self.job != Some(&task.group.job);
--- a/crates/stairstall-core/src/batch/planner/directory.rs
+++ b/crates/stairstall-core/src/batch/planner/directory.rs
@@ -9,7 +9,7 @@
     /// Takes a worker from the directory.
     ///
     /// An entry that is as it was, as most are at a heartbeat, changes nothing.
-    pub fn list_worker(&mut self, listed: ListedWorker, now: Now) {
+    pub fn handle_listed_worker(&mut self, listed: ListedWorker, now: Now) {
         let known = self.workers.get(&listed.id);
         if known.is_some_and(|known| known.is_listed && known.listed == listed) {
             return;
@@ -29,7 +29,7 @@
             self.worker_set += 1;
         }
         if known.is_none() {
-            let fence = self.next_fence();
+            let fence = self.next_fencing_token();
             let worker = Worker::new(listed.clone(), fence, now.at);
             self.workers.insert(id.clone(), worker);
         }
@@ -62,7 +62,7 @@
     }
 
     /// Takes word that the directory lists a worker no longer.
-    pub fn unlist_worker(&mut self, id: &WorkerId, now: Now) {
+    pub fn handle_unlisted_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -85,19 +85,19 @@
     }
 
     /// Takes the workers that should be asked now rather than in their turn.
-    pub fn take_to_ask(&mut self) -> Vec<WorkerId> {
+    pub fn take_workers_to_poll(&mut self) -> Vec<WorkerId> {
         std::mem::take(&mut self.to_ask)
     }
 
     /// Tells whether a worker is known.
     #[must_use]
-    pub fn knows(&self, id: &WorkerId) -> bool {
+    pub fn knows_worker(&self, id: &WorkerId) -> bool {
         self.workers.contains_key(id)
     }
 
     /// Counts changes of the set of workers.
     #[must_use]
-    pub const fn worker_set(&self) -> u64 {
+    pub const fn worker_set_version(&self) -> u64 {
         self.worker_set
     }
 }
--- a/crates/stairstall-core/src/batch/planner/evacuation.rs
+++ b/crates/stairstall-core/src/batch/planner/evacuation.rs
@@ -12,13 +12,13 @@
 
 /// The evacuated zones as they were last read.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Evacuation {
+pub(super) struct EvacuatedZones {
     zones: BTreeSet<ZoneId>,
     /// When the call that read them left; none before the first one.
     read_at: Option<Timestamp>,
 }
 
-impl Evacuation {
+impl EvacuatedZones {
     pub(super) fn includes(&self, zone: &ZoneId) -> bool {
         self.zones.contains(zone)
     }
@@ -39,13 +39,13 @@
 
 impl Planner {
     /// Takes the evacuated zones as a call that left at `asked_at` read them.
-    pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>, asked_at: Timestamp, now: Now) {
+    pub fn set_evacuated_zones(&mut self, zones: BTreeSet<ZoneId>, asked_at: Timestamp, now: Now) {
         let is_older = self.evacuation.read_at.is_some_and(|at| at > asked_at);
         if is_older {
             return;
         }
         // Starts that waited for this knowledge can go out again.
-        self.emit_due |= !self.knows_evacuations(now);
+        self.emit_due |= !self.has_fresh_evacuated_zones(now);
         self.evacuation.read_at = Some(asked_at);
         if zones == self.evacuation.zones {
             return;
@@ -87,19 +87,19 @@
 
     /// Returns how long ago the evacuated zones were read; none before the first time.
     #[must_use]
-    pub fn evacuations_age(&self, now: Now) -> Option<Duration> {
+    pub fn evacuated_zones_age(&self, now: Now) -> Option<Duration> {
         self.evacuation.age(now.at)
     }
 
     /// Counts the evacuated zones.
     #[must_use]
-    pub fn evacuated_zones(&self) -> usize {
+    pub fn evacuated_zone_count(&self) -> usize {
         self.evacuation.zones.len()
     }
 
     /// Tells whether the list of evacuated zones is young enough to start anything by it: an
     /// operator's word that did not come through holds every start back, not only some.
-    pub(super) fn knows_evacuations(&self, now: Now) -> bool {
+    pub(super) fn has_fresh_evacuated_zones(&self, now: Now) -> bool {
         let age = self.evacuation.age(now.at);
         age.is_some_and(|age| age <= self.bounds.oldest_evacuations())
     }
@@ -107,6 +107,7 @@
     /// Tells whether a start, or a further try of one, may leave for a worker.
     pub(super) fn may_start_at(&self, id: &WorkerId, now: Now) -> bool {
         let worker = self.workers.get(id);
-        worker.is_some_and(|worker| !worker.in_evacuated_zone) && self.knows_evacuations(now)
+        worker.is_some_and(|worker| !worker.in_evacuated_zone)
+            && self.has_fresh_evacuated_zones(now)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/explain.rs
+++ b/crates/stairstall-core/src/batch/planner/explain.rs
@@ -1,6 +1,6 @@
 //! Says where a job stands and what it waits for.
 
-use super::job::{Group, Job, Task};
+use super::job::{Job, Task, TaskGroup};
 use super::{Now, Planner};
 use crate::JobId;
 use crate::batch::{GroupKey, JobExplanation, StepExplanation};
@@ -12,7 +12,7 @@
     pub fn explain(&self, id: &JobId, now: Now) -> Option<JobExplanation> {
         let job = self.jobs.get(id)?;
         let accepted = &job.accepted;
-        let story = job.story.keep(now);
+        let story = job.timeline.keep(now);
         Some(JobExplanation {
             job: id.clone(),
             queue: accepted.queue.name.clone(),
@@ -42,7 +42,7 @@
     fn explain_step(
         &self,
         key: &GroupKey,
-        group: &Group,
+        group: &TaskGroup,
         job: &Job,
         now: Now,
     ) -> Option<StepExplanation> {
@@ -72,7 +72,7 @@
     }
 }
 
-fn count(group: &Group, test: impl Fn(&Task) -> bool) -> u32 {
+fn count(group: &TaskGroup, test: impl Fn(&Task) -> bool) -> u32 {
     let tasks = group.tasks.iter().filter(|task| test(task)).count();
     u32::try_from(tasks).unwrap_or(u32::MAX)
 }
--- a/crates/stairstall-core/src/batch/planner/fences.rs
+++ b/crates/stairstall-core/src/batch/planner/fencing.rs
@@ -16,7 +16,7 @@
     /// Returns a token above all that were sent so far.
     ///
     /// Once there are none left the role is given up: the next planner has as many again.
-    pub(super) const fn next_fence(&mut self) -> u64 {
+    pub(super) const fn next_fencing_token(&mut self) -> u64 {
         if self.lives_begun + 1 == LIVES_PER_TENURE {
             self.deposed = true;
         } else {
@@ -27,7 +27,7 @@
 
     /// Takes word that a worker has seen a higher token than a call brought: another planner has taken over,
     /// unless the call was meant for an earlier life.
-    pub fn note_fenced(&mut self, id: &WorkerId, token: u64) {
+    pub fn handle_fenced(&mut self, id: &WorkerId, token: u64) {
         if self.is_present_fence(id, token) {
             self.deposed = true;
         }
--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::candidate::{Candidate, URGENT};
+use super::candidate::{Candidate, URGENT_RANK};
 use super::pass::Pass;
 use super::pool::RunState;
 use super::{Now, Planner, VmLimits};
@@ -29,7 +29,7 @@
 
 /// What this VM can carry, and what a report has been seen to take of it.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Flow {
+pub(super) struct FlowControl {
     limits: VmLimits,
     /// Mean length of the reports' bodies so far, in bytes.
     report_bytes: u32,
@@ -37,7 +37,7 @@
     holds_back_starts: bool,
 }
 
-impl Flow {
+impl FlowControl {
     pub(super) const fn set_limits(&mut self, limits: VmLimits) {
         self.limits = limits;
     }
@@ -73,7 +73,7 @@
 impl Planner {
     /// Returns how long a worker may wait for an end before it reports: the more often it
     /// reports, the sooner trouble shows there, and the longer its leases outlast a cut.
-    pub(super) fn longest_wait(&self) -> Duration {
+    pub(super) fn report_wait(&self) -> Duration {
         let policy = &self.policy.reports;
         let workers = u32::try_from(self.workers.len()).unwrap_or(u32::MAX);
         let carried = self.flow.reports_per_s(&self.policy.flow);
@@ -95,7 +95,7 @@
         count: usize,
         pass: &mut Pass,
     ) -> usize {
-        if candidate.rank <= URGENT {
+        if candidate.rank <= URGENT_RANK {
             return count;
         }
         let window = self.flow.start_window(&self.policy.flow);
@@ -135,7 +135,7 @@
         ContactLag {
             silent: silent.len(),
             oldest_report: ages.max().unwrap_or_default(),
-            report_wait: self.longest_wait(),
+            report_wait: self.report_wait(),
             starts_under_way: self.starts_under_way(),
         }
     }
@@ -150,7 +150,7 @@
         runs.filter(|run| !run.restored)
             .filter(|run| match run.state {
                 RunState::Starting => run.answered_at.is_none(),
-                RunState::Planned => run.rank > URGENT,
+                RunState::Planned => run.rank > URGENT_RANK,
                 RunState::Running | RunState::Stopping => false,
             })
             .count()
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::candidate::{Candidate, URGENT};
+use super::candidate::{Candidate, URGENT_RANK};
 use super::pass::Pass;
 use super::{Now, Planner};
 use crate::JobId;
@@ -48,12 +48,17 @@
     /// What is kept free grows with the time that a stop takes: that is what
     /// urgent work loses where others have to give way to it. It shrinks as
     /// a gang's own time runs out, or a wide one would never start.
-    pub(super) fn allowance(&self, candidate: &Candidate, pass: &mut Pass, now: Now) -> u32 {
-        if candidate.rank <= URGENT {
+    pub(super) fn accelerator_allowance(
+        &self,
+        candidate: &Candidate,
+        pass: &mut Pass,
+        now: Now,
+    ) -> u32 {
+        if candidate.rank <= URGENT_RANK {
             return u32::MAX;
         }
         let free = self.free_accelerators(pass);
-        let room = self.room_for_urgent(pass, now);
+        let room = self.urgent_headroom(pass, now);
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -64,7 +69,7 @@
     }
 
     /// Returns how many accelerators are to be kept free, worked out once in a pass.
-    fn room_for_urgent(&self, pass: &mut Pass, now: Now) -> f64 {
+    fn urgent_headroom(&self, pass: &mut Pass, now: Now) -> f64 {
         let policy = &self.policy.headroom;
         let stop = self.bounds.stop_max;
         let seconds = policy.kept_seconds + policy.kept_per_stop * stop.as_secs_f64();
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -22,13 +22,13 @@
     /// Which life of that worker its place was kept at.
     pub(super) incarnation: Option<Incarnation>,
     /// Whether that worker is known to have taken it.
-    pub(super) taken: bool,
+    pub(super) start_confirmed: bool,
     /// Runs that failed.
     pub(super) failures: u32,
     /// Its last checkpoint.
     pub(super) checkpoint: Option<String>,
     /// Last run whose failure was counted.
-    pub(super) counted_run: u32,
+    pub(super) last_failed_run: u32,
     /// Where its last failed run was.
     pub(super) failed_at: Option<WorkerId>,
     /// How often it was moved because it stood still or was slow; of a gang its first task counts.
@@ -41,12 +41,12 @@
 
 impl Task {
     /// Returns its current run's place as it is written down.
-    pub(super) fn kept_place(&self) -> Option<Place> {
+    pub(super) fn stored_placement(&self) -> Option<Place> {
         Some(Place {
             worker: self.place.clone()?,
             run: self.run,
             incarnation: self.incarnation,
-            taken: self.taken,
+            taken: self.start_confirmed,
         })
     }
 
@@ -57,14 +57,14 @@
 
 /// The tasks of one step of one time.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Group {
+pub(super) struct TaskGroup {
     pub(super) tasks: Vec<Task>,
     /// Highest run number given out.
     pub(super) last_run: u32,
     /// Runs of the gang that failed.
     pub(super) gang_failures: u32,
     /// Last run of the gang whose failure was counted.
-    pub(super) counted_failure: u32,
+    pub(super) last_failed_gang_run: u32,
     /// Since when it could start.
     pub(super) ready_since: Option<Timestamp>,
     /// How much of the work was done when a run last told, in percent.
@@ -74,13 +74,13 @@
     /// Whether a run of it failed so early that its worker is to blame.
     pub(super) failed_early: bool,
     /// How often runs of it gave way to other work, and when they last did.
-    pub(super) gave_way: u8,
-    pub(super) gave_way_at: Option<Timestamp>,
+    pub(super) preemptions: u8,
+    pub(super) preempted_at: Option<Timestamp>,
     /// How long the whole work took tasks that are done, near their data, in milliseconds.
-    pub(super) spans_ms: Vec<u64>,
+    pub(super) durations_ms: Vec<u64>,
 }
 
-impl Group {
+impl TaskGroup {
     fn new(step: &StepSpec) -> Self {
         Self {
             tasks: vec![Task::default(); step.count as usize],
@@ -111,25 +111,25 @@
     ) -> Option<u32> {
         let task = self.tasks.get_mut(index as usize)?;
         if is_gang {
-            if self.counted_failure >= run {
+            if self.last_failed_gang_run >= run {
                 return None;
             }
             task.failed_at = Some(worker.clone());
-            self.counted_failure = run;
+            self.last_failed_gang_run = run;
             self.gang_failures += 1;
             return Some(self.gang_failures);
         }
-        if task.done || task.counted_run >= run {
+        if task.done || task.last_failed_run >= run {
             return None;
         }
-        task.counted_run = run;
+        task.last_failed_run = run;
         task.failed_at = Some(worker.clone());
         task.failures += 1;
         Some(task.failures)
     }
 
     /// Returns how often it may still fail before the last allowed failure, over its open tasks.
-    pub(super) fn worst_failures(&self) -> u32 {
+    pub(super) fn max_failures(&self) -> u32 {
         let tasks = self.tasks.iter().filter(|t| !t.done).map(|t| t.failures);
         tasks.max().unwrap_or(0).max(self.gang_failures)
     }
@@ -137,12 +137,12 @@
 
 /// Whether an ended job's record is being made shorter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) enum Trims {
+pub(super) enum TrimState {
     /// It should be, once its end is written down.
     #[default]
     Due,
     /// It is being written.
-    Taken,
+    InProgress,
 }
 
 /// One job in memory.
@@ -150,20 +150,20 @@
 pub(super) struct Job {
     pub(super) accepted: Arc<AcceptedJob>,
     /// By time of a schedule, then by step; later times are added when they are due.
-    pub(super) occurrences: Vec<Vec<Group>>,
+    pub(super) occurrences: Vec<Vec<TaskGroup>>,
     pub(super) outcome: Option<Outcome>,
     pub(super) ended_at: Option<Timestamp>,
     pub(super) ended_unix_ms: u64,
-    pub(super) begun: bool,
+    pub(super) has_started: bool,
     /// When the planner heard of it.
     pub(super) arrived_at: Timestamp,
     /// Counts changes that must last, and how many of them do.
-    pub(super) changes: u64,
-    pub(super) written: u64,
+    pub(super) change_count: u64,
+    pub(super) stored_changes: u64,
     /// Whether its record is being made shorter.
-    pub(super) trims: Trims,
+    pub(super) trim_state: TrimState,
     /// Where its time went.
-    pub(super) story: Story,
+    pub(super) timeline: Story,
 }
 
 impl Job {
@@ -174,15 +174,15 @@
             outcome: None,
             ended_at: None,
             ended_unix_ms: 0,
-            begun: false,
+            has_started: false,
             arrived_at: now.at,
-            changes: 0,
-            written: 0,
-            trims: Trims::default(),
-            story: Story::default(),
+            change_count: 0,
+            stored_changes: 0,
+            trim_state: TrimState::default(),
+            timeline: Story::default(),
         };
         let known_after = now.unix_ms.saturating_sub(job.accepted.accepted_unix_ms);
-        job.story
+        job.timeline
             .add(Span::Known, Duration::from_millis(known_after));
         job.add_due_occurrences(now);
         job
@@ -212,17 +212,17 @@
 
     pub(super) fn add_occurrence(&mut self) {
         let steps = &self.accepted.spec.steps;
-        let groups = steps.iter().map(Group::new);
+        let groups = steps.iter().map(TaskGroup::new);
         self.occurrences.push(groups.collect());
     }
 
-    pub(super) fn group(&self, key: &GroupKey) -> Option<&Group> {
+    pub(super) fn group(&self, key: &GroupKey) -> Option<&TaskGroup> {
         self.occurrences
             .get(key.occurrence as usize)?
             .get(key.step as usize)
     }
 
-    pub(super) fn group_mut(&mut self, key: &GroupKey) -> Option<&mut Group> {
+    pub(super) fn group_mut(&mut self, key: &GroupKey) -> Option<&mut TaskGroup> {
         self.occurrences
             .get_mut(key.occurrence as usize)?
             .get_mut(key.step as usize)
@@ -263,24 +263,24 @@
     /// Tells whether every task of every time is done.
     pub(super) fn is_complete(&self) -> bool {
         self.occurrences.len() >= self.accepted.spec.times() as usize
-            && self.occurrences.iter().flatten().all(Group::is_done)
+            && self.occurrences.iter().flatten().all(TaskGroup::is_done)
     }
 
-    pub(super) const fn is_written(&self) -> bool {
-        self.written >= self.changes
+    pub(super) const fn is_stored(&self) -> bool {
+        self.stored_changes >= self.change_count
     }
 
     /// Notes a change that must last and returns its number.
-    pub(super) const fn change(&mut self) -> u64 {
-        self.changes += 1;
-        self.changes
+    pub(super) const fn record_change(&mut self) -> u64 {
+        self.change_count += 1;
+        self.change_count
     }
 
     pub(super) const fn end(&mut self, outcome: Outcome, now: Now) {
         self.outcome = Some(outcome);
         self.ended_at = Some(now.at);
         self.ended_unix_ms = now.unix_ms;
-        self.change();
+        self.record_change();
     }
 
     /// Returns since when a time could be worked on, in milliseconds since the Unix epoch.
--- a/crates/stairstall-core/src/batch/planner/leaving.rs
+++ b/crates/stairstall-core/src/batch/planner/leaving.rs
@@ -39,13 +39,13 @@
     fn needs_ms(&self, task: &TaskKey, run: &Run) -> u64 {
         let shown_percent = self.policy.places.shown_percent;
         if !run.gang {
-            return run.left_ms(shown_percent);
+            return run.remaining_ms(shown_percent);
         }
         let members = self.run_index.of_group(&task.group);
         members
             .iter()
             .filter_map(|(id, member)| self.run_at(id, member))
-            .map(|run| run.left_ms(shown_percent))
+            .map(|run| run.remaining_ms(shown_percent))
             .max()
             .unwrap_or(0)
     }
--- a/crates/stairstall-core/src/batch/planner/lives.rs
+++ b/crates/stairstall-core/src/batch/planner/lives.rs
@@ -23,13 +23,13 @@
         self.release_lost(id, &runs, now);
         let mut suspects = std::mem::take(&mut worker.lost);
         if worker.leaves() {
-            self.forgive(id, &suspects);
+            self.retract_losses(id, &suspects);
         } else {
             // A crash lists no ends: uncounted, its tasks would start on worker after worker, each of
             // which they may crash too.
-            self.confirm(id, &suspects);
+            self.confirm_crashes(id, &suspects);
             suspects.extend(self.count_crash(id, worker.life.heard_at, &runs));
-            self.give_up_crashing(&suspects, now);
+            self.fail_crashing_jobs(&suspects, now);
         }
         self.replan = true;
     }
@@ -42,7 +42,7 @@
         for (task, run) in runs {
             self.run_index.remove(task, id);
             self.note_setback(&task.group.job, Setback::Lost);
-            self.release(id, task, run, "its worker's life is over");
+            self.release_task(id, task, run, "its worker's life is over");
         }
         for (task, run) in runs {
             self.stop_gang(
--- a/crates/stairstall-core/src/batch/planner/fit.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::candidate::{Candidate, URGENT};
-use super::job::{Group, Job};
+use super::candidate::{Candidate, URGENT_RANK};
+use super::job::{Job, TaskGroup};
 use super::pass::{Pass, RoomKind};
 use super::pool::{Health, Run, RunState, Suspicion, Worker};
 use super::site::{Scope, Site, Victims};
@@ -13,17 +13,17 @@
 
 mod choose;
 mod cost;
-mod hold_back;
+mod reservations;
 mod scope;
 
-pub(super) use choose::Choice;
+pub(super) use choose::PlacementChoice;
 use choose::{allowed, search};
 use cost::PaceCosts;
-pub(super) use hold_back::Reservation;
+pub(super) use reservations::Reservation;
 
 impl Planner {
     /// Gives places to the waiting tasks of a step, as far as there are any.
-    pub(super) fn place(&mut self, candidate: &Candidate, pass: &mut Pass, now: Now) {
+    pub(super) fn place_step(&mut self, candidate: &Candidate, pass: &mut Pass, now: Now) {
         let key = &candidate.key;
         let Some((step, group)) = self
             .jobs
@@ -33,12 +33,12 @@
             return;
         };
         let mut waiting = group.waiting();
-        waiting.retain(|index| !self.is_held(&group.tasks[*index as usize]));
+        waiting.retain(|index| !self.is_blocked_by_losses(&group.tasks[*index as usize]));
         let ready_since = group.ready_since.unwrap_or(now.at);
         if step.gang && waiting.len() != group.tasks.len() {
             return;
         }
-        let mut allowance = self.allowance(candidate, pass, now);
+        let mut allowance = self.accelerator_allowance(candidate, pass, now);
         let paces = self.pace_costs(candidate, &step, now);
         for scope in self.scopes(candidate, &step, ready_since, pass, now) {
             if waiting.is_empty() {
@@ -85,13 +85,13 @@
         candidate: &Candidate,
         step: &StepSpec,
         scope: Scope,
-        free: &Choice,
+        free: &PlacementChoice,
         paces: Option<&PaceCosts>,
         pass: &mut Pass,
         now: Now,
-    ) -> Option<Choice> {
-        let paces = paces.filter(|paces| paces.is_late_by_pace(free.slowest))?;
-        if candidate.rank > URGENT || scope.preempts {
+    ) -> Option<PlacementChoice> {
+        let paces = paces.filter(|paces| paces.is_late_by_pace(free.slowest_factor))?;
+        if candidate.rank > URGENT_RANK || scope.preempts {
             return None;
         }
         let scope = Scope {
@@ -106,7 +106,7 @@
         let sites = self.advised(&candidate.key, sites, count, now);
         let choice = search(step, count, scope, sites, Some(paces))?;
         let is_better = choice.places.len() == count && choice.cost < free.cost;
-        let is_in_time = paces.ends_in_time(choice.slowest, self.bounds.stop_max);
+        let is_in_time = paces.ends_in_time(choice.slowest_factor, self.bounds.stop_max);
         (is_better && is_in_time)
             .then_some(choice)
             .filter(|choice| self.is_worth_it(candidate, step, choice, pass, now))
@@ -139,11 +139,11 @@
     /// Returns the rank up to which nothing gives way to a step at this moment.
     fn spared_for(&self, candidate: &Candidate, now: Now) -> u8 {
         let since_accepted = self.since_accepted(&candidate.key, now);
-        let waited = self.waited(&candidate.key, now).max(since_accepted);
+        let waited = self.waiting_time(&candidate.key, now).max(since_accepted);
         self.spared_rank(candidate.rank, waited)
     }
 
-    pub(super) fn waited(&self, key: &GroupKey, now: Now) -> Duration {
+    pub(super) fn waiting_time(&self, key: &GroupKey, now: Now) -> Duration {
         let ready_since = self.group_of(key).and_then(|group| group.ready_since);
         ready_since.map_or(Duration::ZERO, |since| now.at - since)
     }
@@ -182,8 +182,8 @@
         now: Now,
     ) -> Vec<Site> {
         let key = &candidate.key;
-        let urgent = candidate.rank <= URGENT;
-        let demand = self.demanded_health(key, urgent, self.waited(key, now));
+        let urgent = candidate.rank <= URGENT_RANK;
+        let demand = self.demanded_health(key, urgent, self.waiting_time(key, now));
         let service = self.service_of(key);
         let job = self.jobs.get(&key.job);
         let home = job
@@ -199,7 +199,7 @@
         }
         let losses = pass.gang_losses.as_ref().filter(|_| scope.preempts);
         let held_back = &pass.held_back;
-        let apart = self.apart(key, urgent, now);
+        let apart = self.isolation(key, urgent, now);
         let knows_paces = self.paces.is_uneven();
         self.workers
             .iter()
@@ -239,7 +239,7 @@
 
     /// Returns what a worker must have shown before it gets a task of the step.
     fn demanded_health(&self, key: &GroupKey, urgent: bool, waited: Duration) -> Health {
-        let failures = self.group_of(key).map_or(0, Group::worst_failures);
+        let failures = self.group_of(key).map_or(0, TaskGroup::max_failures);
         let failed_early = self.group_of(key).is_some_and(|group| group.failed_early);
         let attempts = self.attempts(&key.job).unwrap_or(1);
         if waited > self.suspect_patience(urgent) {
@@ -260,7 +260,7 @@
         }
     }
 
-    fn group_of(&self, key: &GroupKey) -> Option<&Group> {
+    fn group_of(&self, key: &GroupKey) -> Option<&TaskGroup> {
         self.jobs.get(&key.job)?.group(key)
     }
 
@@ -276,7 +276,7 @@
         candidate: &Candidate,
         step: &StepSpec,
         tasks: &[u32],
-        choice: &Choice,
+        choice: &PlacementChoice,
         scope: Scope,
         now: Now,
     ) {
@@ -304,7 +304,7 @@
             group.ready_since = None;
         }
         let waited = crate::time::millis(now.at - ready_since);
-        let Some(recorded_by) = self.jobs.get_mut(&key.job).map(Job::change) else {
+        let Some(recorded_by) = self.jobs.get_mut(&key.job).map(Job::record_change) else {
             return;
         };
         self.changed.insert(key.job.clone());
@@ -321,7 +321,7 @@
                 task.place = Some(id.clone());
                 task.run = number;
                 task.incarnation = run.incarnation;
-                task.taken = false;
+                task.start_confirmed = false;
             }
             self.keep_run(id, &task, run);
             let why = format!(
@@ -415,7 +415,7 @@
 impl Run {
     /// Returns how much longer it should take, in milliseconds: at the pace that it has shown,
     /// or else by the estimate.
-    pub(super) fn left_ms(&self, shown_percent: u8) -> u64 {
+    pub(super) fn remaining_ms(&self, shown_percent: u8) -> u64 {
         let left = u64::from(100_u8.saturating_sub(self.percent));
         let shown = self.began.and_then(|(began, from)| {
             let gained = self.percent.saturating_sub(from);
--- a/crates/stairstall-core/src/batch/planner/fit/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -9,14 +9,14 @@
 
 /// Places found for tasks, and who has to give way.
 #[derive(Debug, Clone, Default)]
-pub(in crate::batch::planner) struct Choice {
+pub(in crate::batch::planner) struct PlacementChoice {
     pub(in crate::batch::planner) cost: u64,
     /// How many of the places are in another zone than the job's caller.
     pub(in crate::batch::planner) in_other_zones: usize,
     pub(in crate::batch::planner) places: Vec<WorkerId>,
     pub(in crate::batch::planner) victims: Vec<(WorkerId, TaskKey)>,
     /// Factor of the slowest worker among them.
-    pub(in crate::batch::planner) slowest: f64,
+    pub(in crate::batch::planner) slowest_factor: f64,
 }
 
 /// From how many times as slow on workers are of another pace.
@@ -32,7 +32,7 @@
     scope: Scope,
     sites: Vec<Site>,
     paces: Option<&PaceCosts>,
-) -> Option<Choice> {
+) -> Option<PlacementChoice> {
     if count == 0 {
         return None;
     }
@@ -54,7 +54,7 @@
     count: usize,
     whole: bool,
     paces: Option<&PaceCosts>,
-) -> Option<Choice> {
+) -> Option<PlacementChoice> {
     let Some(paces) = paces else {
         return choose(sites, needs, count, whole, None);
     };
@@ -75,7 +75,7 @@
     needs: &Resources,
     count: usize,
     paces: &PaceCosts,
-) -> Option<Choice> {
+) -> Option<PlacementChoice> {
     let choices = slowest_of_sets(sites).into_iter().filter_map(|slowest| {
         let mut set: Vec<Site> = sites
             .iter()
@@ -193,9 +193,9 @@
     count: usize,
     whole: bool,
     paces: Option<&PaceCosts>,
-) -> Option<Choice> {
+) -> Option<PlacementChoice> {
     let mut offers: Vec<Option<Offer>> = sites.iter().map(|site| site.offer(needs)).collect();
-    let mut choice = Choice::default();
+    let mut choice = PlacementChoice::default();
     for _ in 0..count {
         let ranks = offers.iter().enumerate();
         let ranks = ranks.filter_map(|(index, offer)| Some((offer.as_ref()?.rank, index)));
@@ -216,7 +216,7 @@
         let site = &mut sites[index];
         site.room = site.room.minus(needs);
         site.spread_left -= 1;
-        choice.slowest = choice.slowest.max(site.pace.factor);
+        choice.slowest_factor = choice.slowest_factor.max(site.pace.factor);
         choice.places.push(site.worker.clone());
         if let Some(paces) = paces {
             site.explore(paces);
--- a/crates/stairstall-core/src/batch/planner/fit/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/cost.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::super::candidate::{Candidate, URGENT};
+use super::super::candidate::{Candidate, URGENT_RANK};
 use super::super::pool::{Suspicion, Worker};
 use super::super::site::Site;
 use super::super::{Now, Planner};
@@ -160,7 +160,7 @@
         let late_bound = u64::from(self.policy.turns.late_bound);
         let late_bound_ms = due_ms + late_bound * objective_ms.saturating_sub(due_ms);
         let run_time = self.run_time(key, step, now);
-        let is_pressed = candidate.rank <= URGENT;
+        let is_pressed = candidate.rank <= URGENT_RANK;
         let time = if is_pressed {
             run_time.typical
         } else {
@@ -184,7 +184,7 @@
         let tasks = group.map_or(&[][..], |group| &group.tasks);
         PlaceCosts {
             work: step.room().weight().saturating_mul(self.estimate_ms(step)) / 1000,
-            has_failed: group.is_some_and(|group| group.worst_failures() > 0),
+            has_failed: group.is_some_and(|group| group.max_failures() > 0),
             failed_at: tasks.iter().filter_map(|t| t.failed_at.as_ref()).collect(),
             suspect: tasks
                 .iter()
--- a/crates/stairstall-core/src/batch/planner/fit/hold_back.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/reservations.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns from when on room is kept for a gang.
-    pub(in crate::batch::planner) fn date_of(&self, key: &GroupKey) -> Option<Timestamp> {
+    pub(in crate::batch::planner) fn expected_start(&self, key: &GroupKey) -> Option<Timestamp> {
         self.reservations.get(key).map(|found| found.date)
     }
 
@@ -279,7 +279,7 @@
     /// Returns how long what it has should still take, in milliseconds, but for what lasts.
     fn busy_ms(&self, shown_percent: u8) -> u64 {
         let ending = self.runs.values().filter(|run| !run.lasts);
-        let left = ending.map(|run| run.left_ms(shown_percent));
+        let left = ending.map(|run| run.remaining_ms(shown_percent));
         left.max().unwrap_or(0)
     }
 
--- a/crates/stairstall-core/src/batch/planner/fit/scope.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/scope.rs
@@ -4,7 +4,7 @@
 
 use super::super::Now;
 use super::super::Planner;
-use super::super::candidate::{CLAIM, Candidate, URGENT};
+use super::super::candidate::{Candidate, GUARANTEED_RANK, URGENT_RANK};
 use super::super::pass::{Pass, RoomKind};
 use super::super::site::Scope;
 use crate::Timestamp;
@@ -20,7 +20,7 @@
         pass: &mut Pass,
         now: Now,
     ) -> Vec<Scope> {
-        let urgent = candidate.rank <= URGENT;
+        let urgent = candidate.rank <= URGENT_RANK;
         let mut scopes = vec![Scope {
             near: true,
             preempts: false,
@@ -32,7 +32,7 @@
             });
         }
         let prefers_near = step.near_rack.is_some() || (step.gang && step.same_rack);
-        let patience = if candidate.rank == CLAIM {
+        let patience = if candidate.rank == GUARANTEED_RANK {
             self.policy
                 .places
                 .near_patience_urgent
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::job::{Group, Job, Trims};
+use super::job::{Job, TaskGroup, TrimState};
 use super::{Now, Planner};
 use crate::JobId;
 use crate::batch::story::Story;
@@ -47,7 +47,7 @@
                 self.changed.remove(&id);
                 let job = self.jobs.get(&id)?;
                 Some(Write {
-                    change: job.changes,
+                    change: job.change_count,
                     progress: job.progress(now),
                     job: id,
                 })
@@ -63,7 +63,7 @@
     /// Takes word that a change lasts.
     pub fn written(&mut self, id: &JobId, change: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.written = job.written.max(change);
+            job.stored_changes = job.stored_changes.max(change);
             self.emit_due = true;
             self.touch(id);
         }
@@ -82,7 +82,7 @@
     pub fn take_trims(&mut self, most: usize) -> Vec<AcceptedJob> {
         let ended = self.jobs.values_mut().filter(|job| job.may_be_trimmed());
         let trims = ended.take(most).map(|job| {
-            job.trims = Trims::Taken;
+            job.trim_state = TrimState::InProgress;
             job.accepted.trimmed()
         });
         trims.collect()
@@ -99,7 +99,7 @@
     /// Takes word that a job may not be kept in its short form.
     pub fn not_trimmed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.trims = Trims::Due;
+            job.trim_state = TrimState::Due;
         }
     }
 
@@ -114,8 +114,8 @@
 
 impl Job {
     fn may_be_trimmed(&self) -> bool {
-        let has_ended = self.outcome.is_some() && self.is_written();
-        has_ended && self.trims == Trims::Due && !self.accepted.is_trimmed()
+        let has_ended = self.outcome.is_some() && self.is_stored();
+        has_ended && self.trim_state == TrimState::Due && !self.accepted.is_trimmed()
     }
 
     pub(super) fn progress(&self, now: Now) -> Progress {
@@ -124,11 +124,11 @@
         Progress {
             outcome: self.outcome,
             ended_unix_ms: self.ended_unix_ms,
-            begun: self.begun,
+            begun: self.has_started,
             occurrences: occurrences
-                .map(|groups| groups.iter().map(Group::progress).collect())
+                .map(|groups| groups.iter().map(TaskGroup::progress).collect())
                 .collect(),
-            story: self.outcome.is_none().then(|| self.story.keep(now)),
+            story: self.outcome.is_none().then(|| self.timeline.keep(now)),
         }
     }
 
@@ -136,11 +136,11 @@
         self.outcome = progress.outcome;
         self.ended_unix_ms = progress.ended_unix_ms;
         self.ended_at = progress.outcome.map(|_| now.at);
-        self.begun = progress.begun;
+        self.has_started = progress.begun;
         if let Some(kept) = &progress.story {
             let mut groups = progress.occurrences.iter().flatten();
             let has_places = groups.any(|group| !group.places.is_empty());
-            self.story = Story::restore(kept, has_places, now);
+            self.timeline = Story::restore(kept, has_places, now);
         }
         while self.occurrences.len() < progress.occurrences.len() {
             self.add_occurrence();
@@ -153,7 +153,7 @@
     }
 }
 
-impl Group {
+impl TaskGroup {
     fn progress(&self) -> GroupProgress {
         let tasks = if self.is_done() {
             ALL_DONE.to_owned()
@@ -164,16 +164,16 @@
         GroupProgress {
             tasks,
             gang_failures: self.gang_failures,
-            counted_failure: self.counted_failure,
+            counted_failure: self.last_failed_gang_run,
             counted_runs: (0..)
                 .zip(&self.tasks)
-                .filter(|(_, task)| task.counted_run > 0)
-                .map(|(index, task)| (index, task.counted_run))
+                .filter(|(_, task)| task.last_failed_run > 0)
+                .map(|(index, task)| (index, task.last_failed_run))
                 .collect(),
             last_run: self.last_run,
             places: (0..)
                 .zip(&self.tasks)
-                .filter_map(|(index, task)| Some((index, task.kept_place()?)))
+                .filter_map(|(index, task)| Some((index, task.stored_placement()?)))
                 .collect(),
             losses: open
                 .clone()
@@ -189,7 +189,7 @@
     fn restore(&mut self, kept: &GroupProgress) {
         self.gang_failures = kept.gang_failures;
         self.last_run = self.last_run.max(kept.last_run);
-        self.counted_failure = kept.counted_failure;
+        self.last_failed_gang_run = kept.counted_failure;
         if kept.tasks == ALL_DONE {
             self.tasks.iter_mut().for_each(|task| task.done = true);
             return;
@@ -203,12 +203,12 @@
                 task.place = Some(place.worker.clone());
                 task.run = place.run;
                 task.incarnation = place.incarnation;
-                task.taken = place.taken;
+                task.start_confirmed = place.taken;
             }
         }
         for (index, run) in &kept.counted_runs {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
-                task.counted_run = *run;
+                task.last_failed_run = *run;
             }
         }
         for (index, losses) in &kept.losses {
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::candidate::{CLAIM, Candidate, URGENT};
+use super::candidate::{Candidate, GUARANTEED_RANK, URGENT_RANK};
 use super::job::Job;
 use super::pass::{Pass, RoomKind};
 use super::site::Scope;
@@ -23,7 +23,7 @@
         let aged = self.let_oldest_first(&mut candidates, &mut pass, now);
         pass.held_back = self.renew_reservations(&candidates, now);
         for candidate in &candidates {
-            self.place(candidate, &mut pass, now);
+            self.place_step(candidate, &mut pass, now);
         }
         if aged.is_some_and(|key| !self.still_waits(&key)) {
             self.aged_turn_at = Some(now.at);
@@ -49,7 +49,7 @@
         let aged = candidates.iter().enumerate().filter_map(|(index, one)| {
             let is_overdue = !policy.by_timeliness || one.turn.timeliness == Timeliness::Overdue;
             let job = self.jobs.get(&one.key.job);
-            let job = job.filter(|_| is_overdue && one.rank > URGENT)?;
+            let job = job.filter(|_| is_overdue && one.rank > URGENT_RANK)?;
             let (wanted, _) = self.wanted(&one.key, job, now);
             let since_unix_ms = wanted.aged_unix_ms(policy)?;
             let key = one.key.clone();
@@ -59,7 +59,7 @@
         // What no worker could hold at this moment would keep the turn from all others.
         let aged = aged.filter(|(aged, _)| self.could_be_held(&aged.key, pass));
         let (aged, index) = aged.min()?;
-        let first = candidates.partition_point(|one| one.rank <= URGENT);
+        let first = candidates.partition_point(|one| one.rank <= URGENT_RANK);
         candidates[index].turn = Turn::of_aged();
         candidates[first..=index].rotate_right(1);
         Some(aged.key)
@@ -72,7 +72,7 @@
             return false;
         };
         let mut waiting = group.tasks.iter().filter(|task| task.is_waiting());
-        let may_start = waiting.any(|task| !self.is_held(task));
+        let may_start = waiting.any(|task| !self.is_blocked_by_losses(task));
         let count = if step.gang { step.count } else { 1 };
         let scope = Scope {
             near: false,
@@ -115,11 +115,11 @@
     fn renew_ranks(&mut self, claims: &BTreeSet<JobId>) {
         for worker in self.workers.values_mut() {
             for (task, run) in &mut worker.runs {
-                if run.rank <= URGENT {
+                if run.rank <= URGENT_RANK {
                     run.rank = if claims.contains(&task.group.job) {
-                        CLAIM
+                        GUARANTEED_RANK
                     } else {
-                        URGENT
+                        URGENT_RANK
                     };
                 }
             }
@@ -142,7 +142,7 @@
                 continue;
             }
             let rank = if claims.contains(id) {
-                CLAIM
+                GUARANTEED_RANK
             } else {
                 job.accepted.queue.priority.saturating_add(1)
             };
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -92,7 +92,9 @@
                 if run.state != RunState::Planned {
                     continue;
                 }
-                let written = jobs.get(&task.group.job).map_or(0, |job| job.written);
+                let written = jobs
+                    .get(&task.group.job)
+                    .map_or(0, |job| job.stored_changes);
                 if run.recorded_by > written {
                     run.since = now.at;
                 }
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -1,7 +1,7 @@
 //! Workers that start again under the id that they had.
 //!
 //! A new life shows in the directory or in a report, whichever comes first. What was sent to the life
-//! before may be carried out by the new one until that has seen a higher token (see `fences`). So only what
+//! before may be carried out by the new one until that has seen a higher token (see `fencing`). So only what
 //! the life before had listed, or a report that answers that token does not name, is known to be lost.
 
 use super::pool::{Run, RunState};
@@ -17,7 +17,7 @@
 
     /// Takes word that a worker has started again under its id.
     pub(super) fn begin_life(&mut self, id: &WorkerId, incarnation: Option<Incarnation>, now: Now) {
-        let fence = self.next_fence();
+        let fence = self.next_fencing_token();
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -36,7 +36,7 @@
         let why = "its life is over: it has started again under its id";
         self.decisions.push(Decision::of_worker(id, why));
         self.touch_runs_at(id);
-        self.drop_tickets_of(id);
+        self.clear_worker_advice(id);
         for task in planned {
             self.drop_planned(id, &task, "its worker has started again", now);
         }
@@ -64,7 +64,7 @@
             self.drop_run(id, task);
         }
         self.release_lost(id, &runs, now);
-        self.give_up_crashing(&suspects, now);
+        self.fail_crashing_jobs(&suspects, now);
     }
 
     /// Reads a worker's clock from the answer to a start, which does not name the life that answers.
@@ -82,7 +82,7 @@
         }
         if worker.life.is_clock_set_back(clock_ms, now.at) {
             worker.extend_lease(now.at + Self::lease_span(self.bounds.hold_max));
-            self.doubt(id, now);
+            self.mark_unresponsive(id, now);
         } else {
             worker.life.read_clock(clock_ms, now.at);
         }
@@ -106,7 +106,7 @@
         let never_begun = worker.tasks_where(|run| is_first_try(run) && run.ordered_at >= sent_at);
         for task in never_begun {
             let why = "its worker's life was over before";
-            self.run_over(&refused.worker, &task, EndKind::Stopped, why, now);
+            self.end_unreported_run(&refused.worker, &task, EndKind::Stopped, why, now);
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/ends.rs
+++ b/crates/stairstall-core/src/batch/planner/run_ends.rs
@@ -62,7 +62,7 @@
         }
         self.keep_checkpoint(end);
         if let Some(run) = run {
-            self.release(id, &end.task, &run, end.kind.as_str());
+            self.release_task(id, &end.task, &run, end.kind.as_str());
         }
         if end.kind != EndKind::Done {
             self.stop_gang(&end.task, end.run, "another member of its gang ended", now);
@@ -96,7 +96,7 @@
     /// that changes nothing, as that of another member of a gang, stands for one that did.
     fn last_change(&self, id: &JobId) -> Option<(JobId, u64)> {
         let job = self.jobs.get(id)?;
-        Some((id.clone(), job.changes))
+        Some((id.clone(), job.change_count))
     }
 
     fn keep_checkpoint(&mut self, end: &End) {
@@ -164,7 +164,7 @@
         };
         let span = millis(now.at - began) * 100 / done / u64::from(slowdown);
         if let Some(group) = self.jobs.get_mut(&key.job).and_then(|j| j.group_mut(key)) {
-            group.spans_ms.push(span);
+            group.durations_ms.push(span);
         }
     }
 
@@ -187,7 +187,7 @@
         for (_, task) in tasks.filter(|(index, _)| of_run(*index)) {
             task.done = true;
         }
-        job.change();
+        job.record_change();
         self.changed.insert(key.job.clone());
         self.touched.insert(key.job.clone());
         if job.is_complete() {
@@ -242,7 +242,7 @@
         let Some(failures) = group.count_failure(id, task.index, run, is_gang) else {
             return;
         };
-        job.change();
+        job.record_change();
         self.changed.insert(key.job.clone());
         if failures >= attempts {
             let why = format!("{task} failed {failures} of {attempts} times");
@@ -269,7 +269,7 @@
     }
 
     /// Gives a task whose run is over back to those that wait.
-    pub(super) fn release(&mut self, id: &WorkerId, task: &TaskKey, run: &Run, why: &str) {
+    pub(super) fn release_task(&mut self, id: &WorkerId, task: &TaskKey, run: &Run, why: &str) {
         let key = &task.group;
         let Some(group) = self.jobs.get_mut(&key.job).and_then(|j| j.group_mut(key)) else {
             return;
@@ -286,7 +286,7 @@
     }
 
     /// Takes a run for over that its worker does not list.
-    pub(super) fn run_over(
+    pub(super) fn end_unreported_run(
         &mut self,
         id: &WorkerId,
         task: &TaskKey,
@@ -313,7 +313,7 @@
             };
             self.note_setback(&task.group.job, setback);
         }
-        self.release(id, task, &run, why);
+        self.release_task(id, task, &run, why);
         if run.state != RunState::Planned {
             self.stop_gang(task, run.number, "another member of its gang is over", now);
         }
--- a/crates/stairstall-core/src/batch/planner/answers.rs
+++ b/crates/stairstall-core/src/batch/planner/start_outcomes.rs
@@ -7,18 +7,18 @@
 
 impl Planner {
     /// Takes what became of a start.
-    pub fn take_start(&mut self, order: &Order, outcome: StartOutcome, now: Now) {
+    pub fn handle_start_outcome(&mut self, order: &Order, outcome: StartOutcome, now: Now) {
         let id = &order.worker;
         let task = &order.task;
         self.note_start_answered();
         if outcome == StartOutcome::OtherLife {
             self.drop_never_begun(order, now);
             self.life_over(id, "another life answered a start", now);
-            self.doubt_unheard(now);
+            self.mark_unheard_unresponsive(now);
             return;
         }
         if outcome == StartOutcome::Refused(RefusalReason::Fenced) {
-            self.note_fenced(id, order.token);
+            self.handle_fenced(id, order.token);
             self.drop_never_begun(order, now);
             return;
         }
@@ -69,18 +69,18 @@
         let Some(entry) = job.task_mut(task).filter(|entry| entry.run == number) else {
             return;
         };
-        let is_news = !std::mem::replace(&mut entry.taken, true);
+        let is_news = !std::mem::replace(&mut entry.start_confirmed, true);
         if is_news && !entry.losses.is_empty() {
-            job.change();
+            job.record_change();
             self.changed.insert(task.group.job.clone());
         }
     }
 
     fn note_begun(&mut self, id: &JobId, now: Now) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.begun) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.has_started) else {
             return;
         };
-        job.begun = true;
+        job.has_started = true;
         let mut decision = Decision::of_begin(id, now.at - job.arrived_at);
         decision.why.push_str(&self.take_forecast(id));
         self.decisions.push(decision);
@@ -106,13 +106,13 @@
             _ => false,
         };
         if outcome == StartOutcome::NotSent {
-            self.doubt(id, now);
+            self.mark_unresponsive(id, now);
         }
         if outcome == StartOutcome::Refused(RefusalReason::NoTicket) {
             self.drop_ticket(&task.group, id);
         }
         if did_nothing && first_try {
-            self.run_over(id, task, EndKind::Stopped, "it was not started", now);
+            self.end_unreported_run(id, task, EndKind::Stopped, "it was not started", now);
         } else if matches!(outcome, StartOutcome::Unknown | StartOutcome::NotSent) {
             self.try_again(order, now);
         } else if outcome == StartOutcome::Refused(RefusalReason::OldRun) {
@@ -126,7 +126,7 @@
 
     fn try_again(&mut self, order: &Order, now: Now) {
         let (id, task) = (&order.worker, &order.task);
-        self.doubt_unless_heard(id, task, now);
+        self.mark_unresponsive_unless_heard(id, task, now);
         let run = self.run_at(id, task);
         let tries = run.map_or(0, |run| run.tries);
         let is_done = run.is_some_and(|run| run.unwanted_since.is_some());
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -9,7 +9,7 @@
 impl Planner {
     /// Sends the starts whose room is free: of a gang all or none.
     pub(super) fn emit_starts(&mut self, now: Now) {
-        if !self.knows_evacuations(now) || !self.knows_jobs() {
+        if !self.has_fresh_evacuated_zones(now) || !self.knows_jobs() {
             return;
         }
         let groups: Vec<GroupKey> = self.planned.iter().cloned().collect();
@@ -88,7 +88,7 @@
 
     /// Tells whether a run's place is written down, so that a later planner knows of it.
     fn is_recorded(&self, worker: &Worker, task: &TaskKey) -> bool {
-        let written = self.jobs.get(&task.group.job).map(|job| job.written);
+        let written = self.jobs.get(&task.group.job).map(|job| job.stored_changes);
         let needed = worker.runs.get(task).map(|run| run.recorded_by);
         needed <= written
     }
@@ -133,7 +133,7 @@
             },
         });
         if let Some(job) = self.jobs.get_mut(&task.group.job) {
-            job.story.starts += 1;
+            job.timeline.starts += 1;
         }
         self.touch(&task.group.job);
         self.decisions.push(Decision::of_run(
--- a/crates/stairstall-core/src/batch/planner/stops.rs
+++ b/crates/stairstall-core/src/batch/planner/stops.rs
@@ -20,7 +20,7 @@
             RunState::Stopping => {}
             RunState::Planned => {
                 if let Some(run) = self.drop_run(id, task) {
-                    self.release(id, task, &run, why);
+                    self.release_task(id, task, &run, why);
                 }
             }
             RunState::Starting | RunState::Running => {
@@ -87,7 +87,7 @@
                     self.note_answered(id, task, now.at);
                 }
             }
-            StopOutcome::Fenced => self.note_fenced(&order.worker, order.token),
+            StopOutcome::Fenced => self.handle_fenced(&order.worker, order.token),
             StopOutcome::OtherLife => {
                 self.life_over(&order.worker, "another life answered a stop", now);
             }
@@ -99,7 +99,7 @@
     fn stop_again(&mut self, order: &Order, now: Now) {
         let (id, task) = (&order.worker, &order.task);
         let max_tries = self.policy.orders.max_tries;
-        self.doubt_unless_heard(id, task, now);
+        self.mark_unresponsive_unless_heard(id, task, now);
         let run = self.workers.get_mut(id).and_then(|w| w.runs.get_mut(task));
         let Some(run) = run.filter(|run| run.number == order.run) else {
             return;
--- a/crates/stairstall-core/src/batch/planner/story.rs
+++ b/crates/stairstall-core/src/batch/planner/story.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::job::{Group, Job};
+use super::job::{Job, TaskGroup};
 use super::pool::RunState;
 use super::{Now, Planner};
 use crate::batch::story::{JobSummary, Setback, Span};
@@ -30,7 +30,7 @@
     /// Counts a setback of a job.
     pub(super) fn note_setback(&mut self, id: &JobId, setback: Setback) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.story.set_back(setback);
+            job.timeline.set_back(setback);
             self.touch(id);
         }
     }
@@ -42,12 +42,12 @@
                 continue;
             };
             let span = self.span_of(&id, job);
-            let is_over = job.outcome.is_some() && job.is_written();
+            let is_over = job.outcome.is_some() && job.is_stored();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.story.enter(span, now.at);
-            if is_over && job.story.tell() {
+            job.timeline.enter(span, now.at);
+            if is_over && job.timeline.tell() {
                 let summary = summary(job, now);
                 self.summaries.extend(summary);
             }
@@ -62,7 +62,7 @@
     /// Returns what a job spends time on; none where it is over, or nothing of it is due.
     fn span_of(&self, id: &JobId, job: &Job) -> Option<Span> {
         if job.outcome.is_some() {
-            return (!job.is_written()).then_some(Span::Write);
+            return (!job.is_stored()).then_some(Span::Write);
         }
         let mut least = None;
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
@@ -81,7 +81,12 @@
         least
     }
 
-    pub(super) fn span_of_group(&self, key: &GroupKey, group: &Group, job: &Job) -> Option<Span> {
+    pub(super) fn span_of_group(
+        &self,
+        key: &GroupKey,
+        group: &TaskGroup,
+        job: &Job,
+    ) -> Option<Span> {
         if group.tasks.iter().any(super::job::Task::is_waiting) {
             return Some(Span::Room);
         }
@@ -96,22 +101,22 @@
     fn span_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> Span {
         let worker = self.workers.get(worker);
         let Some((worker, run)) = worker.and_then(|w| Some((w, w.runs.get(task)?))) else {
-            return job.story.running();
+            return job.timeline.running();
         };
         let is_silent = !worker.is_in_contact();
         match run.state {
-            RunState::Planned if run.recorded_by > job.written => Span::Record,
+            RunState::Planned if run.recorded_by > job.stored_changes => Span::Record,
             RunState::Planned => Span::Stops,
             _ if is_silent => Span::Silent,
             RunState::Starting => Span::Start,
-            RunState::Running | RunState::Stopping => job.story.running(),
+            RunState::Running | RunState::Stopping => job.timeline.running(),
         }
     }
 }
 
 fn summary(job: &Job, now: Now) -> Option<JobSummary> {
     let accepted = &job.accepted;
-    let work = job.story.work();
+    let work = job.timeline.work();
     Some(JobSummary {
         job: accepted.id.clone(),
         queue: accepted.queue.name.clone(),
@@ -124,9 +129,9 @@
         estimate: Duration::from_millis(accepted.spec.chain_ms()),
         aim: work.mul_f64(accepted.queue.stretch.max(0.0))
             + Duration::from_millis(accepted.queue.target_ms),
-        spans: job.story.spans(),
-        starts: job.story.starts,
-        setbacks: job.story.setbacks(),
-        taken_over: job.story.taken_over,
+        spans: job.timeline.spans(),
+        starts: job.timeline.starts,
+        setbacks: job.timeline.setbacks(),
+        taken_over: job.timeline.taken_over,
     })
 }
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::job::Group;
+use super::job::TaskGroup;
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
 use crate::batch::{Decision, GroupKey, Setback, TaskKey};
@@ -25,7 +25,7 @@
     /// Stops runs that make no progress, or far too little, so that they go on elsewhere.
     pub(super) fn find_stuck(&mut self, now: Now) {
         // Between two reports nothing new is to be seen.
-        let interval = self.policy.pace.interval.max(self.longest_wait() / 2);
+        let interval = self.policy.pace.interval.max(self.report_wait() / 2);
         if self
             .looked_for_stuck_at
             .is_some_and(|at| now.at - at < interval)
@@ -85,7 +85,7 @@
                 run.pace(since, slowdown, self.estimate_ms(step))
             })
             .collect();
-        let typical = pace::typical_span_ms(&paces, &group.spans_ms, &self.policy.pace);
+        let typical = pace::typical_span_ms(&paces, &group.durations_ms, &self.policy.pace);
         let any_moves = paces.iter().any(|pace| pace.gained > 0);
         let is_sure = !step.gang || (is_whole && (any_moves || members.len() == 1));
         members
@@ -113,7 +113,7 @@
 
     /// Tells whether a task that was moved already, and is slow at a worker that is known too, is
     /// itself the cause.
-    fn is_slow_anywhere(&self, group: &Group, id: &WorkerId, task: &TaskKey, now: Now) -> bool {
+    fn is_slow_anywhere(&self, group: &TaskGroup, id: &WorkerId, task: &TaskKey, now: Now) -> bool {
         let entry = group.tasks.get(task.index as usize);
         let was_moved = entry.is_some_and(|entry| entry.moves > 0);
         self.paces.is_uneven() && was_moved && self.pace_of(id, now).is_known
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -29,7 +29,7 @@
     /// runs on them: a new planner that knows only a few of them would put work in bad places and
     /// stop what need not stop.
     pub(super) fn knows_enough(&mut self, now: Now) -> bool {
-        if !self.knows_evacuations(now) {
+        if !self.has_fresh_evacuated_zones(now) {
             return false;
         }
         let first_tick_at = *self.first_tick_at.get_or_insert(now.at);
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::candidate::{CLAIM, Candidate, URGENT};
+use super::candidate::{Candidate, GUARANTEED_RANK, URGENT_RANK};
 use super::job::Job;
 use super::{Now, Planner};
 use crate::CustomerId;
@@ -60,7 +60,7 @@
             let room = job.step(key)?.room();
             let first = runs.first();
             let run = first.and_then(|(index, id)| self.run_at(id, &key.task(*index)));
-            let left_ms = run.map_or(0, |run| run.left_ms(self.policy.places.shown_percent));
+            let left_ms = run.map_or(0, |run| run.remaining_ms(self.policy.places.shown_percent));
             Some(Holding {
                 customer: job.accepted.customer.clone(),
                 share_ppm: self.usage.fleet().share_ppm(&room, runs.len() as u64),
@@ -83,7 +83,7 @@
         tasks: usize,
         now: Now,
     ) {
-        if candidate.rank == CLAIM {
+        if candidate.rank == GUARANTEED_RANK {
             return;
         }
         let key = &candidate.key;
@@ -99,7 +99,7 @@
     pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> Turn {
         // What was turned away before goes before later work of its rank and customer.
         let asked_before_ms = job.accepted.asked_before_ms();
-        if rank <= URGENT {
+        if rank <= URGENT_RANK {
             let objective_unix_ms = job
                 .objective_unix_ms(key.occurrence)
                 .saturating_sub(asked_before_ms);
@@ -159,7 +159,7 @@
         }
         let mut lines: BTreeMap<Option<&CustomerId>, (u64, u64)> = BTreeMap::new();
         let mut line_of = (0, Timeliness::InTime);
-        for candidate in candidates.iter_mut().filter(|one| one.rank > URGENT) {
+        for candidate in candidates.iter_mut().filter(|one| one.rank > URGENT_RANK) {
             let key = &candidate.key;
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::candidate::{CLAIM, Candidate, URGENT};
-use super::fit::Choice;
+use super::candidate::{Candidate, GUARANTEED_RANK, URGENT_RANK};
 use super::job::Job;
 use super::pass::Pass;
+use super::placement::PlacementChoice;
 use super::{Now, Planner};
 use crate::batch::{GroupKey, StepSpec};
 use crate::time::millis;
@@ -39,8 +39,8 @@
     ///
     /// Urgent work that gives way to urgent work is late itself, so that one late job becomes two.
     pub(super) fn spared_rank(&self, rank: u8, waited: Duration) -> u8 {
-        if rank == CLAIM && waited < self.claim_patience() {
-            URGENT
+        if rank == GUARANTEED_RANK && waited < self.claim_patience() {
+            URGENT_RANK
         } else {
             rank
         }
@@ -72,7 +72,7 @@
         };
         let policy = &self.policy.victims;
         let weight = step.room().weight() * u64::from(step.count);
-        let again_ms = millis(policy.again_cost) * u64::from(group.gave_way);
+        let again_ms = millis(policy.again_cost) * u64::from(group.preemptions);
         let late_ms = if policy.counts_lateness && self.would_become_late(key, job, now) {
             millis(self.run_time(key, step, now).typical)
         } else {
@@ -87,7 +87,9 @@
         let objective_unix_ms = wanted.objective_unix_ms();
         let runs = self.run_index.of_group(key);
         let run = runs.first().and_then(|(id, task)| self.run_at(id, task));
-        let left_ms = run.map_or(anew_ms, |run| run.left_ms(self.policy.places.shown_percent));
+        let left_ms = run.map_or(anew_ms, |run| {
+            run.remaining_ms(self.policy.places.shown_percent)
+        });
         now.unix_ms + left_ms <= objective_unix_ms && now.unix_ms + anew_ms > objective_unix_ms
     }
 
@@ -97,7 +99,7 @@
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        choice: &Choice,
+        choice: &PlacementChoice,
         pass: &Pass,
         now: Now,
     ) -> bool {
@@ -106,7 +108,7 @@
             return true;
         };
         let takes = self.run_time(&candidate.key, step, now).typical;
-        if candidate.rank == CLAIM && self.must_begin(candidate, takes, now) {
+        if candidate.rank == GUARANTEED_RANK && self.must_begin(candidate, takes, now) {
             return true;
         }
         let mut lost = 0_u64;
@@ -143,9 +145,9 @@
         let Some(group) = job.and_then(|job| job.group_mut(key)) else {
             return;
         };
-        if group.gave_way_at != Some(now.at) {
-            group.gave_way = group.gave_way.saturating_add(1);
-            group.gave_way_at = Some(now.at);
+        if group.preempted_at != Some(now.at) {
+            group.preemptions = group.preemptions.saturating_add(1);
+            group.preempted_at = Some(now.at);
         }
     }
 
@@ -154,7 +156,7 @@
     pub(super) fn waits_to_return(&self, key: &GroupKey, now: Now) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
-        let stopped = group.and_then(|group| Some((group.gave_way, group.gave_way_at?)));
+        let stopped = group.and_then(|group| Some((group.preemptions, group.preempted_at?)));
         stopped.is_some_and(|(times, at)| {
             let doublings = u32::from(times.saturating_sub(1)).min(MOST_DOUBLINGS);
             now.at - at < self.policy.victims.returns_after * (1 << doublings)
@@ -165,6 +167,6 @@
     pub(super) fn gave_way(&self, key: &GroupKey) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
-        group.is_some_and(|group| group.gave_way > 0)
+        group.is_some_and(|group| group.preemptions > 0)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::candidate::{CLAIM, Candidate, URGENT};
+use super::candidate::{Candidate, GUARANTEED_RANK, URGENT_RANK};
 use super::job::{Job, Task};
 use super::pass::Pass;
 use super::{Now, Planner};
@@ -16,7 +16,7 @@
         let job = self.jobs.get(id).filter(|job| job.outcome.is_none())?;
         let (key, reason) = self.open_step(job, now)?;
         let rank = if self.is_claim(&key) {
-            CLAIM
+            GUARANTEED_RANK
         } else {
             job.accepted.queue.priority.saturating_add(1)
         };
@@ -31,7 +31,7 @@
             timeliness: turn.timeliness,
             used: Duration::from_millis(self.usage.used_ms(customer, now.at)),
             fair: Duration::from_millis(self.usage.fair_ms(now.at)),
-            ready_for: self.waited(&key, now),
+            ready_for: self.waiting_time(&key, now),
             reason,
         })
     }
@@ -70,7 +70,7 @@
     }
 
     fn reason_without_room(&self, candidate: &Candidate, now: Now) -> WaitReason {
-        if let Some(date) = self.date_of(&candidate.key) {
+        if let Some(date) = self.expected_start(&candidate.key) {
             return WaitReason::Date(date - now.at);
         }
         let width = self.step(&candidate.key).map_or(0, |step| {
@@ -78,9 +78,9 @@
             step.needs.accelerators.saturating_mul(tasks)
         });
         let mut pass = Pass::default();
-        let is_kept = candidate.rank > URGENT
+        let is_kept = candidate.rank > URGENT_RANK
             && self.free_accelerators(&mut pass) >= width
-            && self.allowance(candidate, &mut pass, now) < width;
+            && self.accelerator_allowance(candidate, &mut pass, now) < width;
         if is_kept {
             WaitReason::KeptForUrgent
         } else {
--- a/crates/stairstall-core/tests/batch/advice.rs
+++ b/crates/stairstall-core/tests/batch/advice.rs
@@ -34,7 +34,7 @@
     assert_eq!(requests[0].workers.len(), 2);
     let good = vec![("w2".parse().expect("an id"), "ticket-2".to_owned())];
     let now = fleet.now();
-    fleet.planner.take_advice(&requests[0], good, now);
+    fleet.planner.handle_advice(&requests[0], good, now);
     fleet.pass(200);
     assert_eq!(
         fleet.place_of(&task("j", 0, 0)),
@@ -57,7 +57,7 @@
     let place: WorkerId = "w1".parse().expect("an id");
     let good = vec![(place.clone(), "old".to_owned())];
     let now = fleet.now();
-    fleet.planner.take_advice(&requests[0], good, now);
+    fleet.planner.handle_advice(&requests[0], good, now);
     fleet.crash_for(&place, 200);
     fleet.pass(500);
     fleet.writes = true;
@@ -75,7 +75,7 @@
     let requests = fleet.planner.take_advice_requests();
     let good = vec![("w1".parse().expect("an id"), "old".to_owned())];
     let now = fleet.now();
-    fleet.planner.take_advice(&requests[0], good, now);
+    fleet.planner.handle_advice(&requests[0], good, now);
     fleet.pass(TICKET_MS + 1_000);
     assert!(fleet.given.is_empty(), "its place could not be written");
     let again = fleet.planner.take_advice_requests();
@@ -90,14 +90,14 @@
     let requests = fleet.planner.take_advice_requests();
     let good = vec![("w1".parse().expect("an id"), "bad".to_owned())];
     let now = fleet.now();
-    fleet.planner.take_advice(&requests[0], good, now);
+    fleet.planner.handle_advice(&requests[0], good, now);
     let mut refused = 0;
     for _ in 0..20 {
         let now = fleet.now();
         for order in fleet.planner.tick(now) {
             refused += 1;
             let outcome = StartOutcome::Refused(RefusalReason::NoTicket);
-            fleet.planner.take_start(&order, outcome, now);
+            fleet.planner.handle_start_outcome(&order, outcome, now);
         }
         fleet.write_all();
         fleet.at_ms += 20;
--- a/crates/stairstall-core/tests/batch/capacity.rs
+++ b/crates/stairstall-core/tests/batch/capacity.rs
@@ -10,7 +10,7 @@
     let now = fleet.now();
     let listed = fleet.listed.get_mut(id).expect("it is listed");
     listed.capacity = capacity;
-    fleet.planner.list_worker(listed.clone(), now);
+    fleet.planner.handle_listed_worker(listed.clone(), now);
     fleet.settle();
 }
 
--- a/crates/stairstall-core/tests/batch/crashes.rs
+++ b/crates/stairstall-core/tests/batch/crashes.rs
@@ -265,12 +265,12 @@
     for _ in 0..4 {
         let place = fleet.place_of(&key).expect("it runs");
         let now = fleet.now();
-        fleet.planner.unlist_worker(&place, now);
+        fleet.planner.handle_unlisted_worker(&place, now);
         fleet.pass(500);
         fleet.workers.remove(&place);
         fleet.listed.remove(&place);
         let now = fleet.now();
-        fleet.planner.hold_failed(&place, now);
+        fleet.planner.handle_report_failure(&place, now);
         fleet.pass(millis(HOLD_MAX) + 1_000);
     }
     assert!(fleet.place_of(&key).is_some(), "it runs");
@@ -284,7 +284,7 @@
     for _ in 0..MAX_CRASHES {
         let place = fleet.place_of(&key).expect("it runs");
         let now = fleet.now();
-        fleet.planner.unlist_worker(&place, now);
+        fleet.planner.handle_unlisted_worker(&place, now);
         fleet.crash(&place);
         fleet.pass(4 * ROUND_MS);
     }
--- a/crates/stairstall-core/tests/batch/ends.rs
+++ b/crates/stairstall-core/tests/batch/ends.rs
@@ -84,7 +84,9 @@
     fleet.hold(&first);
     assert_eq!(fleet.planner.open_jobs(), 0, "its end is known");
     let now = fleet.now();
-    fleet.planner.take_start(&start, StartOutcome::Unknown, now);
+    fleet
+        .planner
+        .handle_start_outcome(&start, StartOutcome::Unknown, now);
     let orders = fleet.planner.tick(now);
     let is_start = |order: &Order| matches!(order.kind, OrderKind::Start { .. });
     assert!(!orders.iter().any(is_start), "{orders:?}");
--- a/crates/stairstall-core/tests/batch/evacuation.rs
+++ b/crates/stairstall-core/tests/batch/evacuation.rs
@@ -30,7 +30,7 @@
     listed.zone = zone(zone_name);
     let now = fleet.now();
     fleet.workers.entry(listed.id.clone()).or_default();
-    fleet.planner.list_worker(listed, now);
+    fleet.planner.handle_listed_worker(listed, now);
 }
 
 fn evacuate(fleet: &mut Fleet, names: &[&str]) {
@@ -151,7 +151,9 @@
     evacuate(&mut fleet, &[&name]);
     for start in &starts {
         let now = fleet.now();
-        fleet.planner.take_start(start, StartOutcome::Unknown, now);
+        fleet
+            .planner
+            .handle_start_outcome(start, StartOutcome::Unknown, now);
     }
     let again = fleet.planner.tick(fleet.now());
     let is_start = |order: &&Order| matches!(order.kind, OrderKind::Start { .. });
@@ -195,8 +197,10 @@
     evacuate(&mut fleet, &["b"]);
     fleet.tells_evacuations = false;
     let now = fleet.now();
-    fleet.planner.set_evacuated(BTreeSet::new(), asked.at, now);
-    assert_eq!(fleet.planner.evacuated_zones(), 1);
+    fleet
+        .planner
+        .set_evacuated_zones(BTreeSet::new(), asked.at, now);
+    assert_eq!(fleet.planner.evacuated_zone_count(), 1);
 }
 
 #[test]
--- a/crates/stairstall-core/tests/batch/fences.rs
+++ b/crates/stairstall-core/tests/batch/fences.rs
@@ -29,7 +29,7 @@
     fleet.cut_off(&start.worker);
     fleet.begin_unheard_life(&start.worker, 1);
     let now = fleet.now();
-    fleet.planner.take_start(&start, FENCED, now);
+    fleet.planner.handle_start_outcome(&start, FENCED, now);
     assert!(!fleet.planner.is_deposed(), "its own later token was seen");
     fleet.pass(100);
     let again = fleet.place_of(&task("j", 0, 0));
@@ -50,7 +50,7 @@
     fleet.write_all();
     let second = fleet.planner.tick(now).remove(0);
     assert!(second.run > first.run && second.token > first.token);
-    fleet.planner.take_start(&first, FENCED, now);
+    fleet.planner.handle_start_outcome(&first, FENCED, now);
     assert_eq!(fleet.planner.runs(), 1, "the second run may have begun");
 }
 
@@ -59,7 +59,7 @@
     let mut fleet = fleet();
     let start = fleet.first_start();
     let now = fleet.now();
-    fleet.planner.take_start(&start, FENCED, now);
+    fleet.planner.handle_start_outcome(&start, FENCED, now);
     assert!(fleet.planner.is_deposed());
 }
 
@@ -70,11 +70,11 @@
     let id = start.worker.clone();
     fleet.cut_off(&id);
     fleet.begin_unheard_life(&id, 1);
-    fleet.planner.note_fenced(&id, start.token);
+    fleet.planner.handle_fenced(&id, start.token);
     assert!(!fleet.planner.is_deposed());
     let now = fleet.now();
     let asked = fleet.planner.hold_request(&id, now).expect("it is asked");
-    fleet.planner.note_fenced(&id, asked.token);
+    fleet.planner.handle_fenced(&id, asked.token);
     assert!(fleet.planner.is_deposed());
 }
 
@@ -88,7 +88,7 @@
     restart_and_meet(&mut fleet, &first.worker);
     let now = fleet.now();
     let late = StartOutcome::Started { clock_ms: 20_000 };
-    fleet.planner.take_start(&first, late, now);
+    fleet.planner.handle_start_outcome(&first, late, now);
     fleet.pass(100);
     let starts = fleet.given.iter().filter_map(|order| match order.kind {
         OrderKind::Start { deadline_ms, .. } => Some(deadline_ms),
--- a/crates/stairstall-core/tests/batch/flow.rs
+++ b/crates/stairstall-core/tests/batch/flow.rs
@@ -70,7 +70,9 @@
                 more: true,
                 bytes: REPORT_BYTES,
             };
-            fleet.planner.take_hold(&id, &request, now.at, report, now);
+            fleet
+                .planner
+                .handle_worker_report(&id, &request, now.at, report, now);
         }
     }
     fleet
@@ -114,7 +116,7 @@
         let now = fleet.now();
         fleet
             .planner
-            .take_start(&order, StartOutcome::Started { clock_ms }, now);
+            .handle_start_outcome(&order, StartOutcome::Started { clock_ms }, now);
     }
     let next = starts(&mut fleet).len();
     assert!(
@@ -145,7 +147,7 @@
         let now = fleet.now();
         fleet
             .planner
-            .take_start(&order, StartOutcome::Started { clock_ms }, now);
+            .handle_start_outcome(&order, StartOutcome::Started { clock_ms }, now);
         let next = starts(&mut fleet);
         assert_eq!(
             count_of(&next, "narrow"),
@@ -199,7 +201,7 @@
     fleet.at_ms += 700;
     let silent: WorkerId = "w3".parse().expect("an id");
     let now = fleet.now();
-    fleet.planner.hold_failed(&silent, now);
+    fleet.planner.handle_report_failure(&silent, now);
     let lag = fleet.planner.contact_lag(now);
     assert_eq!(lag.silent, 1);
     assert!(lag.oldest_report >= Duration::from_millis(700));
--- a/crates/stairstall-core/tests/batch/harness.rs
+++ b/crates/stairstall-core/tests/batch/harness.rs
@@ -142,7 +142,7 @@
         listed.incarnation = self.reports_incarnations.then(|| life.incarnation());
         self.workers.insert(listed.id.clone(), life);
         self.listed.insert(listed.id.clone(), listed.clone());
-        self.planner.list_worker(listed, now);
+        self.planner.handle_listed_worker(listed, now);
     }
 
     /// Ends a worker's life without a word; another life comes to its address after a while.
@@ -203,7 +203,7 @@
         for crashed in &mut self.crashed {
             if crashed.back_at_ms.take().is_some() {
                 self.listed.remove(&crashed.worker);
-                self.planner.unlist_worker(&crashed.worker, now);
+                self.planner.handle_unlisted_worker(&crashed.worker, now);
             }
         }
     }
@@ -253,11 +253,11 @@
         self.at_ms += 1;
         let answered = self.now();
         self.planner
-            .take_hold(id, &request, now.at, report, answered);
+            .handle_worker_report(id, &request, now.at, report, answered);
         let mut listed = self.listed[id].clone();
         listed.incarnation = Some(incarnation);
         self.listed.insert(id.clone(), listed.clone());
-        self.planner.list_worker(listed, answered);
+        self.planner.handle_listed_worker(listed, answered);
     }
 
     /// Ends a cut behind which the worker has started again under its id.
@@ -289,7 +289,7 @@
         listed.incarnation = Some(Incarnation::from_unix_ms(START_UNIX_MS + after_ms));
         self.listed.insert(id.clone(), listed.clone());
         let now = self.now();
-        self.planner.list_worker(listed, now);
+        self.planner.handle_listed_worker(listed, now);
         self.settle();
     }
 
@@ -305,7 +305,7 @@
         }
         let now = self.now();
         self.listed.insert(id.clone(), leaving.clone());
-        self.planner.list_worker(leaving, now);
+        self.planner.handle_listed_worker(leaving, now);
     }
 
     /// Lets the directory say that a worker leaves.
@@ -314,7 +314,7 @@
         let listed = self.listed.get_mut(id).expect("it is listed");
         listed.draining = true;
         listed.remaining_ms = Some(remaining_ms);
-        self.planner.list_worker(listed.clone(), now);
+        self.planner.handle_listed_worker(listed.clone(), now);
     }
 
     /// Lets workers that crashed long enough ago come back, each as another life that answers for
@@ -324,7 +324,7 @@
         let now = self.now();
         for crashed in &mut self.crashed {
             if crashed.lapses_at_ms.take_if(|at| *at <= at_ms).is_some() {
-                self.planner.unlist_worker(&crashed.worker, now);
+                self.planner.handle_unlisted_worker(&crashed.worker, now);
             }
         }
         let (back, away) = std::mem::take(&mut self.crashed)
@@ -342,7 +342,7 @@
             listed.id = format!("life-{}", self.lives).parse().expect("an id");
             self.planner
                 .life_over(&worker, "another life answered", now);
-            self.planner.unlist_worker(&worker, now);
+            self.planner.handle_unlisted_worker(&worker, now);
             self.add(listed, now);
         }
     }
@@ -374,7 +374,7 @@
         if self.crashed.iter().any(|crashed| crashed.worker == *id) {
             let has_address = self.planner.workers().any(|(known, _)| known == id);
             if has_address {
-                self.planner.hold_failed(id, now);
+                self.planner.handle_report_failure(id, now);
             }
             return None;
         }
@@ -410,7 +410,7 @@
         self.at_ms += 1;
         let answered = self.now();
         self.planner
-            .take_hold(id, &request, now.at, report, answered);
+            .handle_worker_report(id, &request, now.at, report, answered);
         Some(request)
     }
 
@@ -465,7 +465,7 @@
                     .running
                     .insert(order.task.clone(), (order.run, 0, checkpoint.clone()));
                 self.planner
-                    .take_start(order, StartOutcome::Started { clock_ms }, now);
+                    .handle_start_outcome(order, StartOutcome::Started { clock_ms }, now);
                 if self.crashing.contains(&order.task) {
                     self.crash(&order.worker);
                 }
@@ -482,7 +482,8 @@
     fn answer_for_another(&mut self, order: &Order, now: Now) {
         match order.kind {
             OrderKind::Start { .. } => {
-                self.planner.take_start(order, StartOutcome::OtherLife, now);
+                self.planner
+                    .handle_start_outcome(order, StartOutcome::OtherLife, now);
             }
             OrderKind::Stop => self.planner.take_stop(order, StopOutcome::OtherLife, now),
         }
@@ -492,7 +493,10 @@
     pub fn leave_unanswered(&mut self, order: &Order) {
         let now = self.now();
         match order.kind {
-            OrderKind::Start { .. } => self.planner.take_start(order, StartOutcome::Unknown, now),
+            OrderKind::Start { .. } => {
+                self.planner
+                    .handle_start_outcome(order, StartOutcome::Unknown, now);
+            }
             OrderKind::Stop => self.planner.take_stop(order, StopOutcome::Unknown, now),
         }
     }
@@ -541,7 +545,7 @@
         self.planner.set_catalog(Arc::new(catalog(0)));
         for (name, rack) in listed {
             let listed = worker(name, rack, Resources::new(32_000, 64_000, 8));
-            self.planner.list_worker(listed, now);
+            self.planner.handle_listed_worker(listed, now);
         }
         for job in jobs {
             let kept = self.kept.get(&job.id);
@@ -555,7 +559,7 @@
         let now = self.now();
         if self.tells_evacuations {
             let zones = self.evacuated.clone();
-            self.planner.set_evacuated(zones, now.at, now);
+            self.planner.set_evacuated_zones(zones, now.at, now);
         }
     }
 
@@ -564,7 +568,7 @@
         self.take_over(jobs, &[]);
         let now = self.now();
         for listed in self.listed.values() {
-            self.planner.list_worker(listed.clone(), now);
+            self.planner.handle_listed_worker(listed.clone(), now);
         }
     }
 
--- a/crates/stairstall-core/tests/batch/leaving.rs
+++ b/crates/stairstall-core/tests/batch/leaving.rs
@@ -10,7 +10,7 @@
     leaving.draining = true;
     leaving.remaining_ms = Some(remaining_ms);
     let now = fleet.now();
-    fleet.planner.list_worker(leaving, now);
+    fleet.planner.handle_listed_worker(leaving, now);
     fleet.settle();
 }
 
@@ -73,14 +73,14 @@
     let mut next = worker("w1b", "r1", Resources::new(32_000, 64_000, 8));
     next.address = worker("w1", "r1", Resources::default()).address;
     let now = fleet.now();
-    fleet.planner.list_worker(next.clone(), now);
-    assert!(fleet.planner.knows(&"w1".parse().expect("an id")));
+    fleet.planner.handle_listed_worker(next.clone(), now);
+    assert!(fleet.planner.knows_worker(&"w1".parse().expect("an id")));
     fleet
         .planner
-        .unlist_worker(&"w1".parse().expect("an id"), now);
+        .handle_unlisted_worker(&"w1".parse().expect("an id"), now);
     // The next heartbeat changes nothing, and need not.
-    fleet.planner.list_worker(next, now);
-    assert!(!fleet.planner.knows(&"w1".parse().expect("an id")));
+    fleet.planner.handle_listed_worker(next, now);
+    assert!(!fleet.planner.knows_worker(&"w1".parse().expect("an id")));
     assert_eq!(fleet.planner.runs(), 0);
 }
 
@@ -98,9 +98,9 @@
         .expect("it is busy");
     let mut next = worker("w1b", "r1", Resources::new(32_000, 64_000, 8));
     next.address = worker("w1", "r1", Resources::default()).address;
-    fleet.planner.list_worker(next, asked);
-    fleet.planner.unlist_worker(&gone, asked);
-    assert!(!fleet.planner.knows(&gone));
+    fleet.planner.handle_listed_worker(next, asked);
+    fleet.planner.handle_unlisted_worker(&gone, asked);
+    assert!(!fleet.planner.knows_worker(&gone));
     let last = HoldReport {
         incarnation: Some(fleet.worker("w1").incarnation()),
         clock_ms: fleet.at_ms,
@@ -119,7 +119,7 @@
     let now = fleet.now();
     fleet
         .planner
-        .take_hold(&gone, &request, asked.at, last, now);
+        .handle_worker_report(&gone, &request, asked.at, last, now);
     fleet.write_all();
     assert_eq!(
         fleet.planner.caller_state(&id("j")),
@@ -173,10 +173,13 @@
     let mut fleet = Fleet::new(&names());
     let leaving = outstays(&mut fleet);
     let now = fleet.now();
-    fleet.planner.unlist_worker(&leaving, now);
-    assert!(fleet.planner.knows(&leaving), "it answered a moment ago");
+    fleet.planner.handle_unlisted_worker(&leaving, now);
+    assert!(
+        fleet.planner.knows_worker(&leaving),
+        "it answered a moment ago"
+    );
     fleet.workers.remove(&leaving);
-    fleet.planner.hold_failed(&leaving, now);
+    fleet.planner.handle_report_failure(&leaving, now);
     // Its lease would last six seconds more.
     fleet.pass(500);
     assert!(fleet.place_of(&task("j", 0, 0)).is_some());
@@ -188,7 +191,7 @@
     let leaving = outstays(&mut fleet);
     let now = fleet.now();
     fleet.workers.remove(&leaving);
-    fleet.planner.hold_failed(&leaving, now);
+    fleet.planner.handle_report_failure(&leaving, now);
     fleet.pass(500);
     assert_eq!(fleet.place_of(&task("j", 0, 0)), None, "it may run on");
 }
--- a/crates/stairstall-core/tests/batch/lossy/world.rs
+++ b/crates/stairstall-core/tests/batch/lossy/world.rs
@@ -232,7 +232,7 @@
         for (id, life) in &self.lives {
             let mut listed = self.listed[id].clone();
             listed.incarnation = Some(life.incarnation());
-            self.planner.list_worker(listed, now);
+            self.planner.handle_listed_worker(listed, now);
         }
         for (id, job) in &self.jobs {
             let progress = self.kept.get(id);
@@ -308,8 +308,8 @@
                 Event::Listed(id, listed) => {
                     let now = self.now();
                     match listed {
-                        Some(listed) => self.planner.list_worker(listed, now),
-                        None => self.planner.unlist_worker(&id, now),
+                        Some(listed) => self.planner.handle_listed_worker(listed, now),
+                        None => self.planner.handle_unlisted_worker(&id, now),
                     }
                 }
                 Event::Lapse(id, born_ms) => {
@@ -536,11 +536,12 @@
         match (&sent.call, answer) {
             (Call::Hold(request), Answer::Report(report)) => {
                 let id = &sent.worker;
-                self.planner.take_hold(id, request, sent_at, report, now);
+                self.planner
+                    .handle_worker_report(id, request, sent_at, report, now);
                 self.asking.insert(id.clone(), Asking::Rests(self.at_ms));
             }
             (Call::Start(order), Answer::Start(outcome)) => {
-                self.planner.take_start(order, outcome, now);
+                self.planner.handle_start_outcome(order, outcome, now);
             }
             (Call::Stop(order), Answer::Stop(outcome)) => {
                 self.planner.take_stop(order, outcome, now);
@@ -553,18 +554,21 @@
         let now = self.now();
         match &sent.call {
             Call::Hold(_) => {
-                self.planner.hold_failed(&sent.worker, now);
+                self.planner.handle_report_failure(&sent.worker, now);
                 let rests = Asking::Rests(self.at_ms + SILENT_PAUSE_MS);
                 self.asking.insert(sent.worker.clone(), rests);
             }
-            Call::Start(order) => self.planner.take_start(order, StartOutcome::Unknown, now),
+            Call::Start(order) => {
+                self.planner
+                    .handle_start_outcome(order, StartOutcome::Unknown, now);
+            }
             Call::Stop(order) => self.planner.take_stop(order, StopOutcome::Unknown, now),
         }
     }
 
     /// Asks each worker that the planner knows, one request at a time.
     fn ask(&mut self) {
-        for id in self.planner.take_to_ask() {
+        for id in self.planner.take_workers_to_poll() {
             if let Some(Asking::Rests(_)) = self.asking.get(&id) {
                 self.asking.insert(id, Asking::Rests(self.at_ms));
             }
@@ -591,7 +595,8 @@
 
     fn plan(&mut self) {
         let now = self.now();
-        self.planner.set_evacuated(BTreeSet::new(), now.at, now);
+        self.planner
+            .set_evacuated_zones(BTreeSet::new(), now.at, now);
         for (token, write) in self.writes.take(self.at_ms) {
             if self.unwritten.as_ref() == Some(&write.job) {
                 self.writes.push(self.at_ms + STEP_MS, (token, write));
--- a/crates/stairstall-core/tests/batch/restarts.rs
+++ b/crates/stairstall-core/tests/batch/restarts.rs
@@ -250,7 +250,7 @@
     let mut listed = fleet.listed[&place].clone();
     listed.incarnation = Some(Incarnation::from_unix_ms(START_UNIX_MS + 1));
     let now = fleet.now();
-    fleet.planner.list_worker(listed, now);
+    fleet.planner.handle_listed_worker(listed, now);
     fleet.settle();
     let told = losses(&mut fleet);
     assert!(told[0].contains("1 of 3 crashes"), "{told:?}");
@@ -290,7 +290,7 @@
     let now = fleet.now();
     fleet
         .planner
-        .take_hold(&place, &request, asked.at, late, now);
+        .handle_worker_report(&place, &request, asked.at, late, now);
     fleet.settle();
     assert_eq!(fleet.planner.runs(), runs);
     assert_ne!(fleet.planner.caller_state(&id("j")), COMPLETED);
@@ -316,7 +316,7 @@
     let later = fleet.now();
     fleet
         .planner
-        .take_hold(&place, &request, now.at, report, later);
+        .handle_worker_report(&place, &request, now.at, report, later);
     assert!(losses(&mut fleet)[0].contains("1 of 3 crashes"));
 }
 
@@ -331,7 +331,7 @@
     fleet.submit(job("k", 2, vec![step(1, 8)]));
     fleet.pass(500);
     let now = fleet.now();
-    fleet.planner.list_worker(old, now);
+    fleet.planner.handle_listed_worker(old, now);
     fleet.pass(500);
     assert!(losses(&mut fleet).is_empty());
     let starts = fleet.starts_of(&task("j", 0, 0)) + fleet.starts_of(&task("k", 0, 0));
@@ -363,7 +363,7 @@
     fleet.crash_for(&place, 300);
     fleet.pass(1_000);
     let now = fleet.now();
-    fleet.planner.list_worker(old, now);
+    fleet.planner.handle_listed_worker(old, now);
     run_one(&mut fleet);
 }
 
@@ -373,7 +373,9 @@
     let mut fleet = fleet(&[("w1", "r1"), ("w2", "r1")]);
     let now = fleet.now();
     let first = fleet.first_start();
-    fleet.planner.take_start(&first, StartOutcome::Unknown, now);
+    fleet
+        .planner
+        .handle_start_outcome(&first, StartOutcome::Unknown, now);
     fleet.settle();
     let place = first.worker.clone();
     fleet.pass(300);
@@ -445,7 +447,7 @@
     };
     fleet
         .planner
-        .take_hold(&place, &naming, now.at, report.clone(), answered);
+        .handle_worker_report(&place, &naming, now.at, report.clone(), answered);
     let now = fleet.now();
     let first = fleet
         .planner
@@ -454,7 +456,9 @@
     // What it is sent before its clock is read brings no deadline by the clock of the life before.
     assert_eq!((first.last_seen, first.deadline_ms), (0, None));
     assert!(first.token > naming.token);
-    fleet.planner.take_hold(&place, &first, now.at, report, now);
+    fleet
+        .planner
+        .handle_worker_report(&place, &first, now.at, report, now);
     let told = fleet
         .planner
         .hold_request(&place, now)
@@ -469,7 +473,9 @@
     let mut fleet = fleet(&[("w1", "r1")]);
     let now = fleet.now();
     let first = fleet.first_start();
-    fleet.planner.take_start(&first, StartOutcome::Unknown, now);
+    fleet
+        .planner
+        .handle_start_outcome(&first, StartOutcome::Unknown, now);
     fleet.settle();
     fleet.pass(300);
     fleet.cut_off(&first.worker);
@@ -520,8 +526,10 @@
     fleet.cut_off(&start.worker);
     let mut listed = fleet.listed[&start.worker].clone();
     listed.incarnation = Some(Incarnation::from_unix_ms(START_UNIX_MS + 50));
-    fleet.planner.list_worker(listed, now);
-    fleet.planner.take_start(&start, StartOutcome::Unknown, now);
+    fleet.planner.handle_listed_worker(listed, now);
+    fleet
+        .planner
+        .handle_start_outcome(&start, StartOutcome::Unknown, now);
     fleet.settle();
     fleet.at_ms = 50;
     fleet.restart_cut_off(&start.worker);
@@ -554,7 +562,7 @@
     let now = fleet.now();
     let start = fleet.first_start();
     let started = StartOutcome::Started { clock_ms: 40 };
-    fleet.planner.take_start(&start, started, now);
+    fleet.planner.handle_start_outcome(&start, started, now);
     fleet.cut_off(&start.worker);
     // The lease that the start asked for is 1.5 s; the new life may hold the run for 6 s.
     fleet.pass(4_000);
--- a/crates/stairstall-core/tests/batch/room.rs
+++ b/crates/stairstall-core/tests/batch/room.rs
@@ -150,7 +150,7 @@
     let now = fleet.now();
     let mut elsewhere = worker("w3", "r2", Resources::new(32_000, 64_000, 8));
     elsewhere.zone = "b".parse().expect("an id");
-    fleet.planner.list_worker(elsewhere, now);
+    fleet.planner.handle_listed_worker(elsewhere, now);
     fleet.hold_all();
     let mut here = job("here", 0, vec![step(1, 4)]);
     here.zone = Some("b".parse().expect("an id"));
--- a/crates/stairstall-core/tests/batch/run_times.rs
+++ b/crates/stairstall-core/tests/batch/run_times.rs
@@ -179,7 +179,7 @@
         silent.pass(1_000);
         let place = silent.place_of(&key).expect("it runs");
         let now = silent.now();
-        silent.planner.hold_failed(&place, now);
+        silent.planner.handle_report_failure(&place, now);
         finish_after(&mut silent, &key, 1_000);
     }
     assert_eq!(learnt_runs(&silent, 2), 0, "their workers were silent");
@@ -249,7 +249,7 @@
         next.take_learnt(read, now);
     }
     for listed in fleet.listed.values() {
-        next.list_worker(listed.clone(), now);
+        next.handle_listed_worker(listed.clone(), now);
     }
     fleet.planner = next;
     fleet.settle();
--- a/crates/stairstall-core/tests/batch/silence.rs
+++ b/crates/stairstall-core/tests/batch/silence.rs
@@ -33,12 +33,12 @@
         assert_eq!(orders[0].run, 1);
         fleet
             .planner
-            .take_start(&orders[0], StartOutcome::Unknown, now);
+            .handle_start_outcome(&orders[0], StartOutcome::Unknown, now);
         orders = fleet.planner.tick(now);
     }
     fleet
         .planner
-        .take_start(&orders[0], StartOutcome::Unknown, now);
+        .handle_start_outcome(&orders[0], StartOutcome::Unknown, now);
     let last = fleet.planner.tick(now);
     assert_eq!(last[0].kind, OrderKind::Stop);
     assert_eq!(last[0].run, 1);
@@ -84,7 +84,7 @@
     for name in &names[..3] {
         let id = name.parse().expect("an id");
         let now = fleet.now();
-        fleet.planner.hold_failed(&id, now);
+        fleet.planner.handle_report_failure(&id, now);
     }
     // The two others have not been heard of since: they are asked before they get anything.
     fleet.submit(job("j", 0, vec![step(1, 8)]));
@@ -140,7 +140,9 @@
             if order.worker != silent {
                 fleet.carry_out(&order);
             } else if is_start {
-                fleet.planner.take_start(&order, StartOutcome::Unknown, now);
+                fleet
+                    .planner
+                    .handle_start_outcome(&order, StartOutcome::Unknown, now);
             }
             if !is_start {
                 stopped.push(order.worker.to_string());
@@ -170,7 +172,9 @@
     }
     fleet.at_ms += 250;
     let now = fleet.now();
-    fleet.planner.take_start(&start, StartOutcome::Unknown, now);
+    fleet
+        .planner
+        .handle_start_outcome(&start, StartOutcome::Unknown, now);
     start.worker
 }
 
@@ -207,7 +211,9 @@
     fleet.at_ms += 250;
     for start in &starts {
         let now = fleet.now();
-        fleet.planner.take_start(start, StartOutcome::Unknown, now);
+        fleet
+            .planner
+            .handle_start_outcome(start, StartOutcome::Unknown, now);
     }
     let now = fleet.now();
     assert_eq!(fleet.planner.contact_lag(now).silent, 0);
--- a/crates/stairstall-core/tests/batch/takeover.rs
+++ b/crates/stairstall-core/tests/batch/takeover.rs
@@ -129,7 +129,7 @@
         let answered = fleet.now();
         fleet
             .planner
-            .take_hold(&id, &request, now.at, report, answered);
+            .handle_worker_report(&id, &request, now.at, report, answered);
     }
     assert_eq!(fleet.planner.runs(), 0);
 }
@@ -143,14 +143,14 @@
     // The store was down: at the takeover the directory is empty.
     fleet.take_over(&[accepted], &[]);
     assert_eq!(fleet.planner.workers().count(), 0);
-    let before = fleet.planner.worker_set();
+    let before = fleet.planner.worker_set_version();
     let now = fleet.now();
     let capacity = stairstall_core::batch::Resources::new(32_000, 64_000, 8);
     let listed = crate::harness::worker("w1", "r1", capacity);
-    fleet.planner.list_worker(listed, now);
+    fleet.planner.handle_listed_worker(listed, now);
     assert_eq!(fleet.planner.workers().count(), 1);
     assert_ne!(
-        fleet.planner.worker_set(),
+        fleet.planner.worker_set_version(),
         before,
         "a link has to be opened"
     );
--- a/crates/stairstall-core/tests/batch/turns.rs
+++ b/crates/stairstall-core/tests/batch/turns.rs
@@ -69,9 +69,11 @@
         fleet.planner = Planner::new(1, bounds()).with_policy(*policy);
         fleet.planner.set_catalog(Arc::new(catalog(0)));
         for listed in fleet.listed.values() {
-            fleet.planner.list_worker(listed.clone(), now);
+            fleet.planner.handle_listed_worker(listed.clone(), now);
         }
-        fleet.planner.set_evacuated(BTreeSet::new(), now.at, now);
+        fleet
+            .planner
+            .set_evacuated_zones(BTreeSet::new(), now.at, now);
         fleet.hold_all();
         Self {
             fleet,
--- a/crates/stairstall-core/tests/batch/unasked.rs
+++ b/crates/stairstall-core/tests/batch/unasked.rs
@@ -24,7 +24,9 @@
     fleet.hold_all();
     let start = start_of(&mut fleet, "j");
     let now = fleet.now();
-    fleet.planner.take_start(&start, StartOutcome::Unknown, now);
+    fleet
+        .planner
+        .handle_start_outcome(&start, StartOutcome::Unknown, now);
     fleet.planner.cancel(&id("j"), now);
     // No order gets an answer for a while; meanwhile the start is carried out.
     for _ in 0..3 {
--- a/crates/stairstall-core/tests/load.rs
+++ b/crates/stairstall-core/tests/load.rs
@@ -42,7 +42,7 @@
             .workers
             .insert(listed.id.clone(), harness::FakeWorker::default());
         fleet.listed.insert(listed.id.clone(), listed.clone());
-        fleet.planner.list_worker(listed, now);
+        fleet.planner.handle_listed_worker(listed, now);
     }
     fleet.hold_all();
     fleet.settle();
@@ -189,7 +189,7 @@
     let now = fleet.now();
     fleet.planner.load_summary(now);
     let listed = worker("new", "r9", Resources::new(32_000, 64_000, 8));
-    fleet.planner.list_worker(listed, now);
+    fleet.planner.handle_listed_worker(listed, now);
     pass(&mut fleet, 1_000);
     let now = fleet.now();
     let summary = fleet.planner.load_summary(now);
--- a/crates/stairstalld/src/batch/directory.rs
+++ b/crates/stairstalld/src/batch/directory.rs
@@ -32,7 +32,7 @@
     tenure.with(|planner, now| {
         let known: Vec<WorkerId> = planner.workers().map(|(id, _)| id.clone()).collect();
         for id in known.iter().filter(|id| !listed.contains(*id)) {
-            planner.unlist_worker(id, now);
+            planner.handle_unlisted_worker(id, now);
         }
     });
     Ok(at)
@@ -48,13 +48,13 @@
     let id = id_of(node, &item.key)?;
     match node.dialect.read_worker(id.clone(), &item.value) {
         Ok(listed) => {
-            tenure.with(|planner, now| planner.list_worker(listed, now));
+            tenure.with(|planner, now| planner.handle_listed_worker(listed, now));
             Some(id)
         }
         Err(error) => {
             // Other writers may leave anything there: it names no worker to use.
             log::warn!(target: "directory", worker:% = id, why:% = error; "the entry names no worker");
-            tenure.with(|planner, now| planner.unlist_worker(&id, now));
+            tenure.with(|planner, now| planner.handle_unlisted_worker(&id, now));
             None
         }
     }
@@ -88,7 +88,7 @@
                 }
                 Change::Gone { key, .. } => {
                     if let Some(id) = id_of(node, key) {
-                        tenure.with(|planner, now| planner.unlist_worker(&id, now));
+                        tenure.with(|planner, now| planner.handle_unlisted_worker(&id, now));
                     }
                 }
             }
--- a/crates/stairstalld/src/batch/evacuation.rs
+++ b/crates/stairstalld/src/batch/evacuation.rs
@@ -25,7 +25,7 @@
         .iter()
         .filter_map(|item| read_zone(prefix, &item.key))
         .collect();
-    tenure.with(|planner, now| planner.set_evacuated(zones, asked_at, now));
+    tenure.with(|planner, now| planner.set_evacuated_zones(zones, asked_at, now));
     Ok(())
 }
 
--- a/crates/stairstalld/src/batch/links.rs
+++ b/crates/stairstalld/src/batch/links.rs
@@ -75,7 +75,7 @@
     pub(crate) fn keep_up(&mut self) {
         let (to_ask, worker_set) = self
             .tenure
-            .with(|planner, _| (planner.take_to_ask(), planner.worker_set()));
+            .with(|planner, _| (planner.take_workers_to_poll(), planner.worker_set_version()));
         for id in to_ask {
             if let Some(link) = self.open.get(&id) {
                 link.asking.wake.notify_one();
@@ -178,7 +178,7 @@
                     log::info!(target: "links", worker:% = worker.id; "its last report left ends out");
                 }
                 tenure.with(|planner, now| {
-                    planner.take_hold(&worker.id, &request, sent_at, report, now);
+                    planner.handle_worker_report(&worker.id, &request, sent_at, report, now);
                 });
             }
             Err(fault) => {
@@ -195,7 +195,7 @@
             let has_ends = !report.ended.is_empty();
             let written = tenure.written.notified();
             tenure.with(|planner, now| {
-                planner.take_hold(&worker.id, &request, sent_at, report, now);
+                planner.handle_worker_report(&worker.id, &request, sent_at, report, now);
             });
             if has_ends {
                 let _ = tokio::time::timeout(policy.write_patience, written).await;
@@ -207,12 +207,12 @@
         }
         Err(WorkerFault::Fenced) => {
             node.telemetry.hold("fenced");
-            tenure.with(|planner, _| planner.note_fenced(&worker.id, request.token));
+            tenure.with(|planner, _| planner.handle_fenced(&worker.id, request.token));
         }
         Err(fault) => {
             node.telemetry.hold("no answer");
             log::debug!(target: "hold", worker:% = worker.id, why:% = fault; "no report");
-            tenure.with(|planner, now| planner.hold_failed(&worker.id, now));
+            tenure.with(|planner, now| planner.handle_report_failure(&worker.id, now));
             node.pause(policy.silent_pause).await;
         }
     }
--- a/crates/stairstalld/src/batch/orders.rs
+++ b/crates/stairstalld/src/batch/orders.rs
@@ -53,7 +53,7 @@
                 StartOutcome::NotSent
             };
             node.telemetry.order("start", start_word(outcome));
-            tenure.with(|planner, now| planner.take_start(&order, outcome, now));
+            tenure.with(|planner, now| planner.handle_start_outcome(&order, outcome, now));
         }
         OrderKind::Stop => {
             let outcome = if tenure.is_in_force() {
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -191,8 +191,8 @@
     pub(crate) fn evacuations(&self) -> (usize, Option<Duration>) {
         let planner = lock(&self.planner);
         (
-            planner.evacuated_zones(),
-            planner.evacuations_age(self.now()),
+            planner.evacuated_zone_count(),
+            planner.evacuated_zones_age(self.now()),
         )
     }
 
@@ -286,7 +286,7 @@
     for request in requests {
         let Some(adviser) = node.adviser.clone() else {
             log::warn!(target: "advice", step:% = request.group; "no adviser is set");
-            tenure.with(|planner, _| planner.advice_failed(&request));
+            tenure.with(|planner, _| planner.handle_advice_failure(&request));
             continue;
         };
         let tenure = Arc::clone(tenure);
@@ -296,11 +296,11 @@
                 Ok(good) => {
                     log::info!(target: "advice", step:% = request.group,
                         asked = request.workers.len(), good = good.len(); "answered");
-                    tenure.with(|planner, now| planner.take_advice(&request, good, now));
+                    tenure.with(|planner, now| planner.handle_advice(&request, good, now));
                 }
                 Err(error) => {
                     log::warn!(target: "advice", step:% = request.group, why:% = error; "no answer");
-                    tenure.with(|planner, _| planner.advice_failed(&request));
+                    tenure.with(|planner, _| planner.handle_advice_failure(&request));
                 }
             }
         });
