--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -34,11 +34,24 @@
 pub use demand::{DemandHorizon, UrgentDemand, UrgentWork};
 pub use explanation::{JobExplanation, StepExplanation, WaitExplanation};
 pub use learned::LearnedEstimates;
-pub use load::{CustomerBacklog, FleetHistory, LoadSummary, QueueRunTime, ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast, WaitingWork, WorkerKind};
+pub use load::{
+    CustomerBacklog, FleetHistory, LoadSummary, QueueRunTime, ResourceRequest, ResourceTime,
+    ResourceTotal, RunningWork, StartForecast, WaitingWork, WorkerKind,
+};
 pub use peers::{PeerAddress, PeerTable};
-pub use planner::{AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, ProgressWrite, VmLimits};
-pub use policy::{AcceptancePolicy, AdmissionPolicy, AdvicePolicy, FlowPolicy, HeadroomPolicy, HealthPolicy, LeavingPolicy, LinkPolicy, OrderPolicy, PacePolicy, PlacePolicy, Policy, PolicyError, ReachPolicy, ReportPolicy, RolePolicy, RunTimePolicy, TakeoverPolicy, TurnPolicy, VictimPolicy, WorkerPacePolicy, WritePolicy};
-pub use record::{AcceptedJob, CallerState, GroupProgress, Outcome, Progress, RunPlacement, SilentWorker, TaskLosses};
+pub use planner::{
+    AdviceRequest, Bounds, ContactLag, Now, Order, OrderKind, Planner, ProgressWrite, VmLimits,
+};
+pub use policy::{
+    AcceptancePolicy, AdmissionPolicy, AdvicePolicy, FlowPolicy, HeadroomPolicy, HealthPolicy,
+    LeavingPolicy, LinkPolicy, OrderPolicy, PacePolicy, PlacePolicy, Policy, PolicyError,
+    ReachPolicy, ReportPolicy, RolePolicy, RunTimePolicy, TakeoverPolicy, TurnPolicy, VictimPolicy,
+    WorkerPacePolicy, WritePolicy,
+};
+pub use record::{
+    AcceptedJob, CallerState, GroupProgress, Outcome, Progress, RunPlacement, SilentWorker,
+    TaskLosses,
+};
 pub use resources::Resources;
 pub use run_time::{EstimatedWork, RunTime, RunTimeObservation, RunTimes, StoredRatios};
 pub use scheduling::{
@@ -48,5 +61,10 @@
 pub use spec::{BatchSpec, Schedule, SpecError, StepSpec};
 pub use task::{GroupKey, TaskKey};
 pub use timeline::{JobPhase, JobSummary, Setback, Setbacks, StoredTimeline};
-pub use worker::{Incarnation, ListedWorker, RefusalReason, ReportRequest, RunEnd, RunEndKind, RunningTask, StartOutcome, StopOutcome, WorkerReport};
-pub use worker_pace::{PaceSummary, ProgressSample, RunProgress, StoredPace, WorkerPace, WorkerPaces};
+pub use worker::{
+    Incarnation, ListedWorker, RefusalReason, ReportRequest, RunEnd, RunEndKind, RunningTask,
+    StartOutcome, StopOutcome, WorkerReport,
+};
+pub use worker_pace::{
+    PaceSummary, ProgressSample, RunProgress, StoredPace, WorkerPace, WorkerPaces,
+};
--- a/crates/stairstall-core/src/batch/load/forecast.rs
+++ b/crates/stairstall-core/src/batch/load/forecast.rs
@@ -4,7 +4,10 @@
 
 use std::time::Duration;
 
-use super::{LoadSummary, ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast, WaitingWork};
+use super::{
+    LoadSummary, ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast,
+    WaitingWork,
+};
 
 /// Part of its typical time that work takes at least, as a whole: what callers estimate is off by
 /// half for single tasks.
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -8,7 +8,11 @@
 use super::queue::max_accelerators;
 use super::{Now, Planner};
 use crate::batch::load::MAX_SUMMARY_ENTRIES;
-use crate::batch::{AcceptedJob, CustomerBacklog, EstimatedWork, FleetHistory, GroupKey, LoadSummary, QueueRunTime, ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast, StepSpec, WaitingWork};
+use crate::batch::{
+    AcceptedJob, CustomerBacklog, EstimatedWork, FleetHistory, GroupKey, LoadSummary, QueueRunTime,
+    ResourceRequest, ResourceTime, ResourceTotal, RunningWork, StartForecast, StepSpec,
+    WaitingWork,
+};
 use crate::time::millis;
 use crate::{CustomerId, JobId, ServiceId, Timestamp};
 
--- a/crates/stairstall-core/src/batch/planner/timelines.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::job::{Group, Job};
+use super::job::{Job, TaskGroup};
 use super::pool::RunState;
 use super::{Now, Planner};
 use crate::batch::timeline::{JobPhase, JobSummary, Setback};
@@ -30,7 +30,7 @@
     /// Counts a setback of a job.
     pub(super) fn record_setback(&mut self, id: &JobId, setback: Setback) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.story.record_setback(setback);
+            job.timeline.record_setback(setback);
             self.mark_timeline_changed(id);
         }
     }
@@ -42,12 +42,12 @@
                 continue;
             };
             let span = self.span_of(&id, job);
-            let is_over = job.outcome.is_some() && job.is_written();
+            let is_over = job.outcome.is_some() && job.is_stored();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.story.enter_phase(span, now.at);
-            if is_over && job.story.mark_reported() {
+            job.timeline.enter_phase(span, now.at);
+            if is_over && job.timeline.mark_reported() {
                 let summary = summary(job, now);
                 self.summaries.extend(summary);
             }
@@ -62,7 +62,7 @@
     /// Returns what a job spends time on; none where it is over, or nothing of it is due.
     fn span_of(&self, id: &JobId, job: &Job) -> Option<JobPhase> {
         if job.outcome.is_some() {
-            return (!job.is_written()).then_some(JobPhase::RecordingOutcome);
+            return (!job.is_stored()).then_some(JobPhase::RecordingOutcome);
         }
         let mut least = None;
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
@@ -84,7 +84,7 @@
     pub(super) fn span_of_group(
         &self,
         key: &GroupKey,
-        group: &Group,
+        group: &TaskGroup,
         job: &Job,
     ) -> Option<JobPhase> {
         if group.tasks.iter().any(super::job::Task::is_waiting) {
@@ -101,22 +101,24 @@
     fn span_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> JobPhase {
         let worker = self.workers.get(worker);
         let Some((worker, run)) = worker.and_then(|w| Some((w, w.runs.get(task)?))) else {
-            return job.story.running_phase();
+            return job.timeline.running_phase();
         };
         let is_silent = !worker.is_in_contact();
         match run.state {
-            RunState::Planned if run.placement_change > job.written => JobPhase::RecordingPlacement,
+            RunState::Planned if run.placement_change > job.stored_changes => {
+                JobPhase::RecordingPlacement
+            }
             RunState::Planned => JobPhase::WaitingForPreemption,
             _ if is_silent => JobPhase::WorkerSilent,
             RunState::Starting => JobPhase::Starting,
-            RunState::Running | RunState::Stopping => job.story.running_phase(),
+            RunState::Running | RunState::Stopping => job.timeline.running_phase(),
         }
     }
 }
 
 fn summary(job: &Job, now: Now) -> Option<JobSummary> {
     let accepted = &job.accepted;
-    let work = job.story.work();
+    let work = job.timeline.work();
     Some(JobSummary {
         job: accepted.id.clone(),
         queue: accepted.queue.name.clone(),
@@ -129,9 +131,9 @@
         estimate: Duration::from_millis(accepted.spec.critical_path_ms()),
         target: work.mul_f64(accepted.queue.stretch.max(0.0))
             + Duration::from_millis(accepted.queue.target_ms),
-        phases: job.story.phases(),
-        starts: job.story.starts,
-        setbacks: job.story.setbacks(),
-        taken_over: job.story.taken_over,
+        phases: job.timeline.phases(),
+        starts: job.timeline.starts,
+        setbacks: job.timeline.setbacks(),
+        taken_over: job.timeline.taken_over,
     })
 }
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -3,11 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::candidate::{CLAIM, Candidate, URGENT};
+use super::candidate::{Candidate, GUARANTEED_RANK, URGENT_RANK};
 use super::job::Job;
 use super::{Now, Planner};
 use crate::CustomerId;
-use crate::batch::{CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec, Timeliness};
+use crate::batch::{
+    CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec,
+    Timeliness,
+};
 use crate::time::millis;
 
 /// Beyond its guarantee no customer weighs more than another.
@@ -62,7 +65,7 @@
             let first = runs.first();
             let run = first.and_then(|(index, id)| self.run_at(id, &key.task(*index)));
             let left_ms = run.map_or(0, |run| {
-                run.left_ms(self.policy.places.min_progress_percent)
+                run.remaining_ms(self.policy.places.min_progress_percent)
             });
             Some(Holding {
                 customer: job.accepted.customer.clone(),
@@ -89,7 +92,7 @@
         tasks: usize,
         now: Now,
     ) {
-        if candidate.rank == CLAIM {
+        if candidate.rank == GUARANTEED_RANK {
             return;
         }
         let key = &candidate.key;
@@ -109,7 +112,7 @@
     pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> SchedulingKey {
         // What was turned away before goes before later work of its rank and customer.
         let asked_before_ms = job.accepted.requested_before_ms();
-        if rank <= URGENT {
+        if rank <= URGENT_RANK {
             let objective_unix_ms = job
                 .objective_unix_ms(key.occurrence)
                 .saturating_sub(asked_before_ms);
@@ -129,7 +132,12 @@
     }
 
     /// Returns until when a time of a job is wanted, and how long it would take from a step on.
-    pub(super) fn job_objective(&self, key: &GroupKey, job: &Job, now: Now) -> (CompletionObjective, u64) {
+    pub(super) fn job_objective(
+        &self,
+        key: &GroupKey,
+        job: &Job,
+        now: Now,
+    ) -> (CompletionObjective, u64) {
         let chains = job.accepted.spec.critical_paths_ms(|step| {
             if step.long_running {
                 return 0;
@@ -169,7 +177,7 @@
         }
         let mut lines: BTreeMap<Option<&CustomerId>, (u64, u64)> = BTreeMap::new();
         let mut line_of = (0, Timeliness::InTime);
-        for candidate in candidates.iter_mut().filter(|one| one.rank > URGENT) {
+        for candidate in candidates.iter_mut().filter(|one| one.rank > URGENT_RANK) {
             let key = &candidate.key;
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
--- a/crates/stairstall-core/tests/batch/harness.rs
+++ b/crates/stairstall-core/tests/batch/harness.rs
@@ -4,7 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairstall_core::batch::{AcceptedJob, GroupKey, Incarnation, ListedWorker, Now, Order, OrderKind, Planner, Progress, ReportRequest, Resources, RunEndKind, RunningTask, StartOutcome, StopOutcome, TaskKey, WorkerReport};
+use stairstall_core::batch::{
+    AcceptedJob, GroupKey, Incarnation, ListedWorker, Now, Order, OrderKind, Planner, Progress,
+    ReportRequest, Resources, RunEndKind, RunningTask, StartOutcome, StopOutcome, TaskKey,
+    WorkerReport,
+};
 use stairstall_core::{JobId, Timestamp, WorkerId, ZoneId};
 
 // Where this file is included by its path, these would be looked for beside it.
@@ -139,7 +143,7 @@
         listed.incarnation = self.reports_incarnations.then(|| life.incarnation());
         self.workers.insert(listed.id.clone(), life);
         self.listed.insert(listed.id.clone(), listed.clone());
-        self.planner.list_worker(listed, now);
+        self.planner.handle_listed_worker(listed, now);
     }
 
     /// Ends a worker's life without a word; another life comes to its address after a while.
@@ -200,7 +204,7 @@
         for crashed in &mut self.crashed {
             if crashed.back_at_ms.take().is_some() {
                 self.listed.remove(&crashed.worker);
-                self.planner.unlist_worker(&crashed.worker, now);
+                self.planner.handle_unlisted_worker(&crashed.worker, now);
             }
         }
     }
@@ -250,11 +254,11 @@
         self.at_ms += 1;
         let answered = self.now();
         self.planner
-            .take_hold(id, &request, now.at, report, answered);
+            .handle_worker_report(id, &request, now.at, report, answered);
         let mut listed = self.listed[id].clone();
         listed.incarnation = Some(incarnation);
         self.listed.insert(id.clone(), listed.clone());
-        self.planner.list_worker(listed, answered);
+        self.planner.handle_listed_worker(listed, answered);
     }
 
     /// Ends a cut behind which the worker has started again under its id.
@@ -286,7 +290,7 @@
         listed.incarnation = Some(Incarnation::from_unix_ms(START_UNIX_MS + after_ms));
         self.listed.insert(id.clone(), listed.clone());
         let now = self.now();
-        self.planner.list_worker(listed, now);
+        self.planner.handle_listed_worker(listed, now);
         self.settle();
     }
 
@@ -302,7 +306,7 @@
         }
         let now = self.now();
         self.listed.insert(id.clone(), leaving.clone());
-        self.planner.list_worker(leaving, now);
+        self.planner.handle_listed_worker(leaving, now);
     }
 
     /// Lets the directory say that a worker leaves.
@@ -311,7 +315,7 @@
         let listed = self.listed.get_mut(id).expect("it is listed");
         listed.draining = true;
         listed.remaining_ms = Some(remaining_ms);
-        self.planner.list_worker(listed.clone(), now);
+        self.planner.handle_listed_worker(listed.clone(), now);
     }
 
     /// Lets workers that crashed long enough ago come back, each as another life that answers for
@@ -321,7 +325,7 @@
         let now = self.now();
         for crashed in &mut self.crashed {
             if crashed.lapses_at_ms.take_if(|at| *at <= at_ms).is_some() {
-                self.planner.unlist_worker(&crashed.worker, now);
+                self.planner.handle_unlisted_worker(&crashed.worker, now);
             }
         }
         let (back, away) = std::mem::take(&mut self.crashed)
@@ -339,7 +343,7 @@
             listed.id = format!("life-{}", self.lives).parse().expect("an id");
             self.planner
                 .end_incarnation(&worker, "another life answered", now);
-            self.planner.unlist_worker(&worker, now);
+            self.planner.handle_unlisted_worker(&worker, now);
             self.add(listed, now);
         }
     }
@@ -371,7 +375,7 @@
         if self.crashed.iter().any(|crashed| crashed.worker == *id) {
             let has_address = self.planner.workers().any(|(known, _)| known == id);
             if has_address {
-                self.planner.hold_failed(id, now);
+                self.planner.handle_report_failure(id, now);
             }
             return None;
         }
@@ -408,7 +412,7 @@
         self.at_ms += 1;
         let answered = self.now();
         self.planner
-            .take_hold(id, &request, now.at, report, answered);
+            .handle_worker_report(id, &request, now.at, report, answered);
         Some(request)
     }
 
@@ -463,7 +467,7 @@
                     .running
                     .insert(order.task.clone(), (order.run, 0, checkpoint.clone()));
                 self.planner
-                    .take_start(order, StartOutcome::Started { clock_ms }, now);
+                    .handle_start_outcome(order, StartOutcome::Started { clock_ms }, now);
                 if self.crashing.contains(&order.task) {
                     self.crash(&order.worker);
                 }
@@ -481,7 +485,8 @@
     fn answer_for_another(&mut self, order: &Order, now: Now) {
         match order.kind {
             OrderKind::Start { .. } => {
-                self.planner.take_start(order, StartOutcome::OtherLife, now);
+                self.planner
+                    .handle_start_outcome(order, StartOutcome::OtherLife, now);
             }
             OrderKind::Stop => self
                 .planner
@@ -493,7 +498,10 @@
     pub fn leave_unanswered(&mut self, order: &Order) {
         let now = self.now();
         match order.kind {
-            OrderKind::Start { .. } => self.planner.take_start(order, StartOutcome::Unknown, now),
+            OrderKind::Start { .. } => {
+                self.planner
+                    .handle_start_outcome(order, StartOutcome::Unknown, now);
+            }
             OrderKind::Stop => self
                 .planner
                 .handle_stop_outcome(order, StopOutcome::Unknown, now),
@@ -544,7 +552,7 @@
         self.planner.set_catalog(Arc::new(catalog(0)));
         for (name, rack) in listed {
             let listed = worker(name, rack, Resources::new(32_000, 64_000, 8));
-            self.planner.list_worker(listed, now);
+            self.planner.handle_listed_worker(listed, now);
         }
         for job in jobs {
             let kept = self.kept.get(&job.id);
@@ -558,7 +566,7 @@
         let now = self.now();
         if self.tells_evacuations {
             let zones = self.evacuated.clone();
-            self.planner.set_evacuated(zones, now.at, now);
+            self.planner.set_evacuated_zones(zones, now.at, now);
         }
     }
 
@@ -567,7 +575,7 @@
         self.take_over(jobs, &[]);
         let now = self.now();
         for listed in self.listed.values() {
-            self.planner.list_worker(listed.clone(), now);
+            self.planner.handle_listed_worker(listed.clone(), now);
         }
     }
 
--- a/crates/stairstall-core/tests/batch/paces.rs
+++ b/crates/stairstall-core/tests/batch/paces.rs
@@ -10,7 +10,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::WorkerId;
-use stairstall_core::batch::{AcceptedJob, DecisionKind, LearnedEstimates, Now, OrderKind, Policy, RunEndKind, StepSpec, StoredPace, TaskKey, WorkerPacePolicy};
+use stairstall_core::batch::{
+    AcceptedJob, DecisionKind, LearnedEstimates, Now, OrderKind, Policy, RunEndKind, StepSpec,
+    StoredPace, TaskKey, WorkerPacePolicy,
+};
 
 use crate::harness::{FakeWorker, Fleet, SPAN_MS, gang, job, step, task};
 
--- a/crates/stairstall-core/tests/batch/run_times.rs
+++ b/crates/stairstall-core/tests/batch/run_times.rs
@@ -1,6 +1,8 @@
 //! Run times that are learnt from what runs and ends, under loads whose estimates are off.
 
-use stairstall_core::batch::{AcceptedJob, LearnedEstimates, Policy, RunEndKind, RunTimePolicy, StepSpec, TaskKey};
+use stairstall_core::batch::{
+    AcceptedJob, LearnedEstimates, Policy, RunEndKind, RunTimePolicy, StepSpec, TaskKey,
+};
 
 use crate::harness::{Fleet, START_UNIX_MS, bounds, catalog, gang, job, step, task};
 
@@ -177,7 +179,7 @@
         silent.pass(1_000);
         let place = silent.place_of(&key).expect("it runs");
         let now = silent.now();
-        silent.planner.hold_failed(&place, now);
+        silent.planner.handle_report_failure(&place, now);
         finish_after(&mut silent, &key, 1_000);
     }
     assert_eq!(learnt_runs(&silent, 2), 0, "their workers were silent");
@@ -247,7 +249,7 @@
         next.restore_learned_estimates(read, now);
     }
     for listed in fleet.listed.values() {
-        next.list_worker(listed.clone(), now);
+        next.handle_listed_worker(listed.clone(), now);
     }
     fleet.planner = next;
     fleet.settle();
--- a/crates/stairstall-core/tests/load.rs
+++ b/crates/stairstall-core/tests/load.rs
@@ -14,7 +14,12 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use stairstall_core::JobId;
-use stairstall_core::batch::{AcceptedJob, Admission, AdmissionPolicy, AdmissionRefusalReason, CallerState, CustomerBacklog, KnownLoad, LoadSummary, OrderKind, Outcome, Policy, ResourceRequest, ResourceTime, ResourceTotal, Resources, RunEndKind, RunningWork, StartForecast, StepSpec, TaskKey, WaitingWork, WorkerKind};
+use stairstall_core::batch::{
+    AcceptedJob, Admission, AdmissionPolicy, AdmissionRefusalReason, CallerState, CustomerBacklog,
+    KnownLoad, LoadSummary, OrderKind, Outcome, Policy, ResourceRequest, ResourceTime,
+    ResourceTotal, Resources, RunEndKind, RunningWork, StartForecast, StepSpec, TaskKey,
+    WaitingWork, WorkerKind,
+};
 
 #[path = "batch/harness.rs"]
 mod harness;
@@ -38,7 +43,7 @@
             .workers
             .insert(listed.id.clone(), harness::FakeWorker::default());
         fleet.listed.insert(listed.id.clone(), listed.clone());
-        fleet.planner.list_worker(listed, now);
+        fleet.planner.handle_listed_worker(listed, now);
     }
     fleet.hold_all();
     fleet.settle();
@@ -185,7 +190,7 @@
     let now = fleet.now();
     fleet.planner.load_summary(now);
     let listed = worker("new", "r9", Resources::new(32_000, 64_000, 8));
-    fleet.planner.list_worker(listed, now);
+    fleet.planner.handle_listed_worker(listed, now);
     pass(&mut fleet, 1_000);
     let now = fleet.now();
     let summary = fleet.planner.load_summary(now);
--- a/crates/stairstall-core/tests/run_times.rs
+++ b/crates/stairstall-core/tests/run_times.rs
@@ -7,7 +7,9 @@
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use stairstall_core::batch::{EstimatedWork, RunTime, RunTimeObservation, RunTimePolicy, RunTimes, StoredRatios};
+use stairstall_core::batch::{
+    EstimatedWork, RunTime, RunTimeObservation, RunTimePolicy, RunTimes, StoredRatios,
+};
 use stairstall_core::{CustomerId, Timestamp};
 
 const ESTIMATE: Duration = Duration::from_secs(4);
--- a/crates/stairstall-core/tests/worker_pace.rs
+++ b/crates/stairstall-core/tests/worker_pace.rs
@@ -5,7 +5,9 @@
 use quickcheck::quickcheck;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use stairstall_core::batch::{GroupKey, Policy, ProgressSample, RunProgress, StoredPace, WorkerPacePolicy, WorkerPaces};
+use stairstall_core::batch::{
+    GroupKey, Policy, ProgressSample, RunProgress, StoredPace, WorkerPacePolicy, WorkerPaces,
+};
 use stairstall_core::{Timestamp, WorkerId};
 
 /// Work of a task at a worker of usual pace.
--- a/crates/stairstalld/src/batch/intake.rs
+++ b/crates/stairstalld/src/batch/intake.rs
@@ -10,7 +10,7 @@
 
 use super::kept;
 use super::kept_job::KeptJob;
-use super::keys::{JobKeyKind, self};
+use super::keys::{self, JobKeyKind};
 use super::node::Node;
 use super::tenure::Tenure;
 use super::writer::Revisions;
