--- a/crates/stairstalld/src/batch.rs
+++ b/crates/stairstalld/src/batch.rs
@@ -1,15 +1,18 @@
-//! Jobs of steps and tasks over all zones, on a platform with a shared store.
+//! The batch daemon: schedules jobs of steps and tasks over all availability zones, on a platform
+//! with a shared store.
 //!
-//! Each daemon accepts jobs, writes them to the shared store and answers for
-//! them; one of them at a time holds the planner's role and runs them.
+//! Every daemon accepts jobs, writes them to the shared store and answers queries about them. One
+//! daemon at a time holds the planner role; it places the jobs on workers and runs them.
 //!
-//! - [`settings`]: checked settings from flags and environment variables.
-//! - `callers`: the HTTP interface; `admission`, `accept` and `ask` are behind it.
+//! - [`settings`]: settings from flags and environment variables, checked at start.
+//! - `caller_api`: the HTTP interface for callers; `admission`, `accept` and `queries` implement it.
 //! - `catalog`: follows the operators' configuration.
-//! - `role`: takes, renews and gives up the planner's role.
-//! - `tenure`: what the planner does while it holds the role; `links` speak to
-//!   workers, `writer` to the store, `directory`, `evacuation` and `intake` bring news.
-//! - `rpc`: what daemons ask each other; `reach`: whether work can be kept at all.
+//! - `role`: acquires, renews and releases the planner role.
+//! - `tenure`: runs the planner while the daemon holds the role. `worker_links` polls workers and
+//!   sends them orders, `writer` writes progress to the store, and `directory`, `evacuated_zones`
+//!   and `job_watch` feed changes in the store to the planner. `maintenance` does periodic work.
+//! - `rpc`: JSON-RPC calls between daemons.
+//! - `reachability`: finds out whether the store or a peer can take work from this daemon.
 
 mod accept;
 mod admission;
--- a/crates/stairstalld/src/batch/accept.rs
+++ b/crates/stairstalld/src/batch/accept.rs
@@ -1,4 +1,4 @@
-//! Acceptance and cancellation: durable before the caller hears of it.
+//! Writes accepted jobs and cancellations to the store before the caller gets its answer.
 
 use serde::{Deserialize, Serialize};
 use stairstall_core::batch::AcceptedJob;
@@ -11,42 +11,42 @@
 use super::{kept, keys};
 use crate::daemon::lock;
 
-/// What became of handing a job in.
+/// Outcome of submitting a job. Sent between daemons and logged under these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Acceptance {
-    /// It is kept.
+    /// The job is stored.
     Accepted,
-    /// The same name was kept before; it is the same job.
+    /// An earlier request stored the same customer's job under this name.
     Known,
-    /// The name is another customer's job.
+    /// The name belongs to another customer's job.
     Foreign,
-    /// It is not kept and never will be by this try.
+    /// This request did not store the job and will not do so later.
     NotKept,
-    /// It may be kept now or later.
+    /// The job may be stored already, or may be later by a write that is still in flight.
     MayBeKept,
 }
 
-/// What became of a cancellation.
+/// Outcome of cancelling a job. Sent between daemons and logged under these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Cancellation {
-    /// It is kept.
+    /// The cancellation is stored.
     Cancelled,
     /// There is no such job.
     NoJob,
-    /// The job is another customer's.
+    /// The job belongs to another customer.
     Foreign,
-    /// It is not known whether it is kept.
+    /// It is not known whether the cancellation is stored.
     Unsettled,
 }
 
-/// What an acceptance does with the mark of a refusal that stands under the job's name.
+/// What to do when the job's key holds the record of an earlier refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Marks {
-    /// It takes its place: the caller has come back.
+    /// Overwrite it: the caller has submitted the job again.
     GiveWay,
-    /// It leaves it: the caller may have been refused after it called here.
+    /// Leave it: the caller may have been refused elsewhere after it sent this request.
     Stand,
 }
 
@@ -56,10 +56,10 @@
     }
 }
 
-/// Accepts a job, by way of peers where the store does not serve this daemon.
+/// Accepts a job; relays it to peers if the store does not serve this daemon.
 ///
-/// The job's name makes it one job however many daemons write it, so that a
-/// peer may be asked after a try that may have been kept.
+/// The name identifies the job however many daemons write it, so a peer can be tried even after a
+/// write that may have succeeded.
 pub(crate) async fn accept(node: &Node, job: &mut AcceptedJob, called_at: Timestamp) -> Acceptance {
     let held_back = node.store_health.holds_back(node.clock.now());
     let mut found = if held_back {
@@ -81,7 +81,7 @@
             Err(error) => {
                 let left = may_have_left(&error);
                 log::info!(target: "accept", job:% = job.id, rpc, left, why:% = error;
-                    "a peer did not take it");
+                    "peer did not accept the job");
                 node.peer_failed(&rpc);
                 if left {
                     found = Acceptance::MayBeKept;
@@ -92,8 +92,8 @@
     found
 }
 
-/// Returns where daemons answer that may do for this one what the store does not: those that the
-/// store served a moment ago, or else the planner, unless it failed when it was asked last.
+/// Returns the RPC addresses of the daemons that can reach the store on behalf of this one: peers
+/// that the store served recently. Without any, returns the planner, unless its last call failed.
 fn helpers(node: &Node) -> Vec<String> {
     let planner = node.other_planner().map(|planner| planner.rpc);
     if !node.settings.policy.reach.probes_peers {
@@ -110,8 +110,8 @@
     helpers
 }
 
-/// Writes a job to the store under the condition that its name is free, or that the mark of its
-/// refusal stands there still. A job that was kept before under its name takes the place of `job`.
+/// Writes a job to the store if its key is free or still holds the expected refusal record. If the
+/// customer has already stored a job under this name, replaces `job` by that one.
 pub(crate) async fn write_job(
     node: &Node,
     job: &mut AcceptedJob,
@@ -142,8 +142,9 @@
                 Found::Mark(first_asked_unix_ms, revision) => {
                     let may_replace = marks == Marks::GiveWay && !may_be_kept;
                     if !may_replace || !still_waits(node, called_at) {
-                        log::info!(target: "accept", job:% = job.id; "its refusal stands");
-                        // A write without an answer may take effect once the refusal's lease is over.
+                        log::info!(target: "accept", job:% = job.id; "the refusal record stays in place");
+                        // A write that got no answer may still take effect once the lease of the
+                        // refusal record ends.
                         return if may_be_kept {
                             Acceptance::MayBeKept
                         } else {
@@ -175,10 +176,11 @@
     }
 }
 
-/// Tells whether a caller that called at that time surely waits for its answer still.
+/// Returns whether the caller that sent its request at `called_at` is certain to still wait for the
+/// answer.
 ///
-/// One that does not may have been refused elsewhere meanwhile; a daemon that was held up would take
-/// that mark for an older one.
+/// A caller that has given up may have been refused by another daemon since. A daemon that was
+/// delayed would take that new refusal for an older one and overwrite it.
 fn still_waits(node: &Node, called_at: Timestamp) -> bool {
     node.clock.now() - called_at <= node.settings.policy.admission.replaces_within
 }
@@ -194,16 +196,16 @@
     now - started >= limit
 }
 
-/// What stands under a job's name instead of what was expected.
+/// What the job's key holds if the conditional write found something unexpected.
 enum Found {
-    /// Something that decides.
+    /// An entry that decides the outcome.
     Settled(Acceptance),
-    /// The same customer's job, by an earlier try.
+    /// A job of the same customer, stored by an earlier request.
     Known(Box<AcceptedJob>),
-    /// The mark of a refusal: when the job was asked for first, where it was the same customer's,
-    /// and its revision.
+    /// A refusal record: its first-request time if it belongs to the same customer, and the
+    /// revision of the key.
     Mark(Option<u64>, Revision),
-    /// Nothing.
+    /// No entry.
     Nothing,
 }
 
@@ -224,13 +226,13 @@
         Ok(KeptJob::Accepted(_)) => Acceptance::Foreign,
         Err(error) => {
             log::error!(target: "accept", job:% = job.id, why:% = error;
-                "what stands under its name can't be read");
+                "can't decode the entry under the job's key");
             Acceptance::MayBeKept
         }
     })
 }
 
-/// Cancels a job, by way of peers where the store does not serve this daemon.
+/// Cancels a job; relays the cancellation to peers if the store does not serve this daemon.
 pub(crate) async fn cancel(node: &Node, id: &JobId, customer: Option<&CustomerId>) -> Cancellation {
     let held_back = node.store_health.holds_back(node.clock.now());
     let own = if held_back {
@@ -249,7 +251,7 @@
             Ok(Cancellation::Unsettled) => {}
             Ok(settled) => return settled,
             Err(error) => {
-                log::info!(target: "cancel", job:% = id, rpc, why:% = error; "a peer did not answer");
+                log::info!(target: "cancel", job:% = id, rpc, why:% = error; "peer did not answer");
                 node.peer_failed(&rpc);
             }
         }
@@ -257,7 +259,7 @@
     own
 }
 
-/// Writes a cancellation to the store.
+/// Writes a cancellation to the store, retrying until the settle limit.
 pub(crate) async fn write_cancel(
     node: &Node,
     id: &JobId,
@@ -276,7 +278,7 @@
     }
 }
 
-/// Returns what became of it, once that is known.
+/// Tries once to write a cancellation; returns `None` if the outcome is not known yet.
 async fn try_cancel(
     node: &Node,
     id: &JobId,
@@ -295,7 +297,7 @@
         Ok(kept) => kept,
         Err(error) => {
             log::error!(target: "cancel", job:% = id, why:% = error;
-                "what stands under its name can't be read");
+                "can't decode the entry under the job's key");
             return Some(Cancellation::Unsettled);
         }
     };
--- a/crates/stairstalld/src/batch/admission.rs
+++ b/crates/stairstalld/src/batch/admission.rs
@@ -1,7 +1,7 @@
-//! Decides whether a job is taken, and makes a refusal true before it is said.
+//! Decides whether to admit a job, and stores a refusal before reporting it to the caller.
 //!
-//! A refusal is written down under the job's own key first: from then on no earlier try of that name,
-//! of which a write may be late, can take effect.
+//! The refusal record is written under the job's own key. It makes the conditional write of any
+//! earlier request for the same name fail, even if that write reaches the store late.
 
 use std::time::Duration;
 
@@ -14,25 +14,25 @@
 use super::{kept, keys};
 use crate::clock::millis;
 
-/// What became of a refusal.
+/// Outcome of storing a refusal. Logged under these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Settled {
-    /// It stands: no try of that name is kept or will be.
+    /// The refusal is stored: no request for this name has stored a job or will do so later.
     Refused,
-    /// The job is kept already.
+    /// The customer's job is already stored.
     Known,
-    /// The name is another customer's job.
+    /// The name belongs to another customer's job.
     Foreign,
-    /// The store did nothing.
+    /// The store did not carry out the write.
     NotKept,
-    /// It is not known what stands under the name.
+    /// It is not known what the job's key holds.
     Unsettled,
 }
 
-/// Decides by the planner's last word whether a job is taken.
+/// Decides whether to admit a job, using the planner's latest load summary.
 pub(crate) fn decide(node: &Node, job: &AcceptedJob) -> Admission {
     let now = node.clock.now();
-    // Without the store a refusal can't be made true.
+    // A refusal has to be stored, which needs the store.
     let can_refuse = node.knows_newest_catalog() && node.store_health.serves(now);
     let policy = &node.settings.policy.admission;
     if !can_refuse || !policy.refuses_impossible && !policy.refuses_too_late {
@@ -52,7 +52,7 @@
     Admission::decide(job, Some(load), policy)
 }
 
-/// Writes the mark of a refusal, or finds out that there is a job to answer for.
+/// Writes the refusal record of a job, unless the store already holds a job under its name.
 pub(crate) async fn settle(node: &Node, job: &AcceptedJob) -> Settled {
     let key = keys::job(&job.id);
     let started = node.clock.now();
@@ -105,13 +105,13 @@
     }
 }
 
-/// What stands under the name instead of what was expected.
+/// What the job's key holds if the conditional write found something unexpected.
 enum Found {
-    /// Something that decides.
+    /// An entry that decides the outcome.
     Settled(Settled),
-    /// Nothing any more: a mark's lease is over.
+    /// No entry: the lease of a refusal record has ended.
     Free,
-    /// Another refusal, under which a return may be under way.
+    /// Another refusal record. The caller may be submitting the job again at the same time.
     Mark(RefusalMark, Revision),
 }
 
@@ -130,13 +130,13 @@
         Ok(KeptJob::Accepted(_)) => Found::Settled(Settled::Foreign),
         Err(error) => {
             log::error!(target: "admission", job:% = job.id, why:% = error;
-                "what stands under its name can't be read");
+                "can't decode the entry under the job's key");
             Found::Settled(Settled::Unsettled)
         }
     }
 }
 
-/// Returns a lease under which a mark lasts long enough; none where the store grants none.
+/// Returns a lease that keeps a refusal record for long enough, or `None` if the store grants none.
 async fn mark_lease(node: &Node) -> Option<LeaseId> {
     let _one_at_a_time = node.refusals.granting.lock().await;
     let requested_at = node.clock.now();
@@ -149,13 +149,13 @@
     match node.stored("grant", grant).await {
         Ok((id, ttl)) => node.refusals.take_lease(id, Lease::new(requested_at, ttl)),
         Err(fault) => {
-            log::warn!(target: "admission", why:% = fault; "no lease for the marks of refusals");
+            log::warn!(target: "admission", why:% = fault; "could not get a lease for refusal records");
         }
     }
     node.refusals.lease(requested_at)
 }
 
-/// Writes the line of a refusal that stands; returns when its caller should come back.
+/// Logs a stored refusal and returns the delay after which the caller should retry.
 pub(crate) fn tell(node: &Node, job: &AcceptedJob, refusal: &AdmissionRefusal) -> Duration {
     let longest = node.settings.policy.admission.max_retry_after;
     let wait = refusal.forecast.map_or(longest, |forecast| forecast.likely);
--- a/crates/stairstalld/src/batch/ask.rs
+++ b/crates/stairstalld/src/batch/ask.rs
@@ -1,4 +1,4 @@
-//! Where a job stands: the planner's word, else the store's.
+//! Looks up job states: asks the planner first, then the store.
 
 use stairstall_core::JobId;
 use stairstall_core::batch::{AcceptedJob, CallerState, JobExplanation, Progress};
@@ -9,7 +9,8 @@
 use super::rpc::{JobAnswer, PeerClient, SubmitAnswer};
 use super::{kept, keys};
 
-/// Returns what is known of a job; [`JobAnswer::Unknown`] only where the store has no such job.
+/// Returns what is known about a job. The answer is [`JobAnswer::Unknown`] only if the store has no
+/// such job.
 pub(crate) async fn job(node: &Node, id: &JobId) -> Result<JobAnswer, StoreFault> {
     let answer = from_planner(node, id).await;
     if matches!(answer, JobAnswer::Known { .. }) {
@@ -67,7 +68,8 @@
     })
 }
 
-/// Tells the planner of an accepted job; its own watch finds what it is not told.
+/// Notifies the planner of an accepted job. If the call fails, the planner's own watch finds the
+/// job.
 pub(crate) async fn tell_planner(node: &Node, job: AcceptedJob) {
     if let Some(tenure) = node.tenure() {
         tenure.submit(job);
@@ -87,7 +89,7 @@
     }
 }
 
-/// Tells the planner of a cancellation; its own watch finds what it is not told.
+/// Notifies the planner of a cancellation. If the call fails, the planner's own watch finds it.
 pub(crate) async fn tell_cancelled(node: &Node, id: JobId) {
     if let Some(tenure) = node.tenure() {
         tenure.cancel(&id);
@@ -101,7 +103,8 @@
     }
 }
 
-/// Returns the planner's explanation of a job; none where it can't be asked or does not know it.
+/// Returns the planner's explanation of a job, or `None` if the planner can't be reached or does
+/// not know the job.
 pub(crate) async fn explain(node: &Node, id: &JobId) -> Option<JobExplanation> {
     if let Some(tenure) = node.tenure() {
         return tenure.explain(id);
@@ -113,7 +116,7 @@
     asked.ok().flatten()
 }
 
-/// Returns how many jobs of a queue wait; none where the planner can't be asked.
+/// Returns the number of waiting jobs in a queue, or `None` if the planner can't be reached.
 pub(crate) async fn pending(node: &Node, queue: &str) -> Option<u64> {
     if let Some(tenure) = node.tenure() {
         return tenure.pending(queue);
--- a/crates/stairstalld/src/batch/callers.rs
+++ b/crates/stairstalld/src/batch/callers.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface for callers; docs/INTERFACE.md describes it.
+//! The HTTP interface for callers, described in docs/INTERFACE.md.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use super::rpc::JobAnswer;
 use crate::answer::Failure;
 
-/// How soon it is worth coming back while the store does not serve.
+/// `Retry-After` delay for callers while the store does not serve this daemon.
 const STORE_RETRY: Duration = Duration::from_secs(1);
-/// How long a caller may take to send its body.
+/// Longest time that a caller may take to send its request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns the routes of the callers' address.
+/// Returns the router for the address that serves callers.
 pub(crate) fn router(node: &Arc<Node>) -> Router {
     let node = Arc::clone(node);
     let handler = move |request: Request| {
@@ -34,13 +34,13 @@
     Router::new().any("/", handler.clone()).any("/*", handler)
 }
 
-/// One call on a route that it may use.
+/// A request on a route that the caller may use.
 struct Call<'a> {
     node: &'a Node,
     catalog: &'a Catalog,
     route: &'a Route,
     customer: Option<CustomerId>,
-    /// What follows the route's prefix.
+    /// The path after the route's prefix.
     rest: String,
 }
 
@@ -70,7 +70,7 @@
     response
 }
 
-/// Lets a caller's connection go with its answer where callers should go elsewhere.
+/// Closes the connection after this response if callers should use another daemon.
 fn leave_if_not_ready(node: &Node, mut response: Response) -> Response {
     if !node.is_ready() {
         response
@@ -129,8 +129,8 @@
     })
 }
 
-/// Returns what a caller is told whom the configuration does not allow; where a newer one may, that it
-/// should come back.
+/// Returns the response to a request that the configuration does not allow. If a newer
+/// configuration may exist that this daemon has not read, tells the caller to retry instead.
 fn refused(node: &Node, failure: Failure) -> Failure {
     if node.knows_newest_catalog() {
         return failure;
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Refuses a job, unless it is kept already.
+    /// Refuses a job, unless it is already stored.
     async fn refuse(
         &self,
         job: AcceptedJob,
@@ -219,14 +219,15 @@
         let settled = admission::settle(self.node, &job).await;
         if settled != Settled::Refused {
             log::info!(target: "admission", job:% = job.id, queue:% = job.queue.name;
-                "not refused after all: {settled:?}");
+                "job not refused: {settled:?}");
         }
         match settled {
             Settled::Refused => {
                 let retry_after = admission::tell(self.node, &job, refusal);
                 Err(too_many(refusal.reason).with_retry_after(retry_after))
             }
-            // Who accepted it has told the planner, or its watch finds it.
+            // The daemon that accepted it has notified the planner, or the planner's watch finds
+            // the job.
             Settled::Known => Ok(empty(StatusCode::OK)),
             Settled::Foreign => Err(foreign()),
             Settled::NotKept => Err(Failure::unavailable(
@@ -323,7 +324,7 @@
     Failure::new(StatusCode::GONE, Verdict::NotRun, "there is no such job")
 }
 
-/// A job of which it is not known whether it is kept.
+/// Returns the failure for a request whose outcome is not known.
 fn unsettled(why: &str) -> Failure {
     Failure::new(StatusCode::GATEWAY_TIMEOUT, Verdict::MayHaveRun, why)
         .with_retry_after(STORE_RETRY)
@@ -351,7 +352,7 @@
     response
 }
 
-/// Returns the host that a call names, without its port.
+/// Returns the host that a request names, without its port.
 fn host_of(request: &Request) -> String {
     let named = request
         .headers()
--- a/crates/stairstalld/src/batch/catalog.rs
+++ b/crates/stairstalld/src/batch/catalog.rs
@@ -1,4 +1,4 @@
-//! Keeps the operators' configuration up to date; never back to an older one.
+//! Follows the operators' configuration in the store; never replaces it by an older version.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,18 +9,21 @@
 
 use super::node::{LIST_TIMEOUT, Node};
 
-/// How long one watch waits. A watch that dies without a word holds a change back for no longer.
+/// Longest time for one watch call. If a watch fails silently, a change is seen after this time at
+/// the latest.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// Pause before the store is asked again after a failure.
+/// Delay before the store is asked again after a failure.
 const STORE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Follows the configuration for as long as the daemon runs.
 ///
-/// A read that took too long is given twice the time at the next try: a configuration of half a
-/// megabyte takes a weak VM longer than other calls may, and no number of tries would bring it.
-/// The first try stays short, since connections may be silent. Once the store serves again after a
-/// cut, it reads anew: a watch from before hung for up to 4.8 s, and callers were refused by what was
-/// in force before the cut.
+/// After a read that timed out, the timeout is doubled: on a weak VM a configuration of 500 kB
+/// takes longer than the usual limit of a store call, and every further read with that limit would
+/// fail too. The first read keeps the short limit because the connection may be dead.
+///
+/// When the store recovers after a partition, the configuration is read again. A watch opened
+/// before the partition was seen to hang for up to 4.8 s, during which callers were refused by the
+/// outdated configuration.
 pub(crate) async fn follow(node: Arc<Node>) {
     let shortest = node.settings.store_timeout;
     let mut patience = shortest;
@@ -33,10 +36,11 @@
         node.catalog_confirmed.store(false, Ordering::Release);
         match followed {
             Some(Ok(())) => patience = shortest,
-            // The store's other answers show that it serves, not how long this one takes.
+            // That other calls are answered does not show how long this read takes, so the timeout
+            // stays.
             None => {}
             Some(Err(fault)) => {
-                log::debug!(target: "config", why:% = fault; "following the configuration again");
+                log::debug!(target: "config", why:% = fault; "reading the configuration again");
                 patience = if fault.is_time_out() {
                     (patience * 2).min(LIST_TIMEOUT)
                 } else {
@@ -50,11 +54,12 @@
     }
 }
 
-/// Reads the configuration within `patience`, then watches it until the watch ends.
+/// Reads the configuration within `read_timeout`, then watches it until the watch ends.
 ///
 /// # Errors
 ///
-/// Returns why it could not be read; a watch that ended is read on from at once.
+/// Returns why the configuration could not be read. The end of a watch is not an error: the caller
+/// reads again at once.
 async fn follow_store(node: &Node, patience: Duration) -> Result<(), StoreFault> {
     let key = node.dialect.configuration_key();
     let (item, mut at) = node.read_at("read config", key, patience).await?;
@@ -67,7 +72,7 @@
         let watched = match node.stored("watch config", watched).await {
             Ok(watched) => watched,
             Err(fault) => {
-                log::debug!(target: "config", why:% = fault; "the watch ended");
+                log::debug!(target: "config", why:% = fault; "configuration watch ended");
                 return Ok(());
             }
         };
@@ -85,12 +90,12 @@
         Ok(catalog) => put_in_force(node, catalog, source),
         Err(error) => {
             log::error!(target: "config", revision:% = item.revision, why:% = error;
-                "the configuration can't be read; the one before stays in force");
+                "can't decode the configuration; the previous one stays active");
         }
     }
 }
 
-/// Puts a configuration in force unless a newer one is.
+/// Activates a configuration unless a newer one is already active.
 pub(crate) fn put_in_force(node: &Node, catalog: Catalog, source: &str) {
     let version = catalog.version;
     let catalog = Arc::new(catalog);
@@ -104,7 +109,7 @@
     if newer {
         node.telemetry.catalog(version);
         log::info!(target: "config", version, source;
-            "in force: {} routes, {} customers", catalog.routes.len(), catalog.customers.len());
+            "configuration in force: {} routes, {} customers", catalog.routes.len(), catalog.customers.len());
         if let Some(tenure) = node.tenure() {
             tenure.set_catalog(catalog);
         }
--- a/crates/stairstalld/src/batch/directory.rs
+++ b/crates/stairstalld/src/batch/directory.rs
@@ -1,4 +1,4 @@
-//! Keeps the planner's list of workers up to date.
+//! Keeps the planner's list of workers in step with the worker directory in the store.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,18 +10,21 @@
 use super::node::Node;
 use super::tenure::Tenure;
 
-/// How long one watch waits. A watch that misses a change holds it back for no longer, and a
-/// worker that leaves must get nothing new two seconds after its word is in the store.
+/// Longest time for one watch call. If a watch misses a change, the change is seen after this time
+/// at the latest. A worker that announces in the store that it is leaving must get no new work 2 s
+/// later.
 const WATCH_WAIT: Duration = Duration::from_secs(1);
-/// How long changes are gathered: every heartbeat of a worker is one.
+/// Delay between watch calls, which collects changes into batches: every heartbeat of a worker is a
+/// change.
 const GATHER: Duration = Duration::from_millis(400);
-/// Changes in one answer from which the next one is asked for at once: the store gives a bounded
-/// number at a time, and a planner of 3,000 workers that pauses falls ever further behind.
+/// Number of changes in one response from which the next watch call follows without delay. The
+/// store returns a limited number of changes at a time; with 3,000 workers a planner that delayed
+/// each call would fall ever further behind.
 const MANY_CHANGES: usize = 200;
-/// Pause before the store is asked again after a failure.
+/// Delay before the store is asked again after a failure.
 const STORE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Reads the whole directory; workers that are not in it are listed no longer.
+/// Reads the whole directory and removes workers from the planner that are no longer listed.
 pub(crate) async fn load(node: &Node, tenure: &Tenure) -> Result<Revision, StoreFault> {
     let prefix = node.dialect.directory_prefix();
     let (items, at) = node.read_all("list workers", prefix).await?;
@@ -52,8 +55,9 @@
             Some(id)
         }
         Err(error) => {
-            // Other writers may leave anything there: it names no worker to use.
-            log::warn!(target: "directory", worker:% = id, why:% = error; "the entry names no worker");
+            // Other programs can write any value here. An entry that can't be read lists no usable
+            // worker.
+            log::warn!(target: "directory", worker:% = id, why:% = error; "directory entry lists no usable worker");
             tenure.with(|planner, now| planner.handle_unlisted_worker(&id, now));
             None
         }
@@ -64,7 +68,7 @@
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>, mut at: Revision) {
     loop {
         if let Err(fault) = watch(&node, &tenure, at).await {
-            log::debug!(target: "directory", why:% = fault; "reading the directory again");
+            log::debug!(target: "directory", why:% = fault; "reading the worker directory again");
         }
         at = loop {
             match load(&node, &tenure).await {
--- a/crates/stairstalld/src/batch/evacuation.rs
+++ b/crates/stairstalld/src/batch/evacuation.rs
@@ -10,13 +10,14 @@
 use super::node::Node;
 use super::tenure::Tenure;
 
-/// Questions within the time that an operator's word may take: a second apart at five. A question
-/// and not a watch, since a watch may hear nothing for a while and then lose its history.
+/// Number of polls within the bound for an evacuation to take effect; 5 polls make one second apart
+/// at the default bound of 5 s. Polling is used because a watch may receive nothing for a while and
+/// then find that its history has been compacted.
 const QUESTIONS_PER_BOUND: u32 = 5;
-/// Pause before the store is asked again after a failure.
+/// Delay before the store is asked again after a failure.
 const STORE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Reads which zones are evacuated and tells the planner.
+/// Reads which zones are evacuated and passes them to the planner.
 pub(crate) async fn load(node: &Node, tenure: &Tenure) -> Result<(), StoreFault> {
     let prefix = node.dialect.evacuation_prefix();
     let asked_at = node.clock.now();
@@ -34,19 +35,19 @@
     match name.parse() {
         Ok(zone) => Some(zone),
         Err(error) => {
-            log::error!(target: "zone", key, why:% = error; "an evacuation names no zone");
+            log::error!(target: "zone", key, why:% = error; "evacuation entry names no valid zone");
             None
         }
     }
 }
 
-/// Asks again and again for as long as the tenure lasts, after [`load`] has asked first.
+/// Polls for as long as the tenure lasts; [`load`] has done the first read.
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>) {
     let interval = node.settings.bounds.evacuate / QUESTIONS_PER_BOUND;
     loop {
         tokio::time::sleep(interval).await;
         while let Err(fault) = load(&node, &tenure).await {
-            log::debug!(target: "zone", why:% = fault; "asking again for evacuated zones");
+            log::debug!(target: "zone", why:% = fault; "reading the evacuated zones again");
             node.pause(STORE_PAUSE).await;
         }
     }
--- a/crates/stairstalld/src/batch/health.rs
+++ b/crates/stairstalld/src/batch/health.rs
@@ -1,4 +1,5 @@
-//! What the balancer and the operators' tools ask: readiness, figures, where a job stands.
+//! Endpoints for the load balancer and for operators' tools: readiness, metrics and job
+//! explanations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +15,13 @@
 use super::node::Node;
 use crate::answer::{Failure, json};
 
-/// Path of the figures.
+/// Path of the metrics.
 pub(crate) const METRICS_PATH: &str = "/metrics";
 
-/// Path at which a job is explained.
+/// Path of job explanations.
 const EXPLAIN_PATH: &str = "/v1/jobs/:id/explain";
 
-/// Returns the routes of the health address.
+/// Returns the router for the health address.
 pub(crate) fn health_router(node: &Arc<Node>) -> Router {
     let path = node.dialect.readiness_path();
     let node = Arc::clone(node);
@@ -30,7 +31,8 @@
     })
 }
 
-/// Ready is a daemon that knows a configuration, is not leaving and is not cut off.
+/// Answers a readiness check. A daemon is ready if it knows a configuration, is not leaving and is
+/// not cut off.
 fn readiness(node: &Node) -> Response {
     let mut response = Response::new(Body::empty());
     if !node.is_ready() {
@@ -39,7 +41,7 @@
     response
 }
 
-/// Returns the routes of the metrics address.
+/// Returns the router for the metrics address.
 pub(crate) fn metrics_router(node: &Arc<Node>) -> Router {
     let figures_of = Arc::clone(node);
     let explains = Arc::clone(node);
@@ -54,7 +56,7 @@
         })
 }
 
-/// Answers where a job stands, from any daemon.
+/// Explains the state of a job; every daemon answers, by asking the planner.
 async fn explain(node: &Node, request: &Request) -> Response {
     let named = request.params::<String>().unwrap_or_default();
     let id: JobId = match named.parse() {
--- a/crates/stairstalld/src/batch/intake.rs
+++ b/crates/stairstalld/src/batch/intake.rs
@@ -1,4 +1,4 @@
-//! Brings the planner the jobs and cancellations that it was not told of.
+//! Feeds jobs and cancellations from the store to the planner, in case daemons did not notify it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,13 +15,14 @@
 use super::tenure::Tenure;
 use super::writer::Revisions;
 
-/// How often news are asked for; daemons tell the planner sooner.
+/// Interval between polls of the store. Daemons usually notify the planner sooner.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Pause before the store is asked again after a failure: starts may wait for the answer.
+/// Delay before the store is asked again after a failure. It is short because starts may wait for
+/// the answer.
 const STORE_PAUSE: Duration = Duration::from_millis(250);
-/// Pauses before the first questions of a tenure: until every daemon knows of the new planner, it
-/// is told nothing of what they accept. Without these, what comes in the 0.1 s of a takeover is
-/// known 1.0 to 1.1 s later, as long as half of an urgent job's work.
+/// Delays before the first polls of a tenure. Until every daemon knows the new planner, it is not
+/// notified of jobs that they accept. Without these early polls, jobs accepted during the 0.1 s of
+/// a takeover became known 1.0 to 1.1 s later, half the run time of an urgent job.
 const FIRST_PAUSES: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(100),
@@ -29,21 +30,22 @@
     Duration::from_millis(400),
 ];
 
-/// How long the read of what was learnt may take: it is of use, and nothing waits for it longer.
+/// Longest read of the learned estimates. They are useful but optional, so the takeover waits no
+/// longer for them.
 const LEARNT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What is kept of all jobs.
+/// Everything that the store holds about jobs.
 #[derive(Debug)]
 pub(crate) struct KeptJobs {
-    /// What an earlier planner had learnt, where that can be read.
+    /// Estimates learned by an earlier planner, if they can be read.
     learnt: Option<LearnedEstimates>,
     jobs: Vec<Item>,
     progress: Vec<Item>,
-    /// Where news begin.
+    /// Revision from which to watch for changes.
     at: Revision,
 }
 
-/// Reads every job that is kept.
+/// Reads all stored jobs.
 pub(crate) async fn read(node: &Node) -> Result<KeptJobs, StoreFault> {
     let jobs = node.read_all("list jobs", keys::JOBS);
     let progress = node.read_all("list progress", keys::PROGRESS);
@@ -58,27 +60,28 @@
     })
 }
 
-/// Reads what an earlier planner had learnt; a planner can do without.
+/// Reads the estimates learned by an earlier planner. Planning works without them.
 async fn read_learnt(node: &Node) -> Option<LearnedEstimates> {
     if !node.settings.policy.run_times.is_stored {
         return None;
     }
     let read = node.read_at("read learnt", keys::LEARNT, LEARNT_TIMEOUT);
     let read = read.await.inspect_err(|fault| {
-        log::warn!(target: "intake", why:% = fault; "what was learnt was not read");
+        log::warn!(target: "intake", why:% = fault; "could not read learned estimates from the store");
     });
     let (item, _) = read.ok()?;
     let learnt = kept::read(&item?.value).inspect_err(|error| {
-        log::warn!(target: "intake", why:% = error; "what was learnt can't be read");
+        log::warn!(target: "intake", why:% = error; "can't decode learned estimates");
     });
     learnt.ok()
 }
 
-/// Loads every job that is kept; returns where news begin, and the revisions of progress.
+/// Loads all stored jobs into the planner. Returns the revision from which to watch for changes,
+/// and the revisions of the progress keys.
 pub(crate) fn load(kept: KeptJobs, tenure: &Tenure) -> (Revision, Revisions) {
     if let Some(learnt) = kept.learnt {
         log::info!(target: "intake", token = tenure.token(), run_times = learnt.run_times.len(),
-            paces = learnt.paces.len(); "what was learnt is read");
+            paces = learnt.paces.len(); "read learned estimates");
         tenure.with(|planner, now| planner.restore_learned_estimates(learnt, now));
     }
     let mut revisions = Revisions::new();
@@ -93,7 +96,7 @@
                 progress.insert(id, found);
             }
             Err(error) => {
-                log::error!(target: "intake", job:% = id, why:% = error; "its progress can't be read");
+                log::error!(target: "intake", job:% = id, why:% = error; "can't decode the job's progress");
             }
         }
     }
@@ -114,20 +117,21 @@
     (kept.at, revisions)
 }
 
-/// Returns the job that an item keeps; none where it is another key, or the mark of a refusal.
+/// Returns the accepted job that an item holds, or `None` if the item is a cancellation, a refusal
+/// record or unreadable.
 fn read_job(item: &Item) -> Option<AcceptedJob> {
     let Some(JobKeyKind::Accepted(id)) = keys::read_job(&item.key) else {
         return None;
     };
     KeptJob::read(&item.value)
         .inspect_err(|error| {
-            log::error!(target: "intake", job:% = id, why:% = error; "the job can't be read");
+            log::error!(target: "intake", job:% = id, why:% = error; "can't decode the job");
         })
         .ok()?
         .accepted()
 }
 
-/// Asks for news for as long as the tenure lasts.
+/// Polls for changes for as long as the tenure lasts.
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>, mut at: Revision) {
     let mut first_pauses = FIRST_PAUSES.into_iter();
     let mut pause = Duration::ZERO;
@@ -136,7 +140,8 @@
             () = tokio::time::sleep(pause) => {}
             () = tenure.resumed.notified() => {}
         }
-        // A question from before may hang on its connection for as long as its own time-out.
+        // A poll sent before the lease was restored may hang on its connection until its own
+        // timeout.
         pause = tokio::select! {
             biased;
             () = tenure.resumed.notified() => Duration::ZERO,
@@ -150,7 +155,8 @@
     }
 }
 
-/// Asks for news once and tells the planner; returns where the next begin.
+/// Polls for changes once and passes them to the planner. Returns the revision from which to poll
+/// next.
 async fn ask(node: &Node, tenure: &Tenure, at: Revision) -> Result<Revision, StoreFault> {
     let asked_at = node.clock.now();
     let watched = node.store.watch(keys::JOBS, at, Duration::ZERO);
@@ -168,7 +174,7 @@
     Ok(at)
 }
 
-/// Reads all jobs again after the history was lost.
+/// Reads all jobs again after the store has compacted the history that the watch needs.
 async fn reread(node: &Node, tenure: &Tenure) -> Result<Revision, StoreFault> {
     let (items, at) = node.read_all("list jobs", keys::JOBS).await?;
     for item in items {
--- a/crates/stairstalld/src/batch/kept.rs
+++ b/crates/stairstalld/src/batch/kept.rs
@@ -1,7 +1,8 @@
-//! How jobs and their progress stand in the store: JSON, deflated where it is long.
+//! Encodes values for the store: JSON, compressed with zlib if it is long.
 //!
-//! Progress is written at each change. That of 80 running tasks is 2 to 4 kB of JSON, and less than
-//! a third of it deflated; on a link of 2 Mbit/s orders and reports wait behind the difference.
+//! Progress is written at each change. For 80 running tasks it is 2 to 4 kB of JSON, and less than
+//! a third of that compressed. On a 2 Mbit/s link, orders and reports would queue behind the
+//! difference.
 
 use std::io::{Read, Write};
 
@@ -12,21 +13,22 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Shorter values are kept as they are: little is saved, and people can read them.
+/// Values with shorter JSON than this many bytes are stored uncompressed: compression saves little,
+/// and the values stay readable for people.
 const DEFLATED_FROM: usize = 400;
-/// Longest value that is read, in bytes: far above the megabyte that the store takes.
+/// Longest decoded value in bytes, far above the 1 MB that the store accepts for a value.
 const MAX_BYTES: u64 = 32 * 1024 * 1024;
 
 quick_error! {
-    /// A value that can't be kept or read.
+    /// A value that can't be encoded or decoded.
     #[derive(Debug)]
     pub enum KeptError {
-        /// It is not the JSON that was expected.
+        /// The value is not the expected JSON.
         Form(error: serde_json::Error) {
             from()
             display("{error}")
         }
-        /// It can't be deflated or inflated.
+        /// The value can't be compressed or decompressed.
         Deflate(error: std::io::Error) {
             from()
             display("{error}")
@@ -34,7 +36,7 @@
     }
 }
 
-/// Returns a value as it is kept.
+/// Encodes a value for the store.
 pub(crate) fn write<T: Serialize>(value: &T) -> Result<Vec<u8>, KeptError> {
     let json = serde_json::to_vec(value)?;
     if json.len() < DEFLATED_FROM {
@@ -45,7 +47,7 @@
     Ok(encoder.finish()?)
 }
 
-/// Reads a value as it was kept; JSON begins with a brace, which nothing deflated does.
+/// Decodes a stored value. JSON starts with a brace; a zlib stream never does.
 pub(crate) fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, KeptError> {
     if bytes.first() == Some(&b'{') {
         return Ok(serde_json::from_slice(bytes)?);
--- a/crates/stairstalld/src/batch/kept/tests.rs
+++ b/crates/stairstalld/src/batch/kept/tests.rs
@@ -4,12 +4,12 @@
 
 use super::{read, write};
 
-/// Progress of a step of 80 tasks that all run.
+/// Returns the progress of one step whose tasks are all running.
 fn progress(tasks: u32) -> Progress {
     let place = |index: u32| {
         let worker = format!("i-{:010x}", u64::from(index % 12) * 0x9e37_79b9_7f4a);
         let place = RunPlacement {
-            worker: worker.parse().expect("an id"),
+            worker: worker.parse().expect("a valid ID"),
             run: index + 1,
             incarnation: Some(Incarnation::from_unix_ms(1_800_000_000_000)),
             start_confirmed: true,
@@ -31,39 +31,39 @@
 fn long_values_are_kept_in_a_fraction_of_their_length() {
     let progress = progress(80);
     let json = serde_json::to_vec(&progress).expect("JSON");
-    let kept = write(&progress).expect("a value");
+    let kept = write(&progress).expect("it is encoded");
     assert!(
         kept.len() * 3 < json.len(),
         "{} of {} bytes",
         kept.len(),
         json.len()
     );
-    assert_eq!(read::<Progress>(&kept).expect("what was kept"), progress);
+    assert_eq!(read::<Progress>(&kept).expect("it is decoded"), progress);
 }
 
 #[test]
 fn short_values_can_be_read_by_people() {
     let progress = progress(1);
-    let kept = write(&progress).expect("a value");
+    let kept = write(&progress).expect("it is encoded");
     assert_eq!(kept, serde_json::to_vec(&progress).expect("JSON"));
-    assert_eq!(read::<Progress>(&kept).expect("what was kept"), progress);
+    assert_eq!(read::<Progress>(&kept).expect("it is decoded"), progress);
 }
 
 #[test]
 fn what_is_not_whole_is_an_error() {
-    let mut kept = write(&progress(80)).expect("a value");
+    let mut kept = write(&progress(80)).expect("it is encoded");
     kept.truncate(kept.len() / 2);
     assert!(read::<Progress>(&kept).is_err());
     assert!(read::<Progress>(b"").is_err());
     assert!(read::<Progress>(b"{\"occurrences\":").is_err());
 }
 
-/// All that is written down of what was learnt, at a number of workers.
+/// Returns the largest set of learned estimates for this number of workers.
 fn learnt(workers: u32) -> LearnedEstimates {
     let spread = |number: u32| (number.wrapping_mul(2_654_435_761) >> 16) % 97;
     let ratios = |number: u32| StoredRatios {
         queue: format!("queue-{}", number % 16),
-        customer: (number >= 16).then(|| format!("customer-{number}").parse().expect("an id")),
+        customer: (number >= 16).then(|| format!("customer-{number}").parse().expect("a valid ID")),
         complete: (0..32)
             .map(|bin| short(spread(number * 32 + bin)))
             .collect(),
@@ -77,10 +77,10 @@
             u64::from(number) * 0x9e37_79b9_7f4a % 0xff_ffff_ffff
         )
         .parse()
-        .expect("an id"),
+        .expect("a valid ID"),
         factor_percent: short(70 + spread(number)),
         spread_percent: short(spread(number) / 9),
-        runs: u8::try_from(spread(number)).expect("small"),
+        runs: u8::try_from(spread(number)).expect("it fits"),
     };
     LearnedEstimates {
         at_unix_ms: 1_800_000_000_000,
@@ -90,18 +90,18 @@
 }
 
 fn short(number: u32) -> u16 {
-    u16::try_from(number).expect("small")
+    u16::try_from(number).expect("it fits")
 }
 
 #[test]
 fn what_was_learnt_stays_far_below_the_longest_value_of_the_store() {
     for (workers, most) in [(0, 16_000), (350, 24_000), (3_000, 80_000)] {
         let learnt = learnt(workers);
-        let kept = write(&learnt).expect("a value");
+        let kept = write(&learnt).expect("it is encoded");
         println!("{workers} workers: {} bytes", kept.len());
         assert!(kept.len() < most, "{workers} workers: {} bytes", kept.len());
         assert_eq!(
-            read::<LearnedEstimates>(&kept).expect("what was kept"),
+            read::<LearnedEstimates>(&kept).expect("it is decoded"),
             learnt
         );
     }
--- a/crates/stairstalld/src/batch/kept_job.rs
+++ b/crates/stairstalld/src/batch/kept_job.rs
@@ -1,4 +1,4 @@
-//! What stands under a job's own key: the accepted job, or the mark of its refusal.
+//! The value under a job's own key: the accepted job or the record of its refusal.
 
 use serde::{Deserialize, Serialize};
 use stairstall_core::CustomerId;
@@ -7,23 +7,24 @@
 
 use super::kept::{self, KeptError};
 
-/// How a mark begins; a job never does.
+/// First bytes of an encoded refusal record. An encoded job never starts with them.
 const MARK_START: &[u8] = b"{\"refused_by\"";
 
-/// Stands under the key of a job that was refused, so that no late write of an earlier try takes
-/// effect.
+/// The record of a refusal, stored under the key of the refused job. It makes late writes by
+/// earlier requests for this job fail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RefusalMark {
-    /// Who wrote it; resolves lost answers. The first field, see [`MARK_START`].
+    /// Identifies the write, so that a lost answer can be resolved. Must stay the first field, see
+    /// [`REFUSAL_PREFIX`].
     pub(crate) refused_by: Mark,
-    /// Whose job it was.
+    /// The customer who submitted the job.
     pub(crate) customer: Option<CustomerId>,
-    /// When it was asked for first, in milliseconds since the Unix epoch.
+    /// Time of the customer's first request for this job, in milliseconds since the Unix epoch.
     pub(crate) first_asked_unix_ms: u64,
 }
 
 impl RefusalMark {
-    /// Creates the first mark of a job.
+    /// Creates the first refusal record of a job.
     pub(crate) fn of(job: &AcceptedJob) -> Self {
         Self {
             refused_by: job.mark.clone(),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Takes over the time of an earlier refusal, where it was the same customer's.
+    /// Takes over the first-request time of an earlier refusal if it is the same customer's.
     pub(crate) fn follow(&mut self, earlier: &Self) {
         if earlier.customer == self.customer {
             let first = earlier.first_asked_unix_ms;
@@ -41,17 +42,17 @@
     }
 }
 
-/// What stands under a job's own key.
+/// The value under a job's own key.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum KeptJob {
     /// The job as it was accepted.
     Accepted(Box<AcceptedJob>),
-    /// The mark of its refusal: there is no such job.
+    /// The record of a refusal: there is no such job.
     Refused(RefusalMark),
 }
 
 impl KeptJob {
-    /// Reads the value of a job's own key.
+    /// Decodes the value of a job's own key.
     pub(crate) fn read(value: &[u8]) -> Result<Self, KeptError> {
         if value.starts_with(MARK_START) {
             return kept::read(value).map(Self::Refused);
@@ -59,7 +60,7 @@
         kept::read(value).map(|job| Self::Accepted(Box::new(job)))
     }
 
-    /// Returns the job, where one is kept.
+    /// Returns the job, or `None` if it was refused.
     pub(crate) fn accepted(self) -> Option<AcceptedJob> {
         match self {
             Self::Accepted(job) => Some(*job),
--- a/crates/stairstalld/src/batch/keys.rs
+++ b/crates/stairstalld/src/batch/keys.rs
@@ -2,17 +2,18 @@
 
 use stairstall_core::JobId;
 
-/// Who holds the planner's role; goes with its lease.
+/// Key of the [`PlannerRecord`](super::node::PlannerRecord). It is removed when the planner's lease
+/// ends.
 pub(crate) const PLANNER: &str = "stairstall/role/planner";
-/// How many tenures there were.
+/// Key of the number of tenures so far, which is the last fencing token.
 pub(crate) const TENURE: &str = "stairstall/role/tenures";
-/// Accepted jobs and cancellations.
+/// Prefix of accepted jobs and cancellations.
 pub(crate) const JOBS: &str = "stairstall/job/";
-/// Progress of jobs.
+/// Prefix of the jobs' progress.
 pub(crate) const PROGRESS: &str = "stairstall/progress/";
-/// What a planner has learnt of run times and the like, for the next one.
+/// Key of the run times and paces that one planner has learned, for the next one.
 pub(crate) const LEARNT: &str = "stairstall/learnt";
-/// Ends the key of a cancellation.
+/// Suffix of the key of a cancellation.
 const CANCEL_SUFFIX: &str = ".cancel";
 
 /// Returns the key of an accepted job.
@@ -30,16 +31,16 @@
     format!("{PROGRESS}{id}")
 }
 
-/// What a key under [`JOBS`] stands for.
+/// A parsed key under [`JOBS`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum JobKeyKind {
-    /// The accepted job.
+    /// Key of an accepted job or of its refusal.
     Accepted(JobId),
-    /// Its cancellation.
+    /// Key of a cancellation.
     Cancel(JobId),
 }
 
-/// Reads a key under [`JOBS`].
+/// Parses a key under [`JOBS`].
 pub(crate) fn read_job(key: &str) -> Option<JobKeyKind> {
     let name = key.strip_prefix(JOBS)?;
     match name.strip_suffix(CANCEL_SUFFIX) {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Reads a key under [`PROGRESS`].
+/// Parses a key under [`PROGRESS`].
 pub(crate) fn read_progress(key: &str) -> Option<JobId> {
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
--- a/crates/stairstalld/src/batch/links.rs
+++ b/crates/stairstalld/src/batch/links.rs
@@ -1,4 +1,5 @@
-//! Renews what runs on each worker and brings its reports to the planner.
+//! Polls each worker for its report, which renews the leases of its runs, and passes the reports to
+//! the planner.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,12 +17,13 @@
 use super::orders;
 use super::tenure::Tenure;
 
-/// How often an idle worker is looked at in memory.
+/// Interval at which an idle worker is checked for work, without a call to it.
 const IDLE_INTERVAL: Duration = Duration::from_secs(2);
-/// Pause while the planner's lease is not known to be in force.
+/// Delay while the planner's lease is not known to be valid.
 const SUSPENDED_PAUSE: Duration = Duration::from_millis(50);
 
-/// The way to one worker; dropped, it asks no more, and ends once what was asked is answered.
+/// The poll task and the order task of one worker. When it is dropped, no further polls are sent,
+/// and the tasks end once open calls are answered.
 #[derive(Debug)]
 struct Link {
     address: String,
@@ -36,7 +38,7 @@
     }
 }
 
-/// Whether and when a worker is asked.
+/// Wakes or stops the poll task of a worker.
 #[derive(Debug, Default)]
 struct Asking {
     wake: Notify,
@@ -49,13 +51,13 @@
     }
 }
 
-/// The connections of one tenure to all workers.
+/// The links of one tenure to all workers.
 #[derive(Debug)]
 pub(crate) struct Links {
     node: Arc<Node>,
     tenure: Arc<Tenure>,
     open: HashMap<WorkerId, Link>,
-    /// The set of workers that links were last opened for.
+    /// Version of the worker set for which links were last updated.
     seen_set: Option<u64>,
     tasks: JoinSet<()>,
 }
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Opens links to new workers and drops those to workers that are gone.
+    /// Opens links to new workers and closes those to workers that are gone. Wakes the poll tasks
+    /// of workers that the planner wants to poll.
     pub(crate) fn keep_up(&mut self) {
         let (to_ask, worker_set) = self
             .tenure
@@ -91,7 +94,7 @@
                 .map(|(id, address)| (id.clone(), address.to_owned()))
                 .collect()
         });
-        // Another life may listen elsewhere under the same id.
+        // A new incarnation may listen at another address under the same ID.
         self.open
             .retain(|id, link| known.get(id) == Some(&link.address));
         for (id, address) in known {
@@ -125,23 +128,23 @@
         self.open.insert(worker.id, link);
     }
 
-    /// Hands orders to the workers they are for.
+    /// Passes orders to the links of their workers.
     pub(crate) fn send(&self, orders: Vec<Order>) {
         for order in orders {
             if let Some(link) = self.open.get(&order.worker) {
                 link.asking.wake.notify_one();
                 if link.orders.send(order).is_err() {
-                    log::error!(target: "orders", "a link has ended");
+                    log::error!(target: "orders", "a worker's order task has ended");
                 }
             }
         }
     }
 }
 
-/// Asks one worker for as long as its link is there.
+/// Polls one worker for as long as its link is open.
 ///
-/// It does not end where the planner knows the worker no longer: one that is listed again under its id
-/// before the links are looked through would be asked by nobody.
+/// It keeps running when the planner no longer knows the worker: if the worker is listed again
+/// before the links are next updated, the link is kept, and nothing else would poll the worker.
 async fn hold(node: Arc<Node>, tenure: Arc<Tenure>, worker: WorkerAddress, asking: Arc<Asking>) {
     while !asking.is_closed() {
         if !tenure.is_in_force() {
@@ -170,12 +173,12 @@
     let timeout = request.max_wait + policy.report_timeout;
     let answer = node.workers.hold(worker, request, timeout).await;
     if asking.is_closed() {
-        // Nobody waits for it any more, but what it lists has ended.
+        // The link is closed, but the run ends in the report are still valid.
         match answer {
             Ok(report) => {
                 node.telemetry.hold("late");
                 if report.truncated {
-                    log::info!(target: "links", worker:% = worker.id; "its last report left ends out");
+                    log::info!(target: "links", worker:% = worker.id; "the last report before its link closed omitted run ends");
                 }
                 tenure.with(|planner, now| {
                     planner.handle_worker_report(&worker.id, &request, sent_at, report, now);
@@ -184,7 +187,7 @@
             Err(fault) => {
                 node.telemetry.hold("late, no answer");
                 log::info!(target: "links", worker:% = worker.id, why:% = fault;
-                    "its last report did not come");
+                    "no report before its link closed");
             }
         }
         return;
@@ -204,7 +207,7 @@
         Err(WorkerFault::OtherLife) => {
             node.telemetry.hold("other life");
             tenure.with(|planner, now| {
-                planner.end_incarnation(&worker.id, "another life answered", now);
+                planner.end_incarnation(&worker.id, "another incarnation answered", now);
             });
         }
         Err(WorkerFault::Fenced) => {
@@ -213,7 +216,7 @@
         }
         Err(fault) => {
             node.telemetry.hold("no answer");
-            log::debug!(target: "hold", worker:% = worker.id, why:% = fault; "no report");
+            log::debug!(target: "hold", worker:% = worker.id, why:% = fault; "worker did not report");
             tenure.with(|planner, now| planner.handle_report_failure(&worker.id, now));
             node.pause(policy.pause_after_timeout).await;
         }
--- a/crates/stairstalld/src/batch/load.rs
+++ b/crates/stairstalld/src/batch/load.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of the fleet's load: the planner's last word, and how old it is.
+//! The planner's latest load summary as one daemon knows it, and its age.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 use crate::daemon::lock;
 
-/// The planner's word and when it was asked for.
+/// A load summary and the time when it was requested.
 #[derive(Debug, Clone)]
 struct Word {
     summary: Arc<LoadSummary>,
     asked_at: Timestamp,
 }
 
-/// What a daemon holds.
+/// Caches the planner's latest load summary.
 #[derive(Debug)]
 pub(crate) struct HeldLoad {
     policy: AdmissionPolicy,
     word: Mutex<Option<Word>>,
-    /// How long the planner wants daemons to wait between two calls.
+    /// Shortest interval between two calls to the planner, as set by the planner.
     pause: Mutex<Duration>,
 }
 
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Notes how long the planner wants daemons to wait between two calls: the more there are, the
-    /// longer.
+    /// Sets the interval between two calls to the planner. The planner makes it longer the more
+    /// daemons there are.
     pub(crate) fn set_pause(&self, pause: Duration) {
         *lock(&self.pause) = pause;
     }
 
-    /// Tells whether it is time to ask the planner for its word.
+    /// Returns whether it is time to request a new summary from the planner.
     pub(crate) fn is_wanted(&self, now: Timestamp) -> bool {
         let policy = &self.policy;
         if !policy.refuses_impossible && !policy.refuses_too_late {
@@ -55,7 +55,7 @@
             .is_none_or(|word| now - word.asked_at >= every)
     }
 
-    /// Takes the planner's word, unless a later one is known.
+    /// Stores a summary unless a later one is known.
     pub(crate) fn take(&self, summary: LoadSummary, asked_at: Timestamp) {
         let mut word = lock(&self.word);
         let is_later = |known: &Word| summary.is_later_than(&known.summary);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the last word, and how old it is at most.
+    /// Returns the latest summary and an upper bound of its age.
     pub(crate) fn known(&self, now: Timestamp) -> Option<(Arc<LoadSummary>, Duration)> {
         let word = lock(&self.word).clone()?;
         let age = now - word.asked_at + self.policy.summary_interval;
@@ -73,7 +73,8 @@
     }
 }
 
-/// Reads a summary that a daemon of another version may have written: one that can't be read is none.
+/// Deserializes a summary that another version of the daemon may have sent. Returns `None` if it
+/// can't be read, so that the rest of the message stays usable.
 pub(crate) fn read_leniently<'de, D>(from: D) -> Result<Option<LoadSummary>, D::Error>
 where
     D: Deserializer<'de>,
@@ -82,7 +83,7 @@
     Ok(value.and_then(|value| {
         serde_json::from_value(value)
             .inspect_err(
-                |error| log::warn!(target: "admission", why:% = error; "the planner's word on the load can't be read"),
+                |error| log::warn!(target: "admission", why:% = error; "can't decode the planner's load summary"),
             )
             .ok()
     }))
--- a/crates/stairstalld/src/batch/node.rs
+++ b/crates/stairstalld/src/batch/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one daemon share.
+//! State shared by the parts of one daemon.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,32 +23,33 @@
 use crate::clock::{Clock, unix_millis};
 use crate::daemon::lock;
 
-/// Link from which listings are read beside each other, in megabits a second: the windows of two
-/// connections, some 130 kB, then take 0.1 s, well below a renewal's time.
+/// Slowest link, in megabits per second, on which two listings are read concurrently. At this rate
+/// the windows of two connections, about 130 kB, take 0.1 s, well below the time of a lease
+/// renewal.
 const WIDE_LINK_MBPS: u32 = 10;
 
-/// Longest wait for a page of a listing, which may be a megabyte over a slow link.
+/// Longest call for one page of a listing, which may be 1 MB over a slow link.
 pub(crate) const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Who holds the planner's role, as the store has it.
+/// The holder of the planner role, as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlannerRecord {
-    /// The daemon.
+    /// The VM of the planner.
     pub(crate) vm: VmId,
-    /// Where it answers other daemons, as `IP:PORT`.
+    /// Address for RPC calls from other daemons, as `IP:PORT`.
     pub(crate) rpc: String,
-    /// Counts tenures; the fencing token.
+    /// The fencing token: the number of tenures so far.
     pub(crate) token: u64,
-    /// Names the write, so that a lost answer can be resolved.
+    /// Identifies the write, so that a lost answer can be resolved.
     pub(crate) mark: Mark,
 }
 
-/// What a planner that leaves offers another daemon.
+/// Offers the role of a leaving planner to another daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RoleOffer {
-    /// Its record.
+    /// The record of the leaving planner.
     pub(crate) record: PlannerRecord,
-    /// Revision of the write that took the role.
+    /// Revision of the write by which the leaving planner acquired the role.
     pub(crate) revision: u64,
 }
 
@@ -59,25 +60,26 @@
     pub(crate) clock: Clock,
     pub(crate) store: Arc<dyn SharedStore>,
     pub(crate) store_health: StoreHealth,
-    /// Whether the store has shown since the last failure that the configuration is the newest.
+    /// Whether the configuration has been read, and watched without a failure since, so that it is
+    /// known to be the newest.
     pub(crate) catalog_confirmed: AtomicBool,
     pub(crate) workers: Arc<dyn WorkerCalls>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) adviser: Option<Arc<dyn Adviser>>,
     pub(crate) peers: Peers,
-    /// What is known of other daemons.
+    /// The other daemons that this one knows.
     pub(crate) reach: Mutex<PeerTable>,
-    /// What is known of the fleet's load.
+    /// The latest summary of the fleet's load.
     pub(crate) load: HeldLoad,
-    /// What is kept of refusals.
+    /// The lease of refusal records, and the retry times given to refused callers.
     pub(crate) refusals: Refusals,
     pub(crate) telemetry: Telemetry,
     pub(crate) catalog: watch::Sender<Option<Arc<Catalog>>>,
-    /// The planner that was last heard of.
+    /// The latest known planner.
     pub(crate) planner: watch::Sender<Option<PlannerRecord>>,
-    /// A planner that leaves and offers its role to this daemon.
+    /// The offer of a leaving planner to hand its role to this daemon.
     pub(crate) offer: watch::Sender<Option<RoleOffer>>,
-    /// This daemon's own tenure, while it holds the role.
+    /// The tenure of this daemon, while it holds the planner role.
     tenure: Mutex<Option<Arc<Tenure>>>,
     pub(crate) leaving: watch::Sender<bool>,
     rpc_address: OnceLock<SocketAddr>,
@@ -121,9 +123,9 @@
         }
     }
 
-    /// Reads two listings: beside each other where the link is wide, so that a slow store costs
-    /// its delay once, and one after the other where it is narrow, so that the renewals of the
-    /// planner's lease need not wait behind both.
+    /// Reads two listings. On a fast link they are read concurrently, so that a slow store adds its
+    /// latency once. On a slow link they are read one after the other, so that renewals of the
+    /// planner's lease don't queue behind both.
     pub(crate) async fn listings<A, B>(
         &self,
         first: impl Future<Output = Result<A, StoreFault>>,
@@ -140,18 +142,18 @@
         &self.settings.vm
     }
 
-    /// Notes where other daemons reach this one.
+    /// Sets the address at which other daemons reach this one.
     pub(crate) fn set_rpc_address(&self, address: SocketAddr) {
-        // It is set once, before anything else starts.
+        // Called once, before any task starts.
         let _ = self.rpc_address.set(address);
     }
 
-    /// Returns where other daemons reach this one.
+    /// Returns the address at which other daemons reach this one.
     pub(crate) fn rpc_address(&self) -> SocketAddr {
         *self.rpc_address.get().unwrap_or(&self.settings.rpc_listen)
     }
 
-    /// Returns how other daemons know this one.
+    /// Returns the entry of this daemon for the peer tables of other daemons.
     pub(crate) fn address(&self) -> PeerAddress {
         PeerAddress {
             vm: self.me().clone(),
@@ -161,20 +163,20 @@
         }
     }
 
-    /// Notes that a peer did not answer: its connections are dropped, since the other end may be
-    /// dead without a word.
+    /// Records that a peer did not answer. Its connections are dropped, since the other end may
+    /// have disappeared without closing them.
     pub(crate) fn peer_failed(&self, rpc: &str) {
         self.peers.drop_client(rpc);
         lock(&self.reach).record_failure(rpc);
     }
 
-    /// Tells whether neither the store nor any peer can take work from this daemon.
+    /// Returns whether neither the store nor any peer can take work from this daemon.
     pub(crate) fn is_cut_off(&self) -> bool {
         let now = self.clock.now();
         self.store_health.holds_back(now) && lock(&self.reach).is_cut_off(now)
     }
 
-    /// Tells whether callers should come here.
+    /// Returns whether callers should use this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         let is_cut_off = self.settings.policy.reach.says_cut_off && self.is_cut_off();
         !self.is_leaving() && self.current_catalog().is_some() && !is_cut_off
@@ -188,7 +190,8 @@
         self.catalog.borrow().clone()
     }
 
-    /// Tells whether the configuration is known to be the newest, so that callers may be refused by it.
+    /// Returns whether the configuration is known to be the newest, so that callers may be refused
+    /// by it.
     pub(crate) fn knows_newest_catalog(&self) -> bool {
         let is_confirmed = self.catalog_confirmed.load(Ordering::Acquire);
         is_confirmed && !self.store_health.holds_back(self.clock.now())
@@ -198,7 +201,7 @@
         *self.leaving.borrow()
     }
 
-    /// Returns this daemon's tenure, while it holds the planner's role.
+    /// Returns the tenure of this daemon while it holds the planner role.
     pub(crate) fn tenure(&self) -> Option<Arc<Tenure>> {
         lock(&self.tenure).clone()
     }
@@ -207,7 +210,7 @@
         *lock(&self.tenure) = tenure;
     }
 
-    /// Returns the planner where it is another daemon.
+    /// Returns the planner if it is another daemon.
     pub(crate) fn other_planner(&self) -> Option<PlannerRecord> {
         self.planner
             .borrow()
@@ -215,13 +218,13 @@
             .filter(|record| record.vm != *self.me())
     }
 
-    /// Returns a mark that no other write of any daemon carries.
+    /// Returns a mark that is unique among all writes of all daemons.
     pub(crate) fn next_mark(&self) -> Mark {
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
         Mark::new(self.me().clone(), self.instance, serial)
     }
 
-    /// Carries out a call to the store, with its figures.
+    /// Makes a call to the store and records its outcome and latency.
     pub(crate) async fn stored<T>(
         &self,
         kind: &'static str,
@@ -242,8 +245,8 @@
         result
     }
 
-    /// Reads a key within `timeout` together with the store's revision, from which a watch can go
-    /// on.
+    /// Reads a key within `timeout`, together with the store's revision from which a watch can
+    /// continue.
     pub(crate) async fn read_at(
         &self,
         kind: &'static str,
@@ -256,7 +259,7 @@
         Ok((item, page.at))
     }
 
-    /// Reads all keys of a prefix; returns them with the revision of the first page.
+    /// Reads all keys with a prefix, and the store's revision at the first page.
     pub(crate) async fn read_all(
         &self,
         kind: &'static str,
@@ -279,7 +282,7 @@
         }
     }
 
-    /// Pauses after a failure, a little differently each time.
+    /// Sleeps for about the given time after a failure, with 25 % of jitter.
     pub(crate) async fn pause(&self, about: Duration) {
         let spread = rand::random_range(0.75..1.25);
         tokio::time::sleep(about.mul_f64(spread)).await;
--- a/crates/stairstalld/src/batch/orders.rs
+++ b/crates/stairstalld/src/batch/orders.rs
@@ -1,4 +1,4 @@
-//! Carries orders to one worker, in turn, past those that get no answer.
+//! Sends orders to one worker in sequence, and goes on to the next if an answer is late.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::node::Node;
 use super::tenure::Tenure;
 
-/// Carries out orders until there can be no more.
+/// Sends orders until the link is closed and all answers have arrived.
 pub(crate) async fn run(
     node: Arc<Node>,
     tenure: Arc<Tenure>,
@@ -26,7 +26,8 @@
             Some(()) = late.next() => continue,
         };
         let Some(order) = order else {
-            // What became of an order must be known also where its worker is now reached elsewhere.
+            // The outcome of open orders must be known even if the worker is now reached at another
+            // address.
             while late.next().await.is_some() {}
             return;
         };
--- a/crates/stairstalld/src/batch/reach.rs
+++ b/crates/stairstalld/src/batch/reach.rs
@@ -1,5 +1,5 @@
-//! Finds out whether work can be kept: asks the store when it is quiet, and peers while it does
-//! not serve this daemon.
+//! Finds out whether work can be stored: pings the store when it is quiet, and probes peers while
+//! the store does not serve this daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use super::{catalog, keys, role};
 use crate::daemon::lock;
 
-/// Asks for as long as the daemon runs.
+/// Runs the checks for as long as the daemon runs.
 pub(crate) async fn follow(node: Arc<Node>) {
     tokio::join!(ask_store(&node), ask_peers(&node), introduce(&node));
 }
 
-/// Asks the store whether it serves whenever nothing else has shown that for a while.
+/// Pings the store whenever no other call has completed for a while.
 async fn ask_store(node: &Node) {
     let policy = &node.settings.policy.reach;
     loop {
@@ -28,14 +28,14 @@
         }
         node.store_health.begin_question(now);
         let asked = node.store.ping(keys::PLANNER);
-        // What became of it is noted with the call; a failure is no answer to act on here.
+        // `store_call` records the outcome, so a failure needs no other handling here.
         if node.stored("ping", asked).await.is_err() {
             node.store_health.end_question();
         }
     }
 }
 
-/// Asks peers, while the store does not serve, whether it serves them.
+/// Probes peers, while the store does not serve this daemon, whether it serves them.
 async fn ask_peers(node: &Node) {
     let policy = &node.settings.policy.reach;
     let mut was_cut_off = false;
@@ -49,15 +49,16 @@
         if cut_off != was_cut_off {
             was_cut_off = cut_off;
             log::warn!(target: "ready", cut_off; "{}", if cut_off {
-                "neither the store nor a peer can take work: callers should go elsewhere"
+                "neither the store nor a peer can take work: callers should use another daemon"
             } else {
-                "work can be taken again"
+                "the store or a peer can take work again"
             });
         }
     }
 }
 
-/// Asks one peer for news and takes them; returns how long to wait before it is called again.
+/// Asks one peer for a [`PeerUpdate`] and applies it. Returns how long to wait before the next
+/// call, or `None` if the peer did not answer.
 async fn ask(node: &Node, rpc: &str) -> Option<Duration> {
     let timeout = node.settings.policy.reach.probe_timeout;
     let version = node.current_catalog().map_or(0, |catalog| catalog.version);
@@ -78,15 +79,15 @@
             return Some(pause);
         }
         Ok(Err(error)) => {
-            log::debug!(target: "ready", rpc, why:% = error; "a peer does not answer");
+            log::debug!(target: "ready", rpc, why:% = error; "peer does not answer");
         }
-        Err(_) => log::debug!(target: "ready", rpc; "a peer does not answer in time"),
+        Err(_) => log::debug!(target: "ready", rpc; "peer did not answer in time"),
     }
     node.peer_failed(rpc);
     None
 }
 
-/// Tells the planner that this daemon is there, and hears of some others.
+/// Announces this daemon to the planner, which answers with some other daemons.
 async fn introduce(node: &Node) {
     let mut pause = node.settings.policy.reach.min_introduction_interval;
     loop {
@@ -115,7 +116,7 @@
     }
 }
 
-/// Returns what a peer that asks for news is told, and keeps in mind that it is there.
+/// Returns the update for a peer that asks, and adds that peer to the peer table.
 pub(crate) fn news(node: &Node, version: u64, asker: PeerAddress) -> News {
     let catalog = node.current_catalog();
     let newer = catalog.filter(|catalog| catalog.version > version);
--- a/crates/stairstalld/src/batch/refusals.rs
+++ b/crates/stairstalld/src/batch/refusals.rs
@@ -1,4 +1,4 @@
-//! What one daemon keeps of its refusals: the lease of their marks, and when callers return.
+//! The refusals of one daemon: the lease of their records, and when refused callers should retry.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,21 +11,21 @@
 
 use crate::daemon::lock;
 
-/// A lease that marks go with.
+/// A lease to which refusal records are attached.
 #[derive(Debug, Clone, Copy)]
 struct MarkLease {
     id: LeaseId,
     lease: Lease,
 }
 
-/// What one daemon keeps of its refusals.
+/// The refusals of one daemon.
 #[derive(Debug)]
 pub(crate) struct Refusals {
     policy: AdmissionPolicy,
     lease: Mutex<Option<MarkLease>>,
-    /// Held while a lease is asked for, so that many refusals at once take one.
+    /// Held while a lease is requested, so that concurrent refusals share one lease.
     pub(crate) granting: tokio::sync::Mutex<()>,
-    /// By the queue's priority.
+    /// Retry times by queue priority.
     returns: Mutex<BTreeMap<u8, ReturnTimes>>,
 }
 
@@ -39,24 +39,24 @@
         }
     }
 
-    /// Returns a lease under which a mark lasts long enough.
+    /// Returns the current lease if it keeps a refusal record for long enough.
     pub(crate) fn lease(&self, now: Timestamp) -> Option<LeaseId> {
         let held = *lock(&self.lease);
         let lasts = |held: &MarkLease| held.lease.ends_at() - now >= self.policy.min_mark_lifetime;
         held.filter(lasts).map(|held| held.id)
     }
 
-    /// Takes a lease that was granted.
+    /// Sets a lease that was granted.
     pub(crate) fn take_lease(&self, id: LeaseId, lease: Lease) {
         *lock(&self.lease) = Some(MarkLease { id, lease });
     }
 
-    /// Forgets a lease that the store says is over.
+    /// Drops a lease that has ended according to the store.
     pub(crate) fn drop_lease(&self, id: LeaseId) {
         lock(&self.lease).take_if(|held| held.id == id);
     }
 
-    /// Returns when a caller should come back whose job would likely wait so long.
+    /// Returns the delay after which a caller should retry if its job would likely wait for `wait`.
     pub(crate) fn return_after(&self, priority: u8, wait: Duration, now: Timestamp) -> Duration {
         let bounds = ReturnBounds {
             shortest: self.policy.min_retry_after,
--- a/crates/stairstalld/src/batch/role.rs
+++ b/crates/stairstalld/src/batch/role.rs
@@ -1,4 +1,4 @@
-//! Takes, renews and gives up the planner's role.
+//! Acquires, renews and releases the planner role.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -25,26 +25,26 @@
 use take::{LastTenure, put_off, take};
 pub(crate) use take::{Taken, weakness_percent};
 
-/// How long one watch of the role waits.
+/// Longest time for one watch call on the role.
 const WATCH_WAIT: Duration = Duration::from_secs(15);
-/// Pause before the store is asked again after a failure.
+/// Delay before the store is asked again after a failure.
 const STORE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Takes the role whenever it is free, for as long as the daemon runs.
+/// Acquires the role whenever it is free, for as long as the daemon runs.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
         match try_role(&node).await {
             Ok(Some(taken)) => hold(&node, taken).await,
             Ok(None) => {}
             Err(fault) => {
-                log::debug!(target: "role", why:% = fault; "the role can't be looked at");
+                log::debug!(target: "role", why:% = fault; "checking the planner role failed");
                 node.pause(STORE_PAUSE).await;
             }
         }
     }
 }
 
-/// Waits while another daemon has the role; returns it once it is this daemon's.
+/// Waits while another daemon holds the role. Returns the role once this daemon has acquired it.
 async fn try_role(node: &Node) -> Result<Option<Taken>, StoreFault> {
     let (item, mut at) = node
         .read_at("read role", keys::PLANNER, node.settings.store_timeout)
@@ -82,7 +82,7 @@
     }
 }
 
-/// Notes who plans by the role's key; returns which tenure that is.
+/// Records the planner from the role's key and returns its tenure.
 fn note_item(node: &Node, item: &Item) -> Option<LastTenure> {
     let record: PlannerRecord = serde_json::from_slice(&item.value).ok()?;
     let count = record.token;
@@ -93,7 +93,8 @@
     })
 }
 
-/// Notes who plans, unless a later planner is known; an own tenure that it ends is given up.
+/// Records the planner unless a later one is known. Ends this daemon's tenure if the new planner
+/// supersedes it.
 pub(crate) fn note_planner(node: &Node, record: Option<PlannerRecord>) {
     let Some(record) = record else {
         return;
@@ -108,13 +109,13 @@
     if !changed {
         return;
     }
-    log::info!(target: "role", planner:% = record.vm, token = record.token; "the planner is known");
+    log::info!(target: "role", planner:% = record.vm, token = record.token; "new planner recorded");
     if let Some(tenure) = node.tenure().filter(|own| own.token() < record.token) {
-        tenure.give_up("another daemon has taken the role");
+        tenure.give_up("another daemon has acquired the role");
     }
 }
 
-/// Tells the planner before this one, which the store may not serve.
+/// Notifies the previous planner, which may not reach the store, that it is superseded.
 async fn tell_predecessor(node: &Node, predecessor: Option<PlannerRecord>, own: PlannerRecord) {
     let Some(predecessor) = predecessor.filter(|p| p.vm != own.vm) else {
         return;
@@ -122,14 +123,14 @@
     if let Some(client) = node.peers.client(&predecessor.rpc) {
         let told = client.taken(own).await;
         log::info!(target: "role", predecessor:% = predecessor.vm, told = told.is_ok();
-            "the planner before this one is told");
+            "notifying the previous planner");
     }
 }
 
-/// Plans for as long as the role is held.
+/// Runs the planner for as long as this daemon holds the role.
 async fn hold(node: &Arc<Node>, taken: Taken) {
     log::info!(target: "role", token = taken.record.token, lease_ms = crate::clock::millis(node.settings.role_lease);
-        "the planner's role is taken");
+        "acquired the planner role");
     let predecessor = node.planner.borrow().clone();
     note_planner(node, Some(taken.record.clone()));
     let told = Arc::clone(node);
@@ -147,15 +148,15 @@
     renewing.abort();
     node.set_tenure(None);
     let token = tenure.token();
-    log::info!(target: "role", token, why; "the planner's role is given up");
+    log::info!(target: "role", token, why; "released the planner role");
     if let Err(fault) = node.stored("release", node.store.release(lease_id)).await {
-        log::warn!(target: "role", token, why:% = fault; "the lease was not ended; it runs out");
+        log::warn!(target: "role", token, why:% = fault; "could not end the lease; it will expire");
     }
 }
 
-/// Renews the lease until it is over or the daemon leaves.
+/// Renews the lease until it ends or the daemon has left.
 ///
-/// A renewal that is slow or lost does not hold the next one up.
+/// Renewals overlap, so that a slow or lost one does not delay the next.
 async fn renew(
     node: Arc<Node>,
     tenure: Arc<Tenure>,
@@ -173,7 +174,7 @@
             _ = ticks.tick() => under_way.push(renew_once(&node, &tenure, lease_id)),
             Some(is_over) = under_way.next() => {
                 if is_over {
-                    tenure.give_up("its lease is over");
+                    tenure.give_up("its lease has ended");
                     return;
                 }
             }
@@ -189,7 +190,7 @@
     }
 }
 
-/// Renews the lease once; true where it is over.
+/// Renews the lease once; returns whether the lease has ended.
 async fn renew_once(node: &Node, tenure: &Tenure, lease_id: LeaseId) -> bool {
     let requested_at = node.clock.now();
     let token = tenure.token();
@@ -197,7 +198,7 @@
         Ok(ttl) => tenure.extend_lease(Lease::new(requested_at, ttl)),
         Err(StoreFault::LeaseOver) => return true,
         Err(fault) => {
-            log::warn!(target: "role", token, why:% = fault; "the lease was not renewed");
+            log::warn!(target: "role", token, why:% = fault; "could not renew the lease");
         }
     }
     false
--- a/crates/stairstalld/src/batch/role/handover.rs
+++ b/crates/stairstalld/src/batch/role/handover.rs
@@ -1,4 +1,4 @@
-//! Hands the role over to a daemon that takes it while the planner before plans on.
+//! Hands the role over to another daemon while the leaving planner keeps planning.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use super::take::{LastTenure, Taken, take};
 use crate::daemon::lock;
 
-/// How often a daemon that is done with its callers looks whether the role is given up.
+/// Interval at which a daemon that has drained its callers checks whether the role is released.
 const GIVEN_UP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until a daemon that leaves no longer plans, for as long as a handover may take.
+/// Waits until this daemon has stopped planning, for no longer than a handover may take.
 pub(crate) async fn wait_until_given_up(node: &Node) {
     let settings = &node.settings;
     let limit = settings.policy.role.handover_wait + settings.store_timeout;
@@ -25,12 +25,13 @@
     };
     if tokio::time::timeout(limit, given_up).await.is_err() {
         log::warn!(target: "role", limit_ms = crate::clock::millis(limit);
-            "the role is not given up yet; its lease runs out");
+            "planner role not released in time; its lease will expire");
     }
 }
 
-/// Returns when a daemon that leaves should give the role up: once nobody wants it, or nobody has
-/// taken it in time. Who takes it says so, which ends the tenure sooner.
+/// Offers the role of a leaving planner and returns when it should be released: at once if no
+/// daemon wants the role, else after the longest handover. The successor's notification ends the
+/// tenure sooner.
 pub(super) async fn hand_over(node: &Node, tenure: &Tenure) {
     let wait = node.settings.policy.role.handover_wait;
     if !wait.is_zero() && offer_role(node, tenure).await {
@@ -38,7 +39,7 @@
     }
 }
 
-/// Keeps an offer of the role in mind; false where this daemon does not want it.
+/// Records an offer of the role; returns whether this daemon wants it.
 pub(crate) fn take_offer(node: &Node, offer: RoleOffer) -> bool {
     let wants = !node.is_leaving()
         && node.tenure().is_none()
@@ -50,7 +51,7 @@
     wants
 }
 
-/// Takes the role from a planner that leaves and holds it until then.
+/// Acquires the role from a leaving planner, which keeps it until then.
 pub(super) async fn take_from(node: &Node, offer: &RoleOffer) -> Result<Option<Taken>, StoreFault> {
     let revision = Revision(offer.revision);
     let last = LastTenure {
@@ -58,11 +59,11 @@
         revision,
     };
     log::info!(target: "role", planner:% = offer.record.vm, token = offer.record.token;
-        "its role is offered to this daemon");
+        "leaving planner offers the role to this daemon");
     take(node, Some(last), Some(revision)).await
 }
 
-/// Offers the role to other daemons until one wants it; true where one does.
+/// Offers the role to other daemons in turn; returns whether one of them wants it.
 async fn offer_role(node: &Node, tenure: &Tenure) -> bool {
     let Some(record) = node.planner.borrow().clone() else {
         return false;
@@ -80,7 +81,7 @@
         let asked = tokio::time::timeout(timeout, client.offer(offer.clone())).await;
         let wants = matches!(asked, Ok(Ok(true)));
         log::info!(target: "role", token = tenure.token(), successor:% = successor.vm, wants;
-            "the role is offered");
+            "planner role offered");
         if wants {
             return true;
         }
@@ -94,7 +95,7 @@
     let offer = offer.ok().and_then(|offer| offer.clone());
     match offer {
         Some(offer) => offer,
-        // The daemon ends.
+        // The channel is closed because the daemon is shutting down.
         None => std::future::pending().await,
     }
 }
--- a/crates/stairstalld/src/batch/role/take.rs
+++ b/crates/stairstalld/src/batch/role/take.rs
@@ -1,4 +1,4 @@
-//! Takes the role by one conditional write.
+//! Acquires the planner role by one conditional write.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 use super::super::node::{Node, PlannerRecord};
 use super::super::settings::BatchSettings;
 
-/// The role as it was taken.
+/// The role after it was acquired.
 #[derive(Debug, Clone)]
 pub(crate) struct Taken {
     pub(crate) record: PlannerRecord,
-    /// Revision of the role's key, which each write of this tenure depends on.
+    /// Revision of the role's key, a condition of every write in this tenure.
     pub(crate) revision: Revision,
     pub(crate) lease_id: LeaseId,
     pub(crate) lease: Lease,
 }
 
-/// The last tenure that is known of.
+/// The latest known tenure.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastTenure {
-    /// How many there were with it.
+    /// The number of tenures up to and including this one.
     pub(super) count: u64,
-    /// Revision of the write that took the role: it also counted the tenure.
+    /// Revision of the write that acquired the role and increased the tenure count.
     pub(super) revision: Revision,
 }
 
-/// Returns how much a VM lacks to plan for many workers, in percent.
+/// Returns the capacity that a VM lacks to plan for a large fleet, in percent.
 pub(crate) fn weakness_percent(settings: &BatchSettings) -> u32 {
     let policy = &settings.policy.role;
     let lacking = |has: u32, strong: u32| 100 - has.min(strong) * 100 / strong.max(1);
@@ -36,14 +36,14 @@
         .max(lacking(settings.link_mbps, policy.strong_link_mbps))
 }
 
-/// Returns how long to wait before trying to take the role: strong VMs go first.
+/// Returns a random delay before trying to acquire the role. Strong VMs get shorter delays.
 pub(super) fn put_off(node: &Node) -> Duration {
     let policy = &node.settings.policy.role;
     let weakness = f64::from(weakness_percent(&node.settings)) / 100.0;
     policy.max_jitter.mul_f64(rand::random_range(0.0..1.0)) + policy.weak_delay.mul_f64(weakness)
 }
 
-/// Reads how many tenures there were.
+/// Reads the tenure count.
 async fn read_last_tenure(node: &Node) -> Result<LastTenure, StoreFault> {
     let item = node
         .stored("read tenures", node.store.get(keys::TENURE))
@@ -61,10 +61,10 @@
     }))
 }
 
-/// Takes the role; none where another daemon was faster.
+/// Acquires the role; returns `None` if another daemon was faster.
 ///
-/// `last` is the last tenure where that is known without asking, and
-/// `replaces` the revision of the role's key where its holder offers it.
+/// `last` is the latest tenure, if it is known without reading it. `replaces` is the revision of
+/// the role's key if its holder has offered the role.
 pub(super) async fn take(
     node: &Node,
     last: Option<LastTenure>,
@@ -104,7 +104,7 @@
             Ok(None)
         }
         Err(fault) => {
-            log::warn!(target: "role", why:% = fault; "it is not known whether the role was taken");
+            log::warn!(target: "role", why:% = fault; "unknown whether the planner role was acquired");
             let found = node
                 .stored("read role", node.store.get(keys::PLANNER))
                 .await?;
--- a/crates/stairstalld/src/batch/rpc.rs
+++ b/crates/stairstalld/src/batch/rpc.rs
@@ -1,4 +1,4 @@
-//! What daemons ask each other, over JSON-RPC.
+//! JSON-RPC calls between daemons.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,44 +21,42 @@
 use super::{load, reach, role};
 use crate::daemon::lock;
 
-/// Clients kept to peers, at most.
+/// Largest number of cached clients; a full cache is cleared.
 const MAX_CLIENTS: usize = 64;
 
-/// What the planner knows of a job.
+/// The planner's answer to a query for a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum JobAnswer {
-    /// The daemon does not hold the planner's role.
+    /// The daemon does not hold the planner role.
     NotPlanner,
     /// The planner does not know the job.
     Unknown,
-    /// Whose it is, and where it stands.
+    /// The planner knows the job.
     Known {
-        /// Whose it is.
         customer: Option<CustomerId>,
-        /// Where it stands.
         state: CallerState,
     },
 }
 
-/// What a planner, or another daemon, answers of a job that it is told of.
+/// Answer of a daemon that is notified of an accepted job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum SubmitAnswer {
-    /// Whether the daemon is the planner; all that older ones say.
+    /// Whether the daemon is the planner. Older daemons answer this only.
     Taken(bool),
-    /// The same, with how full the fleet is.
+    /// The same, with a summary of the fleet's load.
     WithLoad {
         /// Whether the daemon is the planner.
         taken: bool,
-        /// How full the fleet is.
+        /// The load of the fleet, if the daemon is the planner.
         #[serde(default, deserialize_with = "load::read_leniently")]
         load: Option<LoadSummary>,
     },
 }
 
 impl SubmitAnswer {
-    /// Returns how full the fleet is, where that was said.
+    /// Returns the load summary, if the answer has one.
     pub(crate) fn load(self) -> Option<LoadSummary> {
         match self {
             Self::Taken(_) => None,
@@ -70,8 +68,8 @@
 /// Calls between daemons.
 #[rpc(server, client)]
 pub(crate) trait Peer {
-    /// Tells the planner of an accepted job; the answer says how full the fleet is where that is
-    /// asked for.
+    /// Notifies the planner of an accepted job. The answer has a load summary if `wants_load` is
+    /// true.
     #[method(name = "submitted")]
     async fn submitted(
         &self,
@@ -79,33 +77,34 @@
         wants_load: Option<bool>,
     ) -> RpcResult<SubmitAnswer>;
 
-    /// Tells the planner of a cancelled job; false where the daemon is not the planner.
+    /// Notifies the planner of a cancelled job; returns false if the daemon is not the planner.
     #[method(name = "cancelled")]
     async fn cancelled(&self, id: JobId) -> RpcResult<bool>;
 
-    /// Asks the planner for a job.
+    /// Returns the planner's state of a job.
     #[method(name = "job")]
     async fn job(&self, id: JobId) -> RpcResult<JobAnswer>;
 
-    /// Asks the planner how many jobs of a queue wait; none where it is not the planner.
+    /// Returns the number of waiting jobs in a queue, or `None` if the daemon is not the planner.
     #[method(name = "pending")]
     async fn pending(&self, queue: String) -> RpcResult<Option<u64>>;
 
-    /// Asks the planner where a job stands; none where it is not the planner or does not know it.
+    /// Explains the state of a job. Returns `None` if the daemon is not the planner or does not
+    /// know the job.
     #[method(name = "explain")]
     async fn explain(&self, id: JobId) -> RpcResult<Option<JobExplanation>>;
 
-    /// Writes a job to the store for a daemon that the store does not serve.
+    /// Writes a job to the store on behalf of a daemon that the store does not serve.
     #[method(name = "accept")]
     async fn accept(&self, job: AcceptedJob) -> RpcResult<Acceptance>;
 
-    /// Writes a cancellation to the store for a daemon that the store does not serve.
+    /// Writes a cancellation to the store on behalf of a daemon that the store does not serve.
     #[method(name = "cancel")]
     async fn cancel(&self, id: JobId, customer: Option<CustomerId>) -> RpcResult<Cancellation>;
 
-    /// Returns the configuration in force, where it is newer than `version`, the planner, whether
-    /// the store serves the daemon that is asked, some other daemons, and how full the fleet is where
-    /// that is asked for and the daemon is the planner.
+    /// Returns what the daemon knows: the configuration if it is newer than `version`, the planner,
+    /// whether the store serves the daemon, and some other daemons. A planner adds a load summary
+    /// if `wants_load` is true.
     #[method(name = "news")]
     async fn news(
         &self,
@@ -114,30 +113,30 @@
         wants_load: Option<bool>,
     ) -> RpcResult<News>;
 
-    /// Offers the planner's role to a daemon; false where it does not want it.
+    /// Offers the planner role to the daemon; returns whether it wants the role.
     #[method(name = "offer")]
     async fn offer(&self, offer: RoleOffer) -> RpcResult<bool>;
 
-    /// Tells a daemon that held the planner's role who has taken it.
+    /// Notifies a daemon that held the planner role of the new planner.
     #[method(name = "taken")]
     async fn taken(&self, planner: PlannerRecord) -> RpcResult<()>;
 }
 
-/// What a daemon tells another one that asks.
+/// What a daemon reports to a peer that asks.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct News {
-    /// The configuration, where it is newer than the asker's.
+    /// The configuration, if it is newer than that of the asking daemon.
     pub(crate) catalog: Option<Catalog>,
-    /// Who holds the planner's role, as far as is known.
+    /// The latest known holder of the planner role.
     pub(crate) planner: Option<PlannerRecord>,
-    /// Whether the store serves the daemon that answers.
+    /// Whether the store serves the answering daemon.
     pub(crate) is_served: bool,
-    /// How long to wait before the planner is called again only to say that one is there, in
+    /// How long the asking daemon should wait before it announces itself to the planner again, in
     /// milliseconds.
     pub(crate) pause_ms: u64,
-    /// Daemons that the asker should know, the one that answers among them.
+    /// Daemons that the asking daemon should know, including the answering one.
     pub(crate) peers: Vec<PeerAddress>,
-    /// How full the fleet is.
+    /// The load of the fleet, if the answering daemon is the planner.
     #[serde(
         default,
         deserialize_with = "load::read_leniently",
@@ -146,7 +145,7 @@
     pub(crate) load: Option<LoadSummary>,
 }
 
-/// Serves peers.
+/// Serves the RPC calls of peers.
 #[derive(Debug)]
 struct PeerService(Arc<Node>);
 
@@ -188,7 +187,7 @@
         if self.0.store_health.holds_back(self.0.clock.now()) {
             return Ok(Acceptance::NotKept);
         }
-        // Its caller may have gone elsewhere, and been refused there.
+        // The caller may have been refused by another daemon since.
         let mut job = job;
         let called_at = self.0.clock.now();
         Ok(accept::write_job(&self.0, &mut job, Marks::Stand, called_at).await)
@@ -224,7 +223,7 @@
     }
 }
 
-/// Starts to serve peers.
+/// Starts the RPC server.
 pub(crate) async fn serve(node: Arc<Node>) -> std::io::Result<(SocketAddr, ServerHandle)> {
     let config = ServerConfig::builder().http_only().build();
     let server = Server::builder()
@@ -235,13 +234,13 @@
     Ok((address, server.start(PeerService(node).into_rpc())))
 }
 
-/// Clients of peers, kept with their connections.
+/// A cache of RPC clients, which keep their connections open.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    /// Longest call.
+    /// Longest RPC call.
     timeout: Duration,
     clients: Mutex<HashMap<String, HttpClient>>,
-    /// The address that did not answer last.
+    /// The address of the last failed call to the planner.
     failing: Mutex<Option<String>>,
 }
 
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Returns a client of the daemon that listens at `address`.
+    /// Returns a client for the daemon at `address`.
     pub(crate) fn client(&self, address: &str) -> Option<HttpClient> {
         let mut clients = lock(&self.clients);
         if let Some(client) = clients.get(address) {
@@ -276,8 +275,8 @@
         lock(&self.clients).remove(address);
     }
 
-    /// Notes what became of a call to the planner; after a failure its connections are dropped,
-    /// since the other end may be dead without a word.
+    /// Records the result of a call to the planner. After a failure its connections are dropped,
+    /// since the other end may have disappeared without closing them.
     pub(crate) fn note<T>(&self, address: &str, answer: &Result<T, RpcError>) {
         let fails = answer.is_err();
         let failed_before = {
@@ -293,17 +292,17 @@
         };
         match answer {
             Err(error) if !failed_before => {
-                log::warn!(target: "dependency", on = "planner", address, why:% = error; "it does not answer");
+                log::warn!(target: "dependency", on = "planner", address, why:% = error; "planner does not answer");
             }
             Ok(_) if failed_before => {
-                log::info!(target: "dependency", on = "planner", address; "it answers again");
+                log::info!(target: "dependency", on = "planner", address; "planner answers again");
             }
             _ => {}
         }
     }
 }
 
-/// Tells whether a call to a peer that failed may have been carried out: not where no connection
+/// Returns whether a failed call may have been carried out by the peer. It was not if no connection
 /// was made.
 pub(crate) fn may_have_left(error: &RpcError) -> bool {
     let mut cause: Option<&(dyn std::error::Error + 'static)> = Some(error);
--- a/crates/stairstalld/src/batch/serve.rs
+++ b/crates/stairstalld/src/batch/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a batch daemon and stops them without cutting anything off.
+//! Starts the parts of a batch daemon, and stops them after open calls are answered.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,18 +18,19 @@
 use crate::serve::{RunError, system};
 use crate::shutdown::{self, Drained, Shutdown};
 
-/// How long a caller may take to send a request's head, and keep a connection unused.
+/// Longest time that a caller may take to send a request head, or leave a connection idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a connection to the store or a worker may take to open.
+/// Longest time to open a connection to the store or a worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Unused connections kept to the store and to each worker.
+/// Number of idle connections kept to the store and to each worker.
 const IDLE_CONNECTIONS: usize = 4;
 
-/// Serves until a signal asks for a stop and everything in flight has ended.
+/// Runs a batch daemon until a signal requests a stop and all open calls are answered.
 ///
 /// # Errors
 ///
-/// Returns what failed at the start, or that the drain limit cut calls off.
+/// Returns why the daemon could not start, or [`RunError::CutOff`] if calls were still open at the
+/// drain limit.
 pub fn run(settings: BatchSettings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -95,7 +96,7 @@
     if drained? == Drained::CutOff {
         return Err(RunError::CutOff);
     }
-    log::info!(target: "stop", vm:% = node.me(); "nothing is in flight: stopped");
+    log::info!(target: "stop", vm:% = node.me(); "stopped; no calls were open");
     Ok(())
 }
 
@@ -120,6 +121,6 @@
 async fn serve_plain(listener: NoDelayListener, router: viz::Router) {
     let server = viz::Server::with_builder(listener, router, builder());
     if let Err(error) = server.into_future().await {
-        log::error!(target: "start", error:% = error; "an address is not served any more");
+        log::error!(target: "start", error:% = error; "a listening address is no longer served");
     }
 }
--- a/crates/stairstalld/src/batch/settings.rs
+++ b/crates/stairstalld/src/batch/settings.rs
@@ -11,17 +11,16 @@
 
 mod policy;
 
-/// Longest bound that makes sense, in milliseconds.
+/// Longest allowed time limit, in milliseconds.
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
-/// Bound on evacuations where the platform states none, in milliseconds: that of the one site that
-/// has evacuations.
+/// Default bound for an evacuation to take effect, in milliseconds, for platforms that state none.
+/// It is the bound of the only site so far that evacuates zones.
 const DEFAULT_EVACUATE_MS: &str = "5000";
 
-/// Bytes in a megabit.
 const BYTES_PER_MBIT: u64 = 125_000;
 
-/// Settings as they were given, unchecked.
+/// Unchecked settings as they were given.
 #[derive(Debug, Clone)]
 struct Raw {
     vm: String,
@@ -56,42 +55,42 @@
     pub vm: VmId,
     /// Availability zone of this VM.
     pub zone: ZoneId,
-    /// Where callers are served.
+    /// Address that serves callers.
     pub listen: SocketAddr,
-    /// Where the balancer asks for health.
+    /// Address for the load balancer's health checks.
     pub health_listen: SocketAddr,
-    /// Where other daemons are served.
+    /// Address that serves other daemons.
     pub rpc_listen: SocketAddr,
-    /// Where figures are served as text.
+    /// Address that serves metrics as text.
     pub metrics_listen: SocketAddr,
-    /// The platform's shared store.
+    /// Address of the platform's shared store.
     pub store: SocketAddr,
-    /// Who says which workers may run a step, where queues ask for that.
+    /// Address of the service that tells which workers may run a step, for queues that require it.
     pub adviser: Option<SocketAddr>,
-    /// Processor of this VM, in percent of a core.
+    /// CPU of this VM, in percent of a core.
     pub cpu_percent: u32,
-    /// What this VM's link carries, in megabits a second.
+    /// Capacity of this VM's network link, in megabits per second.
     pub link_mbps: u32,
     /// Longest call to the store.
     pub store_timeout: Duration,
-    /// Lease of the planner's role.
+    /// Length of the lease on the planner role.
     pub role_lease: Duration,
-    /// Times that the workers keep to.
+    /// Time limits and factors of the platform.
     pub bounds: Bounds,
-    /// How long new calls are still taken after a stop was asked for.
+    /// How long new calls are still accepted after a stop was requested.
     pub drain_delay: Duration,
-    /// How long calls in flight may take after that.
+    /// How long open calls may take after the drain delay.
     pub drain_limit: Duration,
-    /// How the planner and the daemon round it decide.
+    /// Parameters of the planner and of the daemon around it.
     pub policy: Policy,
     /// Log filter.
     pub log: String,
-    /// Log lines of one kind a second, at most.
+    /// Highest number of log lines of one kind per second.
     pub log_lines_per_s: u32,
 }
 
 impl BatchSettings {
-    /// Returns what this VM can carry.
+    /// Returns the capacity of this VM.
     pub(crate) fn vm_limits(&self) -> VmLimits {
         VmLimits {
             link_bytes_per_s: u64::from(self.link_mbps) * BYTES_PER_MBIT,
@@ -109,7 +108,7 @@
     };
 }
 
-#[allow(clippy::too_many_lines, reason = "one statement a flag")]
+#[allow(clippy::too_many_lines, reason = "one statement per flag")]
 fn parser() -> OptionParser<Raw> {
     let vm = flag!("vm", "STAIRSTALL_VM", "Name of this VM");
     let zone = flag!("zone", "STAIRSTALL_ZONE", "Availability zone of this VM");
@@ -255,7 +254,8 @@
 }
 
 impl BatchSettings {
-    /// Reads the settings of this process; `--help` and `--version` end it.
+    /// Reads the settings from the flags and environment of this process. `--help` and `--version`
+    /// end the process.
     ///
     /// # Errors
     ///
@@ -277,7 +277,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every setting that is not allowed, or that the arguments can't be read.
+    /// Returns every setting that is not allowed, or why the arguments can't be parsed.
     pub fn from_arguments(arguments: &[&str]) -> Result<Self, Mistakes> {
         match parser().run_inner(arguments) {
             Ok(raw) => Self::check(&raw),
@@ -294,7 +294,8 @@
         }
     }
 
-    /// Reads every field before the first missing one can end the reading.
+    /// Checks every field before it returns at the first invalid one, so that all errors are
+    /// reported at once.
     fn read(raw: &Raw, checks: &mut Checks) -> Option<Self> {
         let vm = checks.name("--vm", &raw.vm);
         let zone = checks.name("--zone", &raw.zone);
@@ -357,14 +358,14 @@
     }
 }
 
-/// Largest processor share and link that make sense.
+/// Largest allowed CPU share and link capacity.
 const MAX_SHARE: f64 = 1_000_000.0;
 
-/// Reads a positive number, whole or not; a part of one counts in percent.
+/// Parses a positive number as percent; a number up to 1 is a fraction of a core.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "checked to be from 0 to a million"
+    reason = "checked to be between 0 and a million"
 )]
 fn share(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
     let number = positive(checks, flag, value)?;
@@ -376,11 +377,11 @@
     Some(scaled.ceil() as u32)
 }
 
-/// Reads a positive number and rounds it up.
+/// Parses a positive number and rounds it up.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "checked to be from 0 to a million"
+    reason = "checked to be between 0 and a million"
 )]
 fn amount(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
     Some(positive(checks, flag, value)?.ceil() as u32)
--- a/crates/stairstalld/src/batch/settings/policy.rs
+++ b/crates/stairstalld/src/batch/settings/policy.rs
@@ -1,11 +1,11 @@
-//! Changes of the policy's values by name.
+//! Overrides of single policy values by name.
 
 use serde_json::Value;
 use stairstall_core::batch::Policy;
 
 use crate::settings::{Checks, Mistake};
 
-/// Reads changes such as `reports.shortest_wait=500`, each of the default policy's values.
+/// Applies overrides such as `reports.shortest_wait=500` to the default policy.
 pub(super) fn read(changes: &[String], checks: &mut Checks) -> Option<Policy> {
     let mut policy = Policy::default();
     let mut is_whole = true;
@@ -33,7 +33,7 @@
     });
 }
 
-/// Returns the policy with one value changed, or what would have been allowed.
+/// Returns the policy with one value overridden, or a description of what is allowed.
 fn apply(policy: &Policy, change: &str) -> Result<Policy, String> {
     let (path, value) = change
         .split_once('=')
--- a/crates/stairstalld/src/batch/telemetry.rs
+++ b/crates/stairstalld/src/batch/telemetry.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text.
+//! Counters, gauges and latency histograms, served as Prometheus text.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 
 use stairstall_core::batch::{ContactLag, PaceSummary};
 
-/// Bounds of the histograms, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const BUCKETS: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// Figures of one daemon; docs/METRICS.md lists them.
+/// Metrics of one daemon, listed in docs/METRICS.md.
 #[derive(Debug)]
 pub(crate) struct Telemetry {
     registry: Registry,
@@ -64,12 +64,12 @@
     IntGauge::new(name, help).expect("constant names are valid")
 }
 
-/// Returns a count as a gauge takes it.
+/// Converts a count to the value of a gauge.
 fn count(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Returns a time as a gauge takes it, in whole milliseconds.
+/// Converts a duration to the value of a gauge, in whole milliseconds.
 fn whole_millis(span: Duration) -> i64 {
     i64::try_from(span.as_millis()).unwrap_or(i64::MAX)
 }
@@ -238,7 +238,7 @@
             .observe(spent.as_secs_f64());
     }
 
-    /// Counts a job that was handed in, as accepted or by the reason why it was refused.
+    /// Counts a submitted job by outcome: accepted, or the reason for its refusal.
     pub(crate) fn admission(&self, priority: u8, outcome: &'static str) {
         let priority = priority.to_string();
         self.admissions
@@ -285,14 +285,14 @@
         self.starts_under_way.set(count(lag.starts_under_way));
     }
 
-    /// Returns all figures as text.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let dropped = crate::logging::dropped_lines();
         self.dropped_lines
             .set(i64::try_from(dropped).unwrap_or(i64::MAX));
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!(target: "metrics", error:% = error; "figures can't be written");
+            log::warn!(target: "metrics", error:% = error; "can't encode metrics");
         }
         text
     }
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -1,4 +1,4 @@
-//! What the planner does while it holds the role.
+//! Runs the planner while this daemon holds the planner role.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -21,12 +21,12 @@
 use crate::clock::{Clock, unix_millis};
 use crate::daemon::lock;
 
-/// Pause while the lease is not known to be in force.
+/// Delay while the lease is not known to be valid.
 const SUSPENDED_PAUSE: Duration = Duration::from_millis(50);
-/// Pause before loading is tried again.
+/// Delay before the initial load is retried.
 const LOAD_PAUSE: Duration = Duration::from_millis(100);
 
-/// One tenure of the planner's role.
+/// One tenure: the time during which this daemon holds the planner role.
 #[derive(Debug)]
 pub(crate) struct Tenure {
     token: u64,
@@ -36,13 +36,13 @@
     /// Revision of the role's key.
     pub(crate) role_revision: Revision,
     loaded: AtomicBool,
-    /// Wakes the planning.
+    /// Wakes the planning loop.
     wake: Notify,
     /// Wakes the writer.
     pub(crate) dirty: Notify,
-    /// Says that something was written.
+    /// Notifies waiters that a write has succeeded.
     pub(crate) written: Notify,
-    /// Says that the lease is in force again after it was not.
+    /// Notifies the job watch that the lease is valid again after it had lapsed.
     pub(crate) resumed: Notify,
     ended: watch::Sender<Option<&'static str>>,
 }
@@ -79,10 +79,10 @@
         Now::new(self.clock.now(), unix_millis())
     }
 
-    /// Takes a renewal; answers may come in another order than they were asked for.
+    /// Extends the lease by a renewal; ignores answers that arrive out of order.
     ///
-    /// Where the lease was not in force before, cancellations were kept without the planner: those are
-    /// read before anything starts.
+    /// While the lease had lapsed, daemons may have stored cancellations without notifying the
+    /// planner. Stored jobs and cancellations are therefore read again before anything starts.
     pub(crate) fn extend_lease(&self, renewed: Lease) {
         let mut lease = lock(&self.lease);
         if renewed.ends_at() <= lease.ends_at() {
@@ -95,7 +95,8 @@
         *lease = renewed;
     }
 
-    /// Tells whether orders may be given at this moment.
+    /// Returns whether the planner may give orders: the tenure has not ended and its lease is
+    /// valid.
     pub(crate) fn is_in_force(&self) -> bool {
         self.ended.borrow().is_none() && lock(&self.lease).is_valid(self.clock.now())
     }
@@ -110,7 +111,8 @@
         });
     }
 
-    /// Does something with the planner and wakes those that have to act on it.
+    /// Calls `act` with the planner, then wakes the planning loop and the writer if they have work
+    /// to do. Ends the tenure if a worker has seen a higher fencing token.
     pub(crate) fn with<T>(&self, act: impl FnOnce(&mut Planner, Now) -> T) -> T {
         let now = self.now();
         let mut planner = lock(&self.planner);
@@ -122,7 +124,7 @@
             self.dirty.notify_one();
         }
         if planner.is_superseded() {
-            self.give_up("a worker has seen a higher token");
+            self.give_up("a worker has seen a higher fencing token");
         }
         result
     }
@@ -131,7 +133,7 @@
         self.loaded.load(Ordering::Acquire) && self.is_in_force()
     }
 
-    /// Takes an accepted job; false where this tenure is not in force.
+    /// Adds an accepted job; returns false if this tenure is not in force.
     pub(crate) fn submit(&self, job: AcceptedJob) -> bool {
         let answers = self.answers();
         if answers {
@@ -140,7 +142,7 @@
         answers
     }
 
-    /// Takes a cancellation; false where this tenure is not in force.
+    /// Cancels a job; returns false if this tenure is not in force or does not know the job.
     pub(crate) fn cancel(&self, id: &JobId) -> bool {
         self.answers() && self.with(|planner, now| planner.cancel(id, now))
     }
@@ -163,7 +165,8 @@
         }
     }
 
-    /// Explains where a job stands; none where this tenure is not in force or does not know it.
+    /// Explains the state of a job. Returns `None` if this tenure is not in force or does not know
+    /// the job.
     pub(crate) fn explain(&self, id: &JobId) -> Option<JobExplanation> {
         let answers = self.answers();
         answers
@@ -175,19 +178,19 @@
         self.answers().then(|| lock(&self.planner).pending(queue))
     }
 
-    /// Returns how full the fleet is; none where this tenure is not in force.
+    /// Returns a summary of the fleet's load, or `None` if this tenure is not in force.
     pub(crate) fn load_summary(&self) -> Option<LoadSummary> {
         let now = self.now();
         self.answers()
             .then(|| lock(&self.planner).load_summary(now))
     }
 
-    /// Returns how far this planner keeps up with its workers.
+    /// Returns how current the planner's contact with its workers is.
     pub(crate) fn contact_lag(&self) -> ContactLag {
         lock(&self.planner).contact_lag(self.now())
     }
 
-    /// Returns how many zones are evacuated, and how old that word is.
+    /// Returns the number of evacuated zones and the age of that information.
     pub(crate) fn evacuations(&self) -> (usize, Option<Duration>) {
         let planner = lock(&self.planner);
         (
@@ -196,25 +199,25 @@
         )
     }
 
-    /// Returns what is known of the pace of workers.
+    /// Returns a summary of the known paces of workers.
     pub(crate) fn pace_summary(&self) -> PaceSummary {
         lock(&self.planner).pace_summary()
     }
 
-    /// Returns the customers that have used most, and the fair use of each, in milliseconds of the
-    /// whole fleet.
+    /// Returns the customers with the highest usage, and the fair usage of each customer, in
+    /// milliseconds of the whole fleet.
     pub(crate) fn customer_use(&self, most: usize) -> (Vec<CustomerUsageTotal>, u64) {
         lock(&self.planner).customer_usage(most, self.now())
     }
 
-    /// Returns how many jobs are open and how many runs there are.
+    /// Returns the number of open jobs and the number of runs.
     pub(crate) fn load(&self) -> (usize, usize) {
         let planner = lock(&self.planner);
         (planner.open_jobs(), planner.runs())
     }
 }
 
-/// Plans until the tenure ends; returns why it did.
+/// Runs the planner until the tenure ends; returns why it ended.
 pub(crate) async fn run(node: &Arc<Node>, tenure: &Arc<Tenure>) -> &'static str {
     let mut ended = tenure.ended.subscribe();
     let planning = plan(node, tenure);
@@ -223,8 +226,8 @@
         ended.ok().and_then(|why| *why)
     };
     tokio::select! {
-        why = stopped => why.unwrap_or("the daemon ends"),
-        () = planning => "planning ended",
+        why = stopped => why.unwrap_or("the daemon is shutting down"),
+        () = planning => "the planning loop ended",
     }
 }
 
@@ -237,7 +240,7 @@
     node.telemetry.takeover(took);
     let (open_jobs, _) = tenure.load();
     log::info!(target: "role", token = tenure.token, open_jobs, ms = crate::clock::millis(took);
-        "jobs and workers are loaded");
+        "jobs and workers loaded");
     let mut tasks = JoinSet::new();
     tasks.spawn(directory::follow(
         Arc::clone(node),
@@ -277,15 +280,15 @@
     }
 }
 
-/// Longest wait for the adviser's answer.
+/// Longest call to the adviser.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Puts the planner's questions to the adviser, each in a task of its own.
+/// Sends the planner's requests to the adviser, each in its own task.
 fn ask_adviser(node: &Arc<Node>, tenure: &Arc<Tenure>, tasks: &mut JoinSet<()>) {
     let requests = tenure.with(|planner, _| planner.take_advice_requests());
     for request in requests {
         let Some(adviser) = node.adviser.clone() else {
-            log::warn!(target: "advice", step:% = request.group; "no adviser is set");
+            log::warn!(target: "advice", step:% = request.group; "no adviser configured");
             tenure.with(|planner, _| planner.handle_advice_failure(&request));
             continue;
         };
@@ -295,11 +298,11 @@
             match asked {
                 Ok(good) => {
                     log::info!(target: "advice", step:% = request.group,
-                        asked = request.workers.len(), good = good.len(); "answered");
+                        asked = request.workers.len(), good = good.len(); "adviser answered");
                     tenure.with(|planner, now| planner.handle_advice(&request, good, now));
                 }
                 Err(error) => {
-                    log::warn!(target: "advice", step:% = request.group, why:% = error; "no answer");
+                    log::warn!(target: "advice", step:% = request.group, why:% = error; "adviser did not answer");
                     tenure.with(|planner, _| planner.handle_advice_failure(&request));
                 }
             }
@@ -308,13 +311,13 @@
     while tasks.try_join_next().is_some() {}
 }
 
-/// Reads what earlier planners left; tries until it is whole.
+/// Loads what earlier planners have stored; retries until everything is read.
 async fn load(node: &Node, tenure: &Tenure) -> (Revision, Revision, writer::Revisions) {
     loop {
         let loaded = async {
             let workers = directory::load(node, tenure);
             let listings = node.listings(workers, intake::read(node));
-            // A short answer: it costs a slow store's delay no second time.
+            // A short response, read concurrently so that a slow store adds its latency only once.
             let evacuations = evacuation::load(node, tenure);
             let ((directory_at, kept), ()) = futures::try_join!(listings, evacuations)?;
             let (intake_at, revisions) = intake::load(kept, tenure);
@@ -323,14 +326,14 @@
         match loaded.await {
             Ok(loaded) => return loaded,
             Err(fault) => {
-                log::warn!(target: "role", token = tenure.token, why:% = fault; "loading again");
+                log::warn!(target: "role", token = tenure.token, why:% = fault; "could not load the stored state; retrying");
                 node.pause(LOAD_PAUSE).await;
             }
         }
     }
 }
 
-/// Writes the line that says where an ended job's time went.
+/// Logs and counts where the time of an ended job went.
 fn tell_summary(node: &Node, token: u64, summary: &JobSummary) {
     for span in JobPhase::ALL {
         let spent = summary.phases.get(&span).copied().unwrap_or_default();
@@ -350,10 +353,10 @@
         work_ms = crate::clock::millis(summary.work), aim_ms = crate::clock::millis(summary.target),
         estimate_ms = crate::clock::millis(summary.estimate),
         starts = summary.starts, setbacks:% = summary.setbacks,
-        taken_over = summary.taken_over; "its end is written down");
+        taken_over = summary.taken_over; "job end stored");
 }
 
-/// Writes the line of one decision.
+/// Logs and counts one decision.
 fn tell(node: &Node, token: u64, decision: &Decision) {
     node.telemetry.decision(decision.kind.as_str());
     if let Some(after) = decision.waited {
--- a/crates/stairstalld/src/batch/upkeep.rs
+++ b/crates/stairstalld/src/batch/upkeep.rs
@@ -1,5 +1,5 @@
-//! What a planner does now and then: makes the records of ended jobs short, and says how far it
-//! keeps up.
+//! Periodic work of the planner: shortens the records of ended jobs, stores learned estimates and
+//! logs status lines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use super::{kept, keys};
 use crate::clock::millis;
 
-/// How often ended jobs are looked for.
+/// Interval between rounds.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Rounds after which a line says how far the planner keeps up.
+/// Number of rounds between status lines.
 const ROUNDS_PER_LINE: u64 = 5;
-/// Rounds after which what was learnt may be written again.
+/// Number of rounds between two writes of learned estimates.
 const ROUNDS_PER_LEARNT: u64 = 2;
-/// Customers of which a line says what they used.
+/// Number of customers whose usage is logged.
 const CUSTOMERS_TOLD: usize = 5;
-/// Jobs in one write: the store takes 32 entries, up to two a job and one for the role.
+/// Jobs in one write. The store accepts 32 entries, up to two for each job and one for the role.
 const JOBS_PER_WRITE: usize = 15;
 
-/// Does so for as long as the tenure lasts.
+/// Does the periodic work for as long as the tenure lasts.
 pub(crate) async fn run(node: Arc<Node>, tenure: Arc<Tenure>) {
     let mut written = LearnedEstimates::default();
     for round in 1_u64.. {
@@ -46,24 +46,24 @@
     }
 }
 
-/// Writes the line that says how far the planner keeps up with its workers.
+/// Logs how current the planner's contact with its workers is.
 fn tell_lag(tenure: &Tenure) {
     let lag = tenure.contact_lag();
     let (evacuated, evacuations_age) = tenure.evacuations();
     log::info!(target: "contact", token = tenure.token(), silent = lag.silent,
         oldest_report_ms = millis(lag.oldest_report), report_wait_ms = millis(lag.report_wait),
         starts_under_way = lag.starts_under_way, evacuated_zones = evacuated,
-        evacuations_age_ms = millis(evacuations_age.unwrap_or_default()); "reports and starts of this planner");
+        evacuations_age_ms = millis(evacuations_age.unwrap_or_default()); "worker contact of this planner");
 }
 
-/// Writes the line that says how many workers are known to differ in pace.
+/// Logs how many workers differ in pace.
 fn tell_paces(tenure: &Tenure) {
     let paces = tenure.pace_summary();
     log::info!(target: "pace", token = tenure.token(), known = paces.known, slow = paces.slow,
-        fast = paces.fast, uneven = paces.is_heterogeneous; "pace of workers");
+        fast = paces.fast, uneven = paces.is_heterogeneous; "paces of workers");
 }
 
-/// Writes a line for each of the customers that have used most lately.
+/// Logs the recent usage of the customers with the highest usage.
 fn tell_use(tenure: &Tenure) {
     let (customers, fair_ms) = tenure.customer_use(CUSTOMERS_TOLD);
     for one in customers {
@@ -71,12 +71,12 @@
             .customer
             .map_or_else(|| "-".to_owned(), |name| name.to_string());
         log::info!(target: "use", token = tenure.token(), customer:% = customer,
-            used_ms = one.used_ms, fair_ms; "time of the whole fleet that a customer used lately");
+            used_ms = one.used_ms, fair_ms; "recent usage of a customer, in time of the whole fleet");
     }
 }
 
-/// Writes down what was learnt, where the next planner would know more by it than by what was
-/// written before; what can't be written is tried again the next time.
+/// Stores the learned estimates if they would tell the next planner more than those stored before.
+/// A failed write is retried in a later round.
 async fn keep_learnt(node: &Node, tenure: &Tenure, written: &mut LearnedEstimates) {
     let learnt = tenure.with(|planner, now| planner.learned_estimates(now));
     if !learnt.differs_significantly_from(written) {
@@ -85,7 +85,7 @@
     let value = match kept::write(&learnt) {
         Ok(value) => value,
         Err(error) => {
-            log::error!(target: "upkeep", why:% = error; "what was learnt can't be written");
+            log::error!(target: "upkeep", why:% = error; "can't encode learned estimates");
             return;
         }
     };
@@ -97,7 +97,7 @@
     if is_done {
         *written = learnt;
     }
-    log::info!(target: "upkeep", bytes, done = is_done; "what was learnt is written down");
+    log::info!(target: "upkeep", bytes, done = is_done; "storing learned estimates");
 }
 
 async fn write(node: &Node, tenure: &Tenure, trims: &[AcceptedJob]) {
@@ -106,7 +106,7 @@
         match kept::write(job) {
             Ok(value) => commit = commit.put(keys::job(&job.id), value),
             Err(error) => {
-                log::error!(target: "upkeep", job:% = job.id, why:% = error; "its record can't be written");
+                log::error!(target: "upkeep", job:% = job.id, why:% = error; "can't encode the job's record");
             }
         }
     }
@@ -121,5 +121,5 @@
             }
         }
     });
-    log::info!(target: "upkeep", jobs = trims.len(), done = is_done; "records of ended jobs are shortened");
+    log::info!(target: "upkeep", jobs = trims.len(), done = is_done; "shortening records of ended jobs");
 }
--- a/crates/stairstalld/src/batch/writer.rs
+++ b/crates/stairstalld/src/batch/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the jobs' progress to the store, many at a time, as long as the role is held.
+//! Writes the progress of jobs to the store in batches, for as long as this daemon holds the role.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,42 +16,42 @@
 use super::tenure::Tenure;
 use super::{kept, keys};
 
-/// Revisions of the progress keys, by job.
+/// Revisions of the progress keys by job.
 pub(crate) type Revisions = BTreeMap<JobId, Revision>;
 
-/// Pause after a failure.
+/// Delay after a failure.
 const PAUSE: Duration = Duration::from_millis(40);
-/// How often ended jobs are looked through for those to forget.
+/// Interval at which expired jobs are removed.
 const FORGET_INTERVAL: Duration = Duration::from_secs(5);
-/// Jobs that are forgotten in one write.
+/// Number of expired jobs removed by one write.
 const JOBS_PER_FORGET: usize = 9;
 
-/// A write that was sent, and what became of it.
+/// A completed write and its outcome.
 struct Sent {
     writes: Vec<ProgressWrite>,
-    /// Length of its values.
+    /// Total length of the written values.
     bytes: usize,
     outcome: Result<Committed, StoreFault>,
 }
 
-/// The writes of one tenure.
+/// The progress writes of one tenure.
 struct Writer {
     node: Arc<Node>,
     tenure: Arc<Tenure>,
     revisions: Revisions,
     /// Jobs whose progress is being written.
     busy: BTreeSet<JobId>,
-    /// Length of the values that are being written.
+    /// Total length of the values that are being written.
     bytes_under_way: usize,
-    /// When ended jobs were last looked through for those to forget.
+    /// When expired jobs were last removed.
     forgot_at: Instant,
     under_way: FuturesUnordered<BoxFuture<'static, Sent>>,
 }
 
-/// Writes for as long as the tenure lasts.
+/// Writes progress for as long as the tenure lasts.
 ///
-/// One write at a time, as long as the store is quick: more gathers in each.
-/// While it is slow, further jobs' progress is sent beside.
+/// While the store is fast there is one write at a time, so that more changes are collected in
+/// each. While it is slow, the progress of further jobs is written concurrently.
 pub(crate) async fn run(node: Arc<Node>, tenure: Arc<Tenure>, revisions: Revisions) {
     let mut writer = Writer {
         node,
@@ -79,7 +79,8 @@
         self.under_way.len() < usize::from(most) && self.bytes_under_way < self.window()
     }
 
-    /// Returns how many bytes may be under way: more would only wait for the link, before orders.
+    /// Returns the largest number of bytes in flight. More bytes would only queue on the link,
+    /// ahead of orders.
     fn window(&self) -> usize {
         let per_s = self.node.settings.vm_limits().link_bytes_per_s;
         let window = self.node.settings.policy.writing.link_window;
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Sends what waits and is not being written already.
+    /// Writes the progress of jobs that have changes and no write in flight.
     fn send_next(&mut self) {
         let busy = &self.busy;
         let jobs = usize::from(self.node.settings.policy.writing.jobs_per_write);
@@ -127,8 +128,8 @@
         self.under_way.push(sent.boxed());
     }
 
-    /// Puts as many writes into a commit as the window lets, one at least, and gives the others
-    /// back; returns the commit, what is in it, and the length of its values.
+    /// Adds writes to a commit up to the byte window, at least one, and returns the others to the
+    /// planner. Returns the commit, the writes in it, and the total length of their values.
     fn fill(&self, writes: Vec<ProgressWrite>) -> (Commit, Vec<ProgressWrite>, usize) {
         let left = self.window().saturating_sub(self.bytes_under_way);
         let mut commit = Commit::default().when(keys::PLANNER, self.tenure.role_revision);
@@ -149,14 +150,15 @@
                     sent.push(write);
                 }
                 Err(error) => {
-                    log::error!(target: "writer", job:% = write.job, why:% = error; "its progress can't be written");
+                    log::error!(target: "writer", job:% = write.job, why:% = error; "can't encode the job's progress");
                 }
             }
         }
         (commit, sent, bytes)
     }
 
-    /// Takes the next answer, or gives it up for now where it is time to send more beside.
+    /// Waits for the next write to complete. Stops waiting after a while if another write can be
+    /// sent.
     async fn take_answer(&mut self) {
         let may_send_more = self.may_send_more();
         let next = self.under_way.next();
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Takes what became of a write; true where it lasts.
+    /// Handles the outcome of a write; returns whether it was stored.
     fn lasts(&mut self, sent: &Sent) -> bool {
         match &sent.outcome {
             Ok(Committed::Done(revision)) => {
@@ -205,7 +207,8 @@
     }
 }
 
-/// Learns from the keys as they are who holds the role and what was written after all.
+/// Handles a failed condition: ends the tenure if another planner holds the role, else takes over
+/// the current revisions of the progress keys.
 fn take_conflict(
     tenure: &Tenure,
     revisions: &mut Revisions,
@@ -216,7 +219,7 @@
         .iter()
         .any(|item| item.key == keys::PLANNER && item.revision == tenure.role_revision);
     if !holds {
-        tenure.give_up("the store has another planner");
+        tenure.give_up("another planner holds the role in the store");
         return;
     }
     for write in writes {
@@ -227,7 +230,7 @@
     }
 }
 
-/// Removes jobs that ended long ago.
+/// Removes the records of expired jobs.
 async fn forget(node: &Node, tenure: &Tenure, revisions: &mut Revisions) {
     let expired = tenure.with(Planner::take_expired);
     for ids in expired.chunks(JOBS_PER_FORGET) {
@@ -240,6 +243,6 @@
                 .remove(keys::progress(id));
         }
         let removed = node.stored("forget", node.store.commit(commit)).await;
-        log::info!(target: "forget", jobs = ids.len(), done = removed.is_ok(); "ended long ago");
+        log::info!(target: "forget", jobs = ids.len(), done = removed.is_ok(); "removing expired jobs");
     }
 }
--- a/crates/stairstalld/tests/batch/admission.rs
+++ b/crates/stairstalld/tests/batch/admission.rs
@@ -299,14 +299,16 @@
     cluster.daemons.remove(planner);
     let until = Instant::now() + PATIENCE;
     let loaded = |cluster: &Cluster| {
-        let lines = cluster.daemons[0].log_lines("jobs and workers are loaded");
+        let lines = cluster.daemons[0].log_lines("jobs and workers loaded");
         !lines.is_empty()
     };
     while !loaded(&cluster) {
         assert!(Instant::now() < until, "no new planner");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(cluster.daemons[0].log_lines("can't be read").is_empty());
+    for unreadable in ["can't be read", "can't decode"] {
+        assert!(cluster.daemons[0].log_lines(unreadable).is_empty());
+    }
     assert_eq!(state(&cluster, 0, &path).await, Some(StatusCode::GONE));
     assert_eq!(state(&cluster, 0, &backlog).await, OK);
 }
--- a/crates/stairstalld/tests/batch/cluster.rs
+++ b/crates/stairstalld/tests/batch/cluster.rs
@@ -193,9 +193,9 @@
     }
 
     fn knows_planner(&self) -> bool {
-        let loaded = |daemon: &Daemon| !daemon.log_lines("jobs and workers are loaded").is_empty();
+        let loaded = |daemon: &Daemon| !daemon.log_lines("jobs and workers loaded").is_empty();
         let configured = |daemon: &Daemon| !daemon.log_lines("in force").is_empty();
-        let informed = |daemon: &Daemon| !daemon.log_lines("the planner is known").is_empty();
+        let informed = |daemon: &Daemon| !daemon.log_lines("new planner recorded").is_empty();
         self.daemons.iter().any(loaded)
             && self.daemons.iter().all(configured)
             && self.daemons.iter().all(informed)
@@ -204,8 +204,8 @@
     /// Returns which daemon plans, by its last words about the role.
     pub fn planner(&self) -> usize {
         let holds = |daemon: &Daemon| {
-            let taken = daemon.log_lines("planner's role is taken").len();
-            taken > daemon.log_lines("planner's role is given up").len()
+            let taken = daemon.log_lines("acquired the planner role").len();
+            taken > daemon.log_lines("released the planner role").len()
         };
         self.daemons.iter().position(holds).expect("a planner")
     }
--- a/crates/stairstalld/tests/batch/faults.rs
+++ b/crates/stairstalld/tests/batch/faults.rs
@@ -53,7 +53,10 @@
     assert_eq!(cluster.daemons[planner].stop().await, Some(0));
     let old = &cluster.daemons[planner];
     assert!(old.log_lines("the daemon is leaving").is_empty());
-    assert_eq!(old.log_lines("another daemon has taken the role").len(), 1);
+    assert_eq!(
+        old.log_lines("another daemon has acquired the role").len(),
+        1
+    );
     cluster.daemons.remove(planner);
     let path = format!("/q2/{}", cluster.new_id());
     let status = cluster.submit(0, &path, &job(2, "ms=50")).await;
@@ -98,7 +101,7 @@
     let planner = cluster.planner();
     cluster.daemons[planner].kill().await;
     cluster.daemons.remove(planner);
-    let loaded = "jobs and workers are loaded";
+    let loaded = "jobs and workers loaded";
     while cluster.daemons[0].log_lines(loaded).is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -283,7 +286,7 @@
     cluster.daemons[planner].store.set(LinkMode::Cut);
     let until = std::time::Instant::now() + crate::cluster::PATIENCE;
     while cluster.daemons[planner]
-        .log_lines("another daemon has taken the role")
+        .log_lines("another daemon has acquired the role")
         .is_empty()
     {
         assert!(std::time::Instant::now() < until, "it does not learn it");
@@ -309,7 +312,10 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     cluster.daemons[0].kill().await;
     let until = std::time::Instant::now() + crate::cluster::PATIENCE;
-    while cluster.daemons[4].log_lines("role is taken").is_empty() {
+    while cluster.daemons[4]
+        .log_lines("acquired the planner role")
+        .is_empty()
+    {
         assert!(
             std::time::Instant::now() < until,
             "it does not take the role"
@@ -317,7 +323,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     for weak in &cluster.daemons[1..4] {
-        assert!(weak.log_lines("role is taken").is_empty());
+        assert!(weak.log_lines("acquired the planner role").is_empty());
     }
 }
 
--- a/crates/stairstalld/tests/batch/learnt.rs
+++ b/crates/stairstalld/tests/batch/learnt.rs
@@ -27,11 +27,11 @@
     let mut cluster = Cluster::start(2, 2).await;
     run_some(&mut cluster).await;
     let planner = cluster.planner();
-    let written = "done=true what was learnt is written down";
+    let written = "done=true storing learned estimates";
     wait_for_line(&cluster, planner, written).await;
     cluster.daemons[planner].kill().await;
     cluster.daemons.remove(planner);
-    wait_for_line(&cluster, 0, "what was learnt is read").await;
+    wait_for_line(&cluster, 0, "read learned estimates").await;
     run_some(&mut cluster).await;
     cluster.assert_no_violations();
 }
@@ -45,7 +45,7 @@
         let daemon = crate::cluster::Daemon::start(&name, &cluster.store).await;
         cluster.daemons.push(daemon);
         cluster.wait_until_planned().await;
-        wait_for_line(&cluster, 0, "what was learnt can't be read").await;
+        wait_for_line(&cluster, 0, "can't decode learned estimates").await;
         run_some(&mut cluster).await;
         cluster.daemons[0].stop().await;
         cluster.daemons.clear();
--- a/crates/stairstalld/tests/batch/path.rs
+++ b/crates/stairstalld/tests/batch/path.rs
@@ -47,7 +47,7 @@
     let planner = cluster.planner();
     let until = std::time::Instant::now() + crate::cluster::PATIENCE;
     while cluster.daemons[planner]
-        .log_lines("records of ended jobs are shortened")
+        .log_lines("shortening records of ended jobs")
         .is_empty()
     {
         assert!(std::time::Instant::now() < until, "it is not shortened");
@@ -90,10 +90,10 @@
     }
     // Its end is shown as soon as it is kept; the line follows with the planner's next look at the job.
     let until = Instant::now() + PATIENCE;
-    let mut lines = daemon.log_lines("its end is written down");
+    let mut lines = daemon.log_lines("job end stored");
     while lines.is_empty() && Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        lines = daemon.log_lines("its end is written down");
+        lines = daemon.log_lines("job end stored");
     }
     let [line] = lines.as_slice() else {
         panic!("one line of its end: {lines:?}");
--- a/crates/stairstalld/tests/batch/restarts.rs
+++ b/crates/stairstalld/tests/batch/restarts.rs
@@ -85,7 +85,7 @@
     cluster
         .store
         .put("servers/i-0", &json!({"service": "desk"}));
-    let spoilt = "the entry names no worker";
+    let spoilt = "directory entry lists no usable worker";
     while cluster.daemons[0].log_lines(spoilt).is_empty() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
