--- a/crates/stairstalld/src/batch/accept.rs
+++ b/crates/stairstalld/src/batch/accept.rs
@@ -5,10 +5,10 @@
 use stairstall_core::{CustomerId, JobId, Timestamp, Verdict};
 use stairstall_ports::{Commit, Committed, Item, Revision};
 
-use super::kept_job::KeptJob;
 use super::node::Node;
-use super::rpc::{PeerClient, may_have_left};
-use super::{kept, keys};
+use super::rpc::{PeerClient, may_have_run};
+use super::stored_job::StoredJob;
+use super::{encoding, keys};
 use crate::daemon::lock;
 
 /// Outcome of submitting a job. Sent between daemons and logged under these names.
@@ -43,11 +43,11 @@
 
 /// What to do when the job's key holds the record of an earlier refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Marks {
+pub(crate) enum OnRefusal {
     /// Overwrite it: the caller has submitted the job again.
-    GiveWay,
+    Replace,
     /// Leave it: the caller may have been refused elsewhere after it sent this request.
-    Stand,
+    Keep,
 }
 
 impl Acceptance {
@@ -61,53 +61,53 @@
 /// The name identifies the job however many daemons write it, so a peer can be tried even after a
 /// write that may have succeeded.
 pub(crate) async fn accept(node: &Node, job: &mut AcceptedJob, called_at: Timestamp) -> Acceptance {
-    let held_back = node.store_health.holds_back(node.clock.now());
-    let mut found = if held_back {
+    let fail_fast = node.store_health.should_fail_fast(node.clock.now());
+    let mut outcome = if fail_fast {
         Acceptance::NotKept
     } else {
-        write_job(node, job, Marks::GiveWay, called_at).await
+        write_job(node, job, OnRefusal::Replace, called_at).await
     };
-    if found.is_settled() {
-        return found;
+    if outcome.is_settled() {
+        return outcome;
     }
-    for rpc in helpers(node) {
-        let Some(client) = node.peers.client(&rpc) else {
+    for rpc in relays(node) {
+        let Some(client) = node.peer_clients.client(&rpc) else {
             continue;
         };
         match client.accept(job.clone()).await {
-            Ok(Acceptance::NotKept) => lock(&node.reach).record_failure(&rpc),
-            Ok(Acceptance::MayBeKept) => found = Acceptance::MayBeKept,
-            Ok(settled) => return settled,
+            Ok(Acceptance::NotKept) => lock(&node.peer_table).record_failure(&rpc),
+            Ok(Acceptance::MayBeKept) => outcome = Acceptance::MayBeKept,
+            Ok(outcome) => return outcome,
             Err(error) => {
-                let left = may_have_left(&error);
-                log::info!(target: "accept", job:% = job.id, rpc, left, why:% = error;
+                let may_have_run = may_have_run(&error);
+                log::info!(target: "accept", job:% = job.id, rpc, left = may_have_run, why:% = error;
                     "peer did not accept the job");
                 node.peer_failed(&rpc);
-                if left {
-                    found = Acceptance::MayBeKept;
+                if may_have_run {
+                    outcome = Acceptance::MayBeKept;
                 }
             }
         }
     }
-    found
+    outcome
 }
 
 /// Returns the RPC addresses of the daemons that can reach the store on behalf of this one: peers
 /// that the store served recently. Without any, returns the planner, unless its last call failed.
-fn helpers(node: &Node) -> Vec<String> {
-    let planner = node.other_planner().map(|planner| planner.rpc);
+fn relays(node: &Node) -> Vec<String> {
+    let planner = node.remote_planner().map(|planner| planner.rpc);
     if !node.settings.policy.reach.probes_peers {
         return planner.into_iter().collect();
     }
-    let reach = lock(&node.reach);
-    let helpers = reach.relays(node.clock.now());
-    if helpers.is_empty() {
+    let peer_table = lock(&node.peer_table);
+    let relays = peer_table.relays(node.clock.now());
+    if relays.is_empty() {
         return planner
             .into_iter()
-            .filter(|rpc| reach.may_answer(rpc))
+            .filter(|rpc| peer_table.may_answer(rpc))
             .collect();
     }
-    helpers
+    relays
 }
 
 /// Writes a job to the store if its key is free or still holds the expected refusal record. If the
@@ -115,63 +115,63 @@
 pub(crate) async fn write_job(
     node: &Node,
     job: &mut AcceptedJob,
-    mut marks: Marks,
+    mut on_refusal: OnRefusal,
     called_at: Timestamp,
 ) -> Acceptance {
     let key = keys::job(&job.id);
     let started = node.clock.now();
     let mut expected = Revision(0);
-    let mut may_be_kept = false;
+    let mut may_be_stored = false;
     loop {
-        let Ok(value) = kept::write(job) else {
+        let Ok(value) = encoding::encode(job) else {
             return Acceptance::NotKept;
         };
         let commit = Commit::default()
             .when(key.clone(), expected)
             .put(key.clone(), value);
-        match node.stored("accept", node.store.commit(commit)).await {
+        match node.store_call("accept", node.store.commit(commit)).await {
             Ok(Committed::Done(_)) => return Acceptance::Accepted,
-            Ok(Committed::Conflict(items)) => match found(job, items.first()) {
-                Found::Settled(settled) => return settled,
-                Found::Known(kept) => {
-                    if !kept.is_trimmed() {
-                        *job = *kept;
+            Ok(Committed::Conflict(items)) => match existing_entry(job, items.first()) {
+                ExistingEntry::Decisive(outcome) => return outcome,
+                ExistingEntry::Known(stored) => {
+                    if !stored.is_trimmed() {
+                        *job = *stored;
                     }
                     return Acceptance::Known;
                 }
-                Found::Mark(first_asked_unix_ms, revision) => {
-                    let may_replace = marks == Marks::GiveWay && !may_be_kept;
-                    if !may_replace || !still_waits(node, called_at) {
+                ExistingEntry::Refusal(first_asked_unix_ms, revision) => {
+                    let may_replace = on_refusal == OnRefusal::Replace && !may_be_stored;
+                    if !may_replace || !caller_still_waits(node, called_at) {
                         log::info!(target: "accept", job:% = job.id; "the refusal record stays in place");
                         // A write that got no answer may still take effect once the lease of the
                         // refusal record ends.
-                        return if may_be_kept {
+                        return if may_be_stored {
                             Acceptance::MayBeKept
                         } else {
                             Acceptance::NotKept
                         };
                     }
-                    marks = Marks::Stand;
+                    on_refusal = OnRefusal::Keep;
                     job.first_asked_unix_ms = first_asked_unix_ms;
                     expected = revision;
                     continue;
                 }
-                Found::Nothing if expected == Revision(0) => return Acceptance::MayBeKept,
-                Found::Nothing => {
+                ExistingEntry::Missing if expected == Revision(0) => return Acceptance::MayBeKept,
+                ExistingEntry::Missing => {
                     expected = Revision(0);
                     continue;
                 }
             },
             Ok(Committed::NoLease) => return Acceptance::NotKept,
-            Err(fault) if fault.verdict() == Verdict::NotRun && !may_be_kept => {
+            Err(fault) if fault.verdict() == Verdict::NotRun && !may_be_stored => {
                 return Acceptance::NotKept;
             }
-            Err(fault) => may_be_kept |= fault.verdict() != Verdict::NotRun,
+            Err(fault) => may_be_stored |= fault.verdict() != Verdict::NotRun,
         }
-        if is_time_to_give_up(node, started) {
+        if is_settle_limit_over(node, started) {
             return Acceptance::MayBeKept;
         }
-        node.pause(node.settings.policy.acceptance.retry_pause)
+        node.back_off(node.settings.policy.acceptance.retry_pause)
             .await;
     }
 }
@@ -181,14 +181,14 @@
 ///
 /// A caller that has given up may have been refused by another daemon since. A daemon that was
 /// delayed would take that new refusal for an older one and overwrite it.
-fn still_waits(node: &Node, called_at: Timestamp) -> bool {
+fn caller_still_waits(node: &Node, called_at: Timestamp) -> bool {
     node.clock.now() - called_at <= node.settings.policy.admission.replaces_within
 }
 
-fn is_time_to_give_up(node: &Node, started: Timestamp) -> bool {
+fn is_settle_limit_over(node: &Node, started: Timestamp) -> bool {
     let policy = &node.settings.policy.acceptance;
     let now = node.clock.now();
-    let limit = if node.store_health.holds_back(now) {
+    let limit = if node.store_health.should_fail_fast(now) {
         policy.outage_settle_limit
     } else {
         policy.settle_limit
@@ -197,33 +197,33 @@
 }
 
 /// What the job's key holds if the conditional write found something unexpected.
-enum Found {
+enum ExistingEntry {
     /// An entry that decides the outcome.
-    Settled(Acceptance),
+    Decisive(Acceptance),
     /// A job of the same customer, stored by an earlier request.
     Known(Box<AcceptedJob>),
     /// A refusal record: its first-request time if it belongs to the same customer, and the
     /// revision of the key.
-    Mark(Option<u64>, Revision),
+    Refusal(Option<u64>, Revision),
     /// No entry.
-    Nothing,
+    Missing,
 }
 
-fn found(job: &AcceptedJob, item: Option<&Item>) -> Found {
+fn existing_entry(job: &AcceptedJob, item: Option<&Item>) -> ExistingEntry {
     let Some(item) = item else {
-        return Found::Nothing;
+        return ExistingEntry::Missing;
     };
-    Found::Settled(match KeptJob::read(&item.value) {
-        Ok(KeptJob::Refused(mark)) => {
-            let is_own = mark.customer == job.customer;
-            let first = is_own.then_some(mark.first_asked_unix_ms);
-            return Found::Mark(first, item.revision);
+    ExistingEntry::Decisive(match StoredJob::read(&item.value) {
+        Ok(StoredJob::Refused(record)) => {
+            let is_same_customer = record.customer == job.customer;
+            let first = is_same_customer.then_some(record.first_asked_unix_ms);
+            return ExistingEntry::Refusal(first, item.revision);
         }
-        Ok(KeptJob::Accepted(kept)) if kept.mark == job.mark => Acceptance::Accepted,
-        Ok(KeptJob::Accepted(kept)) if kept.customer == job.customer => {
-            return Found::Known(kept);
+        Ok(StoredJob::Accepted(stored)) if stored.mark == job.mark => Acceptance::Accepted,
+        Ok(StoredJob::Accepted(stored)) if stored.customer == job.customer => {
+            return ExistingEntry::Known(stored);
         }
-        Ok(KeptJob::Accepted(_)) => Acceptance::Foreign,
+        Ok(StoredJob::Accepted(_)) => Acceptance::Foreign,
         Err(error) => {
             log::error!(target: "accept", job:% = job.id, why:% = error;
                 "can't decode the entry under the job's key");
@@ -234,29 +234,29 @@
 
 /// Cancels a job; relays the cancellation to peers if the store does not serve this daemon.
 pub(crate) async fn cancel(node: &Node, id: &JobId, customer: Option<&CustomerId>) -> Cancellation {
-    let held_back = node.store_health.holds_back(node.clock.now());
-    let own = if held_back {
+    let fail_fast = node.store_health.should_fail_fast(node.clock.now());
+    let outcome = if fail_fast {
         Cancellation::Unsettled
     } else {
         write_cancel(node, id, customer).await
     };
-    if own != Cancellation::Unsettled {
-        return own;
+    if outcome != Cancellation::Unsettled {
+        return outcome;
     }
-    for rpc in helpers(node) {
-        let Some(client) = node.peers.client(&rpc) else {
+    for rpc in relays(node) {
+        let Some(client) = node.peer_clients.client(&rpc) else {
             continue;
         };
         match client.cancel(id.clone(), customer.cloned()).await {
             Ok(Cancellation::Unsettled) => {}
-            Ok(settled) => return settled,
+            Ok(outcome) => return outcome,
             Err(error) => {
                 log::info!(target: "cancel", job:% = id, rpc, why:% = error; "peer did not answer");
                 node.peer_failed(&rpc);
             }
         }
     }
-    own
+    outcome
 }
 
 /// Writes a cancellation to the store, retrying until the settle limit.
@@ -270,10 +270,10 @@
         if let Some(settled) = try_cancel(node, id, customer).await {
             return settled;
         }
-        if is_time_to_give_up(node, started) {
+        if is_settle_limit_over(node, started) {
             return Cancellation::Unsettled;
         }
-        node.pause(node.settings.policy.acceptance.retry_pause)
+        node.back_off(node.settings.policy.acceptance.retry_pause)
             .await;
     }
 }
@@ -285,7 +285,7 @@
     customer: Option<&CustomerId>,
 ) -> Option<Cancellation> {
     let key = keys::job(id);
-    let found = match node.stored("read job", node.store.get(&key)).await {
+    let found = match node.store_call("read job", node.store.get(&key)).await {
         Ok(found) => found,
         Err(fault) if fault.verdict() == Verdict::NotRun => return Some(Cancellation::Unsettled),
         Err(_) => return None,
@@ -293,22 +293,22 @@
     let Some(item) = found else {
         return Some(Cancellation::NoJob);
     };
-    let kept = match KeptJob::read(&item.value) {
-        Ok(kept) => kept,
+    let entry = match StoredJob::read(&item.value) {
+        Ok(entry) => entry,
         Err(error) => {
             log::error!(target: "cancel", job:% = id, why:% = error;
                 "can't decode the entry under the job's key");
             return Some(Cancellation::Unsettled);
         }
     };
-    let Some(kept) = kept.accepted() else {
+    let Some(stored) = entry.accepted() else {
         return Some(Cancellation::NoJob);
     };
-    if kept.customer.as_ref() != customer {
+    if stored.customer.as_ref() != customer {
         return Some(Cancellation::Foreign);
     }
     let commit = Commit::default().put(keys::cancel(id), Vec::new());
-    match node.stored("cancel", node.store.commit(commit)).await {
+    match node.store_call("cancel", node.store.commit(commit)).await {
         Ok(Committed::Done(_)) => Some(Cancellation::Cancelled),
         _ => None,
     }
--- a/crates/stairstalld/src/batch/admission.rs
+++ b/crates/stairstalld/src/batch/admission.rs
@@ -9,14 +9,14 @@
 use stairstall_core::{Lease, Verdict};
 use stairstall_ports::{Commit, Committed, Item, LeaseId, Revision};
 
-use super::kept_job::{KeptJob, RefusalMark};
 use super::node::Node;
-use super::{kept, keys};
+use super::stored_job::{RefusalRecord, StoredJob};
+use super::{encoding, keys};
 use crate::clock::millis;
 
 /// Outcome of storing a refusal. Logged under these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Settled {
+pub(crate) enum RefusalOutcome {
     /// The refusal is stored: no request for this name has stored a job or will do so later.
     Refused,
     /// The customer's job is already stored.
@@ -33,15 +33,15 @@
 pub(crate) fn decide(node: &Node, job: &AcceptedJob) -> Admission {
     let now = node.clock.now();
     // A refusal has to be stored, which needs the store.
-    let can_refuse = node.knows_newest_catalog() && node.store_health.serves(now);
+    let can_refuse = node.is_catalog_current() && node.store_health.serves(now);
     let policy = &node.settings.policy.admission;
     if !can_refuse || !policy.refuses_impossible && !policy.refuses_too_late {
         return Admission::Accept;
     }
     if let Some(summary) = node.tenure().and_then(|tenure| tenure.load_summary()) {
-        node.load.take(summary, now);
+        node.load.update(summary, now);
     }
-    let Some((summary, age)) = node.load.known(now) else {
+    let Some((summary, age)) = node.load.latest(now) else {
         return Admission::Accept;
     };
     node.telemetry.load_age(age);
@@ -53,92 +53,93 @@
 }
 
 /// Writes the refusal record of a job, unless the store already holds a job under its name.
-pub(crate) async fn settle(node: &Node, job: &AcceptedJob) -> Settled {
+pub(crate) async fn store_refusal(node: &Node, job: &AcceptedJob) -> RefusalOutcome {
     let key = keys::job(&job.id);
     let started = node.clock.now();
-    let mut mark = RefusalMark::of(job);
+    let mut record = RefusalRecord::new(job);
     let mut expected = Revision(0);
-    let mut is_in_doubt = false;
-    let mut lost_a_lease = false;
+    let mut is_outcome_unknown = false;
+    let mut has_lost_lease = false;
     while node.clock.now() - started < node.settings.policy.acceptance.settle_limit {
-        let (Some(lease), Ok(value)) = (mark_lease(node).await, kept::write(&mark)) else {
+        let (Some(lease), Ok(value)) = (refusal_lease(node).await, encoding::encode(&record))
+        else {
             break;
         };
         let commit =
             Commit::default()
                 .when(key.clone(), expected)
                 .put_leased(key.clone(), value, lease);
-        match node.stored("refuse", node.store.commit(commit)).await {
-            Ok(Committed::Done(_)) => return Settled::Refused,
-            Ok(Committed::Conflict(items)) => match found(job, &mark, items.first()) {
-                Found::Settled(settled) => return settled,
-                Found::Free if expected == Revision(0) => {
-                    node.pause(node.settings.policy.acceptance.retry_pause)
+        match node.store_call("refuse", node.store.commit(commit)).await {
+            Ok(Committed::Done(_)) => return RefusalOutcome::Refused,
+            Ok(Committed::Conflict(items)) => match existing_entry(job, &record, items.first()) {
+                ExistingEntry::Decisive(outcome) => return outcome,
+                ExistingEntry::Missing if expected == Revision(0) => {
+                    node.back_off(node.settings.policy.acceptance.retry_pause)
                         .await;
                 }
-                Found::Free => expected = Revision(0),
-                Found::Mark(earlier, revision) => {
-                    mark.follow(&earlier);
+                ExistingEntry::Missing => expected = Revision(0),
+                ExistingEntry::Refusal(earlier, revision) => {
+                    record.inherit_first_request(&earlier);
                     expected = revision;
                 }
             },
             Ok(Committed::NoLease) => {
-                node.refusals.drop_lease(lease);
-                if std::mem::replace(&mut lost_a_lease, true) {
+                node.refusals.remove_lease(lease);
+                if std::mem::replace(&mut has_lost_lease, true) {
                     break;
                 }
             }
             Err(fault) => {
-                is_in_doubt |= fault.verdict() != Verdict::NotRun;
-                if !is_in_doubt {
+                is_outcome_unknown |= fault.verdict() != Verdict::NotRun;
+                if !is_outcome_unknown {
                     break;
                 }
-                node.pause(node.settings.policy.acceptance.retry_pause)
+                node.back_off(node.settings.policy.acceptance.retry_pause)
                     .await;
             }
         }
     }
-    if is_in_doubt {
-        Settled::Unsettled
+    if is_outcome_unknown {
+        RefusalOutcome::Unsettled
     } else {
-        Settled::NotKept
+        RefusalOutcome::NotKept
     }
 }
 
 /// What the job's key holds if the conditional write found something unexpected.
-enum Found {
+enum ExistingEntry {
     /// An entry that decides the outcome.
-    Settled(Settled),
+    Decisive(RefusalOutcome),
     /// No entry: the lease of a refusal record has ended.
-    Free,
+    Missing,
     /// Another refusal record. The caller may be submitting the job again at the same time.
-    Mark(RefusalMark, Revision),
+    Refusal(RefusalRecord, Revision),
 }
 
-fn found(job: &AcceptedJob, mark: &RefusalMark, item: Option<&Item>) -> Found {
+fn existing_entry(job: &AcceptedJob, record: &RefusalRecord, item: Option<&Item>) -> ExistingEntry {
     let Some(item) = item else {
-        return Found::Free;
+        return ExistingEntry::Missing;
     };
-    match KeptJob::read(&item.value) {
-        Ok(KeptJob::Refused(found)) if found.refused_by == mark.refused_by => {
-            Found::Settled(Settled::Refused)
+    match StoredJob::read(&item.value) {
+        Ok(StoredJob::Refused(found)) if found.refused_by == record.refused_by => {
+            ExistingEntry::Decisive(RefusalOutcome::Refused)
         }
-        Ok(KeptJob::Refused(found)) => Found::Mark(found, item.revision),
-        Ok(KeptJob::Accepted(kept)) if kept.customer == job.customer => {
-            Found::Settled(Settled::Known)
+        Ok(StoredJob::Refused(found)) => ExistingEntry::Refusal(found, item.revision),
+        Ok(StoredJob::Accepted(stored)) if stored.customer == job.customer => {
+            ExistingEntry::Decisive(RefusalOutcome::Known)
         }
-        Ok(KeptJob::Accepted(_)) => Found::Settled(Settled::Foreign),
+        Ok(StoredJob::Accepted(_)) => ExistingEntry::Decisive(RefusalOutcome::Foreign),
         Err(error) => {
             log::error!(target: "admission", job:% = job.id, why:% = error;
                 "can't decode the entry under the job's key");
-            Found::Settled(Settled::Unsettled)
+            ExistingEntry::Decisive(RefusalOutcome::Unsettled)
         }
     }
 }
 
 /// Returns a lease that keeps a refusal record for long enough, or `None` if the store grants none.
-async fn mark_lease(node: &Node) -> Option<LeaseId> {
-    let _one_at_a_time = node.refusals.granting.lock().await;
+async fn refusal_lease(node: &Node) -> Option<LeaseId> {
+    let _guard = node.refusals.grant_lock.lock().await;
     let requested_at = node.clock.now();
     if let Some(lease) = node.refusals.lease(requested_at) {
         return Some(lease);
@@ -146,8 +147,8 @@
     let grant = node
         .store
         .grant(node.settings.policy.admission.max_mark_lifetime);
-    match node.stored("grant", grant).await {
-        Ok((id, ttl)) => node.refusals.take_lease(id, Lease::new(requested_at, ttl)),
+    match node.store_call("grant", grant).await {
+        Ok((id, ttl)) => node.refusals.set_lease(id, Lease::new(requested_at, ttl)),
         Err(fault) => {
             log::warn!(target: "admission", why:% = fault; "could not get a lease for refusal records");
         }
@@ -156,12 +157,12 @@
 }
 
 /// Logs a stored refusal and returns the delay after which the caller should retry.
-pub(crate) fn tell(node: &Node, job: &AcceptedJob, refusal: &AdmissionRefusal) -> Duration {
+pub(crate) fn log_refusal(node: &Node, job: &AcceptedJob, refusal: &AdmissionRefusal) -> Duration {
     let longest = node.settings.policy.admission.max_retry_after;
     let wait = refusal.forecast.map_or(longest, |forecast| forecast.likely);
     let priority = job.queue.priority;
     let now = node.clock.now();
-    let retry_after = node.refusals.return_after(priority, wait, now);
+    let retry_after = node.refusals.retry_after(priority, wait, now);
     let earliest = refusal.forecast.map(|forecast| millis(forecast.earliest));
     let likely = refusal.forecast.map(|forecast| millis(forecast.likely));
     log::info!(target: "admission", job:% = job.id, queue:% = job.queue.name, priority,
--- a/crates/stairstalld/src/batch/callers.rs
+++ b/crates/stairstalld/src/batch/caller_api.rs
@@ -13,14 +13,14 @@
 use viz::{Body, Method, Request, Response, Result, Router, StatusCode};
 
 use super::accept::{self, Acceptance, Cancellation};
-use super::admission::{self, Settled};
-use super::ask;
+use super::admission::{self, RefusalOutcome};
 use super::node::Node;
+use super::queries;
 use super::rpc::JobAnswer;
 use crate::answer::Failure;
 
 /// `Retry-After` delay for callers while the store does not serve this daemon.
-const STORE_RETRY: Duration = Duration::from_secs(1);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Longest time that a caller may take to send its request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -46,9 +46,9 @@
 
 async fn serve(node: &Node, request: Request) -> Response {
     let started = node.clock.now();
-    let kind = kind_of(request.method());
-    let line = format!("{} {}", request.method(), request.uri().path());
-    let outcome = answer(node, request).await;
+    let kind = call_kind(request.method());
+    let target = format!("{} {}", request.method(), request.uri().path());
+    let outcome = respond(node, request).await;
     let took = node.clock.now() - started;
     let (response, why) = match outcome {
         Ok(response) => (response, String::new()),
@@ -58,20 +58,20 @@
         }
     };
     let status = response.status().as_u16();
-    let response = leave_if_not_ready(node, response);
+    let response = close_if_not_ready(node, response);
     node.telemetry.call(kind, status, took);
     let version = node.current_catalog().map_or(0, |catalog| catalog.version);
     let ms = crate::clock::millis(took);
     if response.status().is_success() && kind == "ask" {
-        log::debug!(target: "call", call:% = line, status, ms, catalog = version; "{why}");
+        log::debug!(target: "call", call:% = target, status, ms, catalog = version; "{why}");
     } else {
-        log::info!(target: "call", call:% = line, status, ms, catalog = version; "{why}");
+        log::info!(target: "call", call:% = target, status, ms, catalog = version; "{why}");
     }
     response
 }
 
 /// Closes the connection after this response if callers should use another daemon.
-fn leave_if_not_ready(node: &Node, mut response: Response) -> Response {
+fn close_if_not_ready(node: &Node, mut response: Response) -> Response {
     if !node.is_ready() {
         response
             .headers_mut()
@@ -80,7 +80,7 @@
     response
 }
 
-fn kind_of(method: &Method) -> &'static str {
+fn call_kind(method: &Method) -> &'static str {
     match *method {
         Method::POST => "submit",
         Method::DELETE => "cancel",
@@ -88,26 +88,26 @@
     }
 }
 
-async fn answer(node: &Node, request: Request) -> std::result::Result<Response, Failure> {
+async fn respond(node: &Node, request: Request) -> std::result::Result<Response, Failure> {
     let Some(catalog) = node.current_catalog() else {
         return Err(Failure::unavailable(
             "no configuration is known yet",
-            STORE_RETRY,
+            STORE_RETRY_AFTER,
         ));
     };
     let path = request.uri().path();
-    let host = host_of(&request);
+    let host = requested_host(&request);
     let route = catalog
         .route(&host, path)
-        .ok_or_else(|| refused(node, Failure::missing("there is no such queue")))?;
-    let key = bearer(&request, node.dialect.key_scheme());
+        .ok_or_else(|| access_failure(node, Failure::missing("there is no such queue")))?;
+    let key = api_key(&request, node.dialect.key_scheme());
     let customer = match catalog.access(route, key.as_deref()) {
         Access::Customer(customer) => Some(customer),
         Access::Anonymous => None,
         Access::Unknown => {
             let why = "there is no such key";
             let failure = Failure::new(StatusCode::UNAUTHORIZED, Verdict::NotRun, why);
-            return Err(refused(node, failure));
+            return Err(access_failure(node, failure));
         }
     };
     let rest = path[route.path_prefix.len()..].to_owned();
@@ -118,9 +118,9 @@
         customer,
         rest,
     };
-    let limit = answer_limit(&call, &request);
-    let answered = tokio::time::timeout(limit, call.dispatch(request)).await;
-    answered.unwrap_or_else(|_| {
+    let limit = time_limit(&call, &request);
+    let response = tokio::time::timeout(limit, call.dispatch(request)).await;
+    response.unwrap_or_else(|_| {
         Err(Failure::new(
             StatusCode::GATEWAY_TIMEOUT,
             Verdict::MayHaveRun,
@@ -131,20 +131,20 @@
 
 /// Returns the response to a request that the configuration does not allow. If a newer
 /// configuration may exist that this daemon has not read, tells the caller to retry instead.
-fn refused(node: &Node, failure: Failure) -> Failure {
-    if node.knows_newest_catalog() {
+fn access_failure(node: &Node, failure: Failure) -> Failure {
+    if node.is_catalog_current() {
         return failure;
     }
-    Failure::unavailable("a newer configuration may be in force", STORE_RETRY)
+    Failure::unavailable("a newer configuration may be in force", STORE_RETRY_AFTER)
 }
 
-fn answer_limit(call: &Call<'_>, request: &Request) -> Duration {
-    let asked = request
+fn time_limit(call: &Call<'_>, request: &Request) -> Duration {
+    let requested = request
         .headers()
         .get(call.node.dialect.deadline_header())
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .unwrap_or(u64::MAX);
-    let limit = asked.min(call.route.timeout_ms);
+    let limit = requested.min(call.route.timeout_ms);
     Duration::from_millis(limit)
         .mul_f64(call.node.settings.policy.acceptance.response_time_fraction)
 }
@@ -196,15 +196,15 @@
                 self.node
                     .telemetry
                     .admission(job.queue.priority, "accepted");
-                ask::tell_planner(self.node, job).await;
-                Ok(empty(StatusCode::OK))
+                queries::notify_accepted(self.node, job).await;
+                Ok(empty_response(StatusCode::OK))
             }
-            Acceptance::Foreign => Err(foreign()),
+            Acceptance::Foreign => Err(other_customers_job()),
             Acceptance::NotKept => Err(Failure::unavailable(
                 "the store does not serve; the job was not taken",
-                STORE_RETRY,
+                STORE_RETRY_AFTER,
             )),
-            Acceptance::MayBeKept => Err(unsettled(
+            Acceptance::MayBeKept => Err(outcome_unknown(
                 "the store did not answer; hand the job in again under the same name",
             )),
         }
@@ -216,25 +216,25 @@
         job: AcceptedJob,
         refusal: &AdmissionRefusal,
     ) -> std::result::Result<Response, Failure> {
-        let settled = admission::settle(self.node, &job).await;
-        if settled != Settled::Refused {
+        let outcome = admission::store_refusal(self.node, &job).await;
+        if outcome != RefusalOutcome::Refused {
             log::info!(target: "admission", job:% = job.id, queue:% = job.queue.name;
-                "job not refused: {settled:?}");
+                "job not refused: {outcome:?}");
         }
-        match settled {
-            Settled::Refused => {
-                let retry_after = admission::tell(self.node, &job, refusal);
-                Err(too_many(refusal.reason).with_retry_after(retry_after))
+        match outcome {
+            RefusalOutcome::Refused => {
+                let retry_after = admission::log_refusal(self.node, &job, refusal);
+                Err(refusal_failure(refusal.reason).with_retry_after(retry_after))
             }
             // The daemon that accepted it has notified the planner, or the planner's watch finds
             // the job.
-            Settled::Known => Ok(empty(StatusCode::OK)),
-            Settled::Foreign => Err(foreign()),
-            Settled::NotKept => Err(Failure::unavailable(
+            RefusalOutcome::Known => Ok(empty_response(StatusCode::OK)),
+            RefusalOutcome::Foreign => Err(other_customers_job()),
+            RefusalOutcome::NotKept => Err(Failure::unavailable(
                 "its refusal could not be written; the job was not taken",
-                STORE_RETRY,
+                STORE_RETRY_AFTER,
             )),
-            Settled::Unsettled => Err(unsettled(
+            RefusalOutcome::Unsettled => Err(outcome_unknown(
                 "it is not known whether the job is kept: hand it in again under its name",
             )),
         }
@@ -266,22 +266,22 @@
     }
 
     async fn state(&self, id: &JobId) -> std::result::Result<Response, Failure> {
-        let answer = ask::job(self.node, id).await.map_err(|fault| {
-            Failure::unavailable(format!("the job can't be read: {fault}"), STORE_RETRY)
+        let answer = queries::job(self.node, id).await.map_err(|fault| {
+            Failure::unavailable(format!("the job can't be read: {fault}"), STORE_RETRY_AFTER)
         })?;
         match answer {
             JobAnswer::Known { customer, state } => {
                 if customer != self.customer {
-                    return Err(foreign());
+                    return Err(other_customers_job());
                 }
-                Ok(self.body_of(state))
+                Ok(self.state_response(state))
             }
-            JobAnswer::Unknown | JobAnswer::NotPlanner => Err(gone()),
+            JobAnswer::Unknown | JobAnswer::NotPlanner => Err(no_such_job()),
         }
     }
 
-    fn body_of(&self, state: CallerState) -> Response {
-        body(self.node.dialect.write_state(state))
+    fn state_response(&self, state: CallerState) -> Response {
+        json_response(self.node.dialect.write_state(state))
     }
 
     async fn cancel(&self, id: &JobId) -> std::result::Result<Response, Failure> {
@@ -289,29 +289,29 @@
         log::info!(target: "cancel", job:% = id; "{outcome:?}");
         match outcome {
             Cancellation::Cancelled => {
-                ask::tell_cancelled(self.node, id.clone()).await;
-                Ok(empty(StatusCode::OK))
+                queries::notify_cancelled(self.node, id.clone()).await;
+                Ok(empty_response(StatusCode::OK))
             }
-            Cancellation::NoJob => Err(gone()),
-            Cancellation::Foreign => Err(foreign()),
+            Cancellation::NoJob => Err(no_such_job()),
+            Cancellation::Foreign => Err(other_customers_job()),
             Cancellation::Unsettled => Err(Failure::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Verdict::MayHaveRun,
                 "the store does not serve; the job may not be cancelled",
             )
-            .with_retry_after(STORE_RETRY)),
+            .with_retry_after(STORE_RETRY_AFTER)),
         }
     }
 
     async fn pending(&self) -> std::result::Result<Response, Failure> {
-        let pending = ask::pending(self.node, &self.route.queue.name).await;
+        let pending = queries::pending(self.node, &self.route.queue.name).await;
         let pending = pending
-            .ok_or_else(|| Failure::unavailable("the planner can't be asked", STORE_RETRY))?;
-        Ok(body(self.node.dialect.write_pending(pending)))
+            .ok_or_else(|| Failure::unavailable("the planner can't be asked", STORE_RETRY_AFTER))?;
+        Ok(json_response(self.node.dialect.write_pending(pending)))
     }
 }
 
-fn too_many(reason: AdmissionRefusalReason) -> Failure {
+fn refusal_failure(reason: AdmissionRefusalReason) -> Failure {
     let error = match reason {
         AdmissionRefusalReason::TooLarge => "no worker is large enough, or there are too few",
         AdmissionRefusalReason::NoSuchLabel => "no worker has the label that is asked for",
@@ -320,17 +320,17 @@
     Failure::new(StatusCode::TOO_MANY_REQUESTS, Verdict::NotRun, error)
 }
 
-fn gone() -> Failure {
+fn no_such_job() -> Failure {
     Failure::new(StatusCode::GONE, Verdict::NotRun, "there is no such job")
 }
 
 /// Returns the failure for a request whose outcome is not known.
-fn unsettled(why: &str) -> Failure {
+fn outcome_unknown(why: &str) -> Failure {
     Failure::new(StatusCode::GATEWAY_TIMEOUT, Verdict::MayHaveRun, why)
-        .with_retry_after(STORE_RETRY)
+        .with_retry_after(STORE_RETRY_AFTER)
 }
 
-fn foreign() -> Failure {
+fn other_customers_job() -> Failure {
     Failure::new(
         StatusCode::FORBIDDEN,
         Verdict::NotRun,
@@ -338,13 +338,13 @@
     )
 }
 
-fn empty(status: StatusCode) -> Response {
+fn empty_response(status: StatusCode) -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
 }
 
-fn body(bytes: Vec<u8>) -> Response {
+fn json_response(bytes: Vec<u8>) -> Response {
     let mut response = Response::new(Body::from(Full::from(bytes)));
     response
         .headers_mut()
@@ -353,7 +353,7 @@
 }
 
 /// Returns the host that a request names, without its port.
-fn host_of(request: &Request) -> String {
+fn requested_host(request: &Request) -> String {
     let named = request
         .headers()
         .get(HOST)
@@ -364,7 +364,7 @@
     host.to_lowercase()
 }
 
-fn bearer(request: &Request, scheme: &str) -> Option<String> {
+fn api_key(request: &Request, scheme: &str) -> Option<String> {
     let value = request.headers().get(AUTHORIZATION)?.to_str().ok()?;
     let (given, key) = value.split_once(' ')?;
     given
--- a/crates/stairstalld/src/batch/catalog.rs
+++ b/crates/stairstalld/src/batch/catalog.rs
@@ -11,9 +11,9 @@
 
 /// Longest time for one watch call. If a watch fails silently, a change is seen after this time at
 /// the latest.
-const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// Delay before the store is asked again after a failure.
-const STORE_PAUSE: Duration = Duration::from_millis(250);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before a failed store call is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Follows the configuration for as long as the daemon runs.
 ///
@@ -25,31 +25,31 @@
 /// before the partition was seen to hang for up to 4.8 s, during which callers were refused by the
 /// outdated configuration.
 pub(crate) async fn follow(node: Arc<Node>) {
-    let shortest = node.settings.store_timeout;
-    let mut patience = shortest;
+    let min_timeout = node.settings.store_timeout;
+    let mut read_timeout = min_timeout;
     loop {
         let followed = tokio::select! {
             biased;
-            followed = follow_store(&node, patience) => Some(followed),
-            () = node.store_health.recovers() => None,
+            followed = read_and_watch(&node, read_timeout) => Some(followed),
+            () = node.store_health.wait_for_recovery() => None,
         };
         node.catalog_confirmed.store(false, Ordering::Release);
         match followed {
-            Some(Ok(())) => patience = shortest,
+            Some(Ok(())) => read_timeout = min_timeout,
             // That other calls are answered does not show how long this read takes, so the timeout
             // stays.
             None => {}
             Some(Err(fault)) => {
                 log::debug!(target: "config", why:% = fault; "reading the configuration again");
-                patience = if fault.is_time_out() {
-                    (patience * 2).min(LIST_TIMEOUT)
+                read_timeout = if fault.is_time_out() {
+                    (read_timeout * 2).min(LIST_TIMEOUT)
                 } else {
-                    shortest
+                    min_timeout
                 };
             }
         }
         if node.store_health.is_failing() {
-            node.pause(STORE_PAUSE).await;
+            node.back_off(STORE_RETRY_DELAY).await;
         }
     }
 }
@@ -60,16 +60,16 @@
 ///
 /// Returns why the configuration could not be read. The end of a watch is not an error: the caller
 /// reads again at once.
-async fn follow_store(node: &Node, patience: Duration) -> Result<(), StoreFault> {
+async fn read_and_watch(node: &Node, read_timeout: Duration) -> Result<(), StoreFault> {
     let key = node.dialect.configuration_key();
-    let (item, mut at) = node.read_at("read config", key, patience).await?;
+    let (item, mut at) = node.read_at("read config", key, read_timeout).await?;
     if let Some(item) = item {
-        take(node, &item, "read");
+        apply_item(node, &item, "read");
     }
     node.catalog_confirmed.store(true, Ordering::Release);
     loop {
-        let watched = node.store.watch(key, at, WATCH_WAIT);
-        let watched = match node.stored("watch config", watched).await {
+        let watched = node.store.watch(key, at, WATCH_TIMEOUT);
+        let watched = match node.store_call("watch config", watched).await {
             Ok(watched) => watched,
             Err(fault) => {
                 log::debug!(target: "config", why:% = fault; "configuration watch ended");
@@ -79,15 +79,15 @@
         at = watched.at;
         for change in &watched.changes {
             if let Change::Written(item) = change {
-                take(node, item, "watch");
+                apply_item(node, item, "watch");
             }
         }
     }
 }
 
-fn take(node: &Node, item: &Item, source: &str) {
+fn apply_item(node: &Node, item: &Item, source: &str) {
     match node.dialect.read_catalog(&item.value) {
-        Ok(catalog) => put_in_force(node, catalog, source),
+        Ok(catalog) => activate(node, catalog, source),
         Err(error) => {
             log::error!(target: "config", revision:% = item.revision, why:% = error;
                 "can't decode the configuration; the previous one stays active");
@@ -96,17 +96,17 @@
 }
 
 /// Activates a configuration unless a newer one is already active.
-pub(crate) fn put_in_force(node: &Node, catalog: Catalog, source: &str) {
+pub(crate) fn activate(node: &Node, catalog: Catalog, source: &str) {
     let version = catalog.version;
     let catalog = Arc::new(catalog);
-    let newer = node.catalog.send_if_modified(|current| {
+    let is_activated = node.catalog.send_if_modified(|current| {
         let is_newer = current.as_ref().is_none_or(|c| c.version < version);
         if is_newer {
             *current = Some(Arc::clone(&catalog));
         }
         is_newer
     });
-    if newer {
+    if is_activated {
         node.telemetry.catalog(version);
         log::info!(target: "config", version, source;
             "configuration in force: {} routes, {} customers", catalog.routes.len(), catalog.customers.len());
--- a/crates/stairstalld/src/batch/directory.rs
+++ b/crates/stairstalld/src/batch/directory.rs
@@ -13,16 +13,16 @@
 /// Longest time for one watch call. If a watch misses a change, the change is seen after this time
 /// at the latest. A worker that announces in the store that it is leaving must get no new work 2 s
 /// later.
-const WATCH_WAIT: Duration = Duration::from_secs(1);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay between watch calls, which collects changes into batches: every heartbeat of a worker is a
 /// change.
-const GATHER: Duration = Duration::from_millis(400);
+const BATCH_DELAY: Duration = Duration::from_millis(400);
 /// Number of changes in one response from which the next watch call follows without delay. The
 /// store returns a limited number of changes at a time; with 3,000 workers a planner that delayed
 /// each call would fall ever further behind.
-const MANY_CHANGES: usize = 200;
-/// Delay before the store is asked again after a failure.
-const STORE_PAUSE: Duration = Duration::from_millis(200);
+const LARGE_BATCH: usize = 200;
+/// Delay before a failed store call is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Reads the whole directory and removes workers from the planner that are no longer listed.
 pub(crate) async fn load(node: &Node, tenure: &Tenure) -> Result<Revision, StoreFault> {
@@ -30,9 +30,9 @@
     let (items, at) = node.read_all("list workers", prefix).await?;
     let listed: BTreeSet<WorkerId> = items
         .iter()
-        .filter_map(|item| take(node, tenure, item))
+        .filter_map(|item| apply_item(node, tenure, item))
         .collect();
-    tenure.with(|planner, now| {
+    tenure.with_planner(|planner, now| {
         let known: Vec<WorkerId> = planner.workers().map(|(id, _)| id.clone()).collect();
         for id in known.iter().filter(|id| !listed.contains(*id)) {
             planner.handle_unlisted_worker(id, now);
@@ -41,24 +41,24 @@
     Ok(at)
 }
 
-fn id_of(node: &Node, key: &str) -> Option<WorkerId> {
+fn parse_worker_id(node: &Node, key: &str) -> Option<WorkerId> {
     key.strip_prefix(node.dialect.directory_prefix())?
         .parse()
         .ok()
 }
 
-fn take(node: &Node, tenure: &Tenure, item: &Item) -> Option<WorkerId> {
-    let id = id_of(node, &item.key)?;
+fn apply_item(node: &Node, tenure: &Tenure, item: &Item) -> Option<WorkerId> {
+    let id = parse_worker_id(node, &item.key)?;
     match node.dialect.read_worker(id.clone(), &item.value) {
         Ok(listed) => {
-            tenure.with(|planner, now| planner.handle_listed_worker(listed, now));
+            tenure.with_planner(|planner, now| planner.handle_listed_worker(listed, now));
             Some(id)
         }
         Err(error) => {
             // Other programs can write any value here. An entry that can't be read lists no usable
             // worker.
             log::warn!(target: "directory", worker:% = id, why:% = error; "directory entry lists no usable worker");
-            tenure.with(|planner, now| planner.handle_unlisted_worker(&id, now));
+            tenure.with_planner(|planner, now| planner.handle_unlisted_worker(&id, now));
             None
         }
     }
@@ -73,7 +73,7 @@
         at = loop {
             match load(&node, &tenure).await {
                 Ok(at) => break at,
-                Err(_) => node.pause(STORE_PAUSE).await,
+                Err(_) => node.back_off(STORE_RETRY_DELAY).await,
             }
         };
     }
@@ -82,23 +82,24 @@
 async fn watch(node: &Node, tenure: &Tenure, mut at: Revision) -> Result<(), StoreFault> {
     let prefix = node.dialect.directory_prefix();
     loop {
-        let watched = node.store.watch(prefix, at, WATCH_WAIT);
-        let watched = node.stored("watch workers", watched).await?;
+        let watched = node.store.watch(prefix, at, WATCH_TIMEOUT);
+        let watched = node.store_call("watch workers", watched).await?;
         at = watched.at;
         for change in &watched.changes {
             match change {
                 Change::Written(item) => {
-                    take(node, tenure, item);
+                    apply_item(node, tenure, item);
                 }
                 Change::Gone { key, .. } => {
-                    if let Some(id) = id_of(node, key) {
-                        tenure.with(|planner, now| planner.handle_unlisted_worker(&id, now));
+                    if let Some(id) = parse_worker_id(node, key) {
+                        tenure
+                            .with_planner(|planner, now| planner.handle_unlisted_worker(&id, now));
                     }
                 }
             }
         }
-        if watched.changes.len() < MANY_CHANGES {
-            tokio::time::sleep(GATHER).await;
+        if watched.changes.len() < LARGE_BATCH {
+            tokio::time::sleep(BATCH_DELAY).await;
         }
     }
 }
--- a/crates/stairstalld/src/batch/kept.rs
+++ b/crates/stairstalld/src/batch/encoding.rs
@@ -15,21 +15,21 @@
 
 /// Values with shorter JSON than this many bytes are stored uncompressed: compression saves little,
 /// and the values stay readable for people.
-const DEFLATED_FROM: usize = 400;
+const MIN_COMPRESSED_LEN: usize = 400;
 /// Longest decoded value in bytes, far above the 1 MB that the store accepts for a value.
-const MAX_BYTES: u64 = 32 * 1024 * 1024;
+const MAX_DECODED_BYTES: u64 = 32 * 1024 * 1024;
 
 quick_error! {
     /// A value that can't be encoded or decoded.
     #[derive(Debug)]
-    pub enum KeptError {
+    pub enum EncodingError {
         /// The value is not the expected JSON.
-        Form(error: serde_json::Error) {
+        Json(error: serde_json::Error) {
             from()
             display("{error}")
         }
         /// The value can't be compressed or decompressed.
-        Deflate(error: std::io::Error) {
+        Zlib(error: std::io::Error) {
             from()
             display("{error}")
         }
@@ -37,9 +37,9 @@
 }
 
 /// Encodes a value for the store.
-pub(crate) fn write<T: Serialize>(value: &T) -> Result<Vec<u8>, KeptError> {
+pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, EncodingError> {
     let json = serde_json::to_vec(value)?;
-    if json.len() < DEFLATED_FROM {
+    if json.len() < MIN_COMPRESSED_LEN {
         return Ok(json);
     }
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
@@ -48,13 +48,13 @@
 }
 
 /// Decodes a stored value. JSON starts with a brace; a zlib stream never does.
-pub(crate) fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, KeptError> {
+pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, EncodingError> {
     if bytes.first() == Some(&b'{') {
         return Ok(serde_json::from_slice(bytes)?);
     }
     let mut json = Vec::new();
     ZlibDecoder::new(bytes)
-        .take(MAX_BYTES)
+        .take(MAX_DECODED_BYTES)
         .read_to_end(&mut json)?;
     Ok(serde_json::from_slice(&json)?)
 }
--- a/crates/stairstalld/src/batch/kept/tests.rs
+++ b/crates/stairstalld/src/batch/encoding/tests.rs
@@ -2,7 +2,7 @@
     GroupProgress, Incarnation, LearnedEstimates, Progress, RunPlacement, StoredPace, StoredRatios,
 };
 
-use super::{read, write};
+use super::{decode, encode};
 
 /// Returns the progress of one step whose tasks are all running.
 fn progress(tasks: u32) -> Progress {
@@ -28,47 +28,53 @@
 }
 
 #[test]
-fn long_values_are_kept_in_a_fraction_of_their_length() {
+fn long_values_are_compressed_to_less_than_a_third() {
     let progress = progress(80);
     let json = serde_json::to_vec(&progress).expect("JSON");
-    let kept = write(&progress).expect("it is encoded");
+    let encoded = encode(&progress).expect("it is encoded");
     assert!(
-        kept.len() * 3 < json.len(),
+        encoded.len() * 3 < json.len(),
         "{} of {} bytes",
-        kept.len(),
+        encoded.len(),
         json.len()
     );
-    assert_eq!(read::<Progress>(&kept).expect("it is decoded"), progress);
+    assert_eq!(
+        decode::<Progress>(&encoded).expect("it is decoded"),
+        progress
+    );
 }
 
 #[test]
-fn short_values_can_be_read_by_people() {
+fn short_values_are_stored_as_plain_json() {
     let progress = progress(1);
-    let kept = write(&progress).expect("it is encoded");
-    assert_eq!(kept, serde_json::to_vec(&progress).expect("JSON"));
-    assert_eq!(read::<Progress>(&kept).expect("it is decoded"), progress);
+    let encoded = encode(&progress).expect("it is encoded");
+    assert_eq!(encoded, serde_json::to_vec(&progress).expect("JSON"));
+    assert_eq!(
+        decode::<Progress>(&encoded).expect("it is decoded"),
+        progress
+    );
 }
 
 #[test]
-fn what_is_not_whole_is_an_error() {
-    let mut kept = write(&progress(80)).expect("it is encoded");
-    kept.truncate(kept.len() / 2);
-    assert!(read::<Progress>(&kept).is_err());
-    assert!(read::<Progress>(b"").is_err());
-    assert!(read::<Progress>(b"{\"occurrences\":").is_err());
+fn decoding_a_truncated_value_fails() {
+    let mut encoded = encode(&progress(80)).expect("it is encoded");
+    encoded.truncate(encoded.len() / 2);
+    assert!(decode::<Progress>(&encoded).is_err());
+    assert!(decode::<Progress>(b"").is_err());
+    assert!(decode::<Progress>(b"{\"occurrences\":").is_err());
 }
 
 /// Returns the largest set of learned estimates for this number of workers.
-fn learnt(workers: u32) -> LearnedEstimates {
+fn learned(workers: u32) -> LearnedEstimates {
     let spread = |number: u32| (number.wrapping_mul(2_654_435_761) >> 16) % 97;
     let ratios = |number: u32| StoredRatios {
         queue: format!("queue-{}", number % 16),
         customer: (number >= 16).then(|| format!("customer-{number}").parse().expect("a valid ID")),
         complete: (0..32)
-            .map(|bin| short(spread(number * 32 + bin)))
+            .map(|bin| as_u16(spread(number * 32 + bin)))
             .collect(),
         censored: (0..32)
-            .map(|bin| short(spread(number * 57 + bin) / 9))
+            .map(|bin| as_u16(spread(number * 57 + bin) / 9))
             .collect(),
     };
     let pace = |number: u32| StoredPace {
@@ -78,8 +84,8 @@
         )
         .parse()
         .expect("a valid ID"),
-        factor_percent: short(70 + spread(number)),
-        spread_percent: short(spread(number) / 9),
+        factor_percent: as_u16(70 + spread(number)),
+        spread_percent: as_u16(spread(number) / 9),
         runs: u8::try_from(spread(number)).expect("it fits"),
     };
     LearnedEstimates {
@@ -89,20 +95,24 @@
     }
 }
 
-fn short(number: u32) -> u16 {
+fn as_u16(number: u32) -> u16 {
     u16::try_from(number).expect("it fits")
 }
 
 #[test]
-fn what_was_learnt_stays_far_below_the_longest_value_of_the_store() {
-    for (workers, most) in [(0, 16_000), (350, 24_000), (3_000, 80_000)] {
-        let learnt = learnt(workers);
-        let kept = write(&learnt).expect("it is encoded");
-        println!("{workers} workers: {} bytes", kept.len());
-        assert!(kept.len() < most, "{workers} workers: {} bytes", kept.len());
+fn learned_estimates_stay_far_below_the_size_limit_of_the_store() {
+    for (workers, max_len) in [(0, 16_000), (350, 24_000), (3_000, 80_000)] {
+        let learned = learned(workers);
+        let encoded = encode(&learned).expect("it is encoded");
+        println!("{workers} workers: {} bytes", encoded.len());
+        assert!(
+            encoded.len() < max_len,
+            "{workers} workers: {} bytes",
+            encoded.len()
+        );
         assert_eq!(
-            read::<LearnedEstimates>(&kept).expect("it is decoded"),
-            learnt
+            decode::<LearnedEstimates>(&encoded).expect("it is decoded"),
+            learned
         );
     }
 }
--- a/crates/stairstalld/src/batch/evacuation.rs
+++ b/crates/stairstalld/src/batch/evacuated_zones.rs
@@ -13,24 +13,24 @@
 /// Number of polls within the bound for an evacuation to take effect; 5 polls make one second apart
 /// at the default bound of 5 s. Polling is used because a watch may receive nothing for a while and
 /// then find that its history has been compacted.
-const QUESTIONS_PER_BOUND: u32 = 5;
-/// Delay before the store is asked again after a failure.
-const STORE_PAUSE: Duration = Duration::from_millis(200);
+const POLLS_PER_BOUND: u32 = 5;
+/// Delay before a failed store call is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Reads which zones are evacuated and passes them to the planner.
 pub(crate) async fn load(node: &Node, tenure: &Tenure) -> Result<(), StoreFault> {
     let prefix = node.dialect.evacuation_prefix();
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let (items, _) = node.read_all("list evacuations", prefix).await?;
     let zones: BTreeSet<ZoneId> = items
         .iter()
-        .filter_map(|item| read_zone(prefix, &item.key))
+        .filter_map(|item| parse_zone(prefix, &item.key))
         .collect();
-    tenure.with(|planner, now| planner.set_evacuated_zones(zones, asked_at, now));
+    tenure.with_planner(|planner, now| planner.set_evacuated_zones(zones, requested_at, now));
     Ok(())
 }
 
-fn read_zone(prefix: &str, key: &str) -> Option<ZoneId> {
+fn parse_zone(prefix: &str, key: &str) -> Option<ZoneId> {
     let name = key.strip_prefix(prefix)?;
     match name.parse() {
         Ok(zone) => Some(zone),
@@ -43,12 +43,12 @@
 
 /// Polls for as long as the tenure lasts; [`load`] has done the first read.
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>) {
-    let interval = node.settings.bounds.evacuate / QUESTIONS_PER_BOUND;
+    let interval = node.settings.bounds.evacuate / POLLS_PER_BOUND;
     loop {
         tokio::time::sleep(interval).await;
         while let Err(fault) = load(&node, &tenure).await {
             log::debug!(target: "zone", why:% = fault; "reading the evacuated zones again");
-            node.pause(STORE_PAUSE).await;
+            node.back_off(STORE_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/stairstalld/src/batch/health.rs
+++ b/crates/stairstalld/src/batch/health.rs
@@ -11,8 +11,8 @@
 
 use stairstall_core::JobId;
 
-use super::ask;
 use super::node::Node;
+use super::queries;
 use crate::answer::{Failure, json};
 
 /// Path of the metrics.
@@ -43,15 +43,15 @@
 
 /// Returns the router for the metrics address.
 pub(crate) fn metrics_router(node: &Arc<Node>) -> Router {
-    let figures_of = Arc::clone(node);
-    let explains = Arc::clone(node);
+    let metrics_node = Arc::clone(node);
+    let explain_node = Arc::clone(node);
     Router::new()
         .get(METRICS_PATH, move |_: Request| {
-            let node = Arc::clone(&figures_of);
-            async move { Result::Ok(figures(&node)) }
+            let node = Arc::clone(&metrics_node);
+            async move { Result::Ok(metrics(&node)) }
         })
         .get(EXPLAIN_PATH, move |request: Request| {
-            let node = Arc::clone(&explains);
+            let node = Arc::clone(&explain_node);
             async move { Result::Ok(explain(&node, &request).await) }
         })
 }
@@ -63,22 +63,23 @@
         Ok(id) => id,
         Err(error) => return Failure::bad("id", format!("{error}")).into(),
     };
-    match ask::explain(node, &id).await {
+    match queries::explain(node, &id).await {
         Some(explanation) => json(StatusCode::OK, &explanation),
         None => Failure::missing("the planner can't be asked, or knows no such job").into(),
     }
 }
 
-fn figures(node: &Node) -> Response {
+fn metrics(node: &Node) -> Response {
     if let Some(tenure) = node.tenure() {
-        let (open_jobs, runs) = tenure.load();
+        let (open_jobs, runs) = tenure.load_counts();
         node.telemetry.contact(&tenure.contact_lag());
         node.telemetry.load(open_jobs, runs);
         node.telemetry.paces(&tenure.pace_summary());
-        let (zones, age) = tenure.evacuations();
-        node.telemetry.evacuations(zones, age.unwrap_or_default());
+        let (zones, age) = tenure.evacuated_zones();
+        node.telemetry
+            .evacuated_zones(zones, age.unwrap_or_default());
     } else {
-        node.telemetry.evacuations(0, Duration::ZERO);
+        node.telemetry.evacuated_zones(0, Duration::ZERO);
         node.telemetry.load(0, 0);
         node.telemetry.paces(&PaceSummary::default());
         node.telemetry.contact(&ContactLag::default());
--- a/crates/stairstalld/src/batch/intake.rs
+++ b/crates/stairstalld/src/batch/job_watch.rs
@@ -8,22 +8,22 @@
 use stairstall_core::batch::{AcceptedJob, LearnedEstimates, Progress};
 use stairstall_ports::{Change, Item, Revision, StoreFault};
 
-use super::kept;
-use super::kept_job::KeptJob;
-use super::keys::{self, JobKeyKind};
+use super::encoding;
+use super::keys::{self, JobKey};
 use super::node::Node;
+use super::stored_job::StoredJob;
 use super::tenure::Tenure;
 use super::writer::Revisions;
 
 /// Interval between polls of the store. Daemons usually notify the planner sooner.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Delay before the store is asked again after a failure. It is short because starts may wait for
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before a failed store call is retried. It is short because starts may wait for
 /// the answer.
-const STORE_PAUSE: Duration = Duration::from_millis(250);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Delays before the first polls of a tenure. Until every daemon knows the new planner, it is not
 /// notified of jobs that they accept. Without these early polls, jobs accepted during the 0.1 s of
 /// a takeover became known 1.0 to 1.1 s later, half the run time of an urgent job.
-const FIRST_PAUSES: [Duration; 4] = [
+const INITIAL_DELAYS: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(200),
@@ -32,13 +32,13 @@
 
 /// Longest read of the learned estimates. They are useful but optional, so the takeover waits no
 /// longer for them.
-const LEARNT_TIMEOUT: Duration = Duration::from_millis(400);
+const LEARNED_READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Everything that the store holds about jobs.
 #[derive(Debug)]
-pub(crate) struct KeptJobs {
+pub(crate) struct StoredJobs {
     /// Estimates learned by an earlier planner, if they can be read.
-    learnt: Option<LearnedEstimates>,
+    learned: Option<LearnedEstimates>,
     jobs: Vec<Item>,
     progress: Vec<Item>,
     /// Revision from which to watch for changes.
@@ -46,14 +46,14 @@
 }
 
 /// Reads all stored jobs.
-pub(crate) async fn read(node: &Node) -> Result<KeptJobs, StoreFault> {
+pub(crate) async fn read(node: &Node) -> Result<StoredJobs, StoreFault> {
     let jobs = node.read_all("list jobs", keys::JOBS);
     let progress = node.read_all("list progress", keys::PROGRESS);
-    let listings = node.listings(jobs, progress);
-    let (listed, learnt) = futures::join!(listings, read_learnt(node));
+    let listings = node.read_both(jobs, progress);
+    let (listed, learned) = futures::join!(listings, read_learned(node));
     let ((jobs, at), (progress, _)) = listed?;
-    Ok(KeptJobs {
-        learnt,
+    Ok(StoredJobs {
+        learned,
         jobs,
         progress,
         at,
@@ -61,37 +61,37 @@
 }
 
 /// Reads the estimates learned by an earlier planner. Planning works without them.
-async fn read_learnt(node: &Node) -> Option<LearnedEstimates> {
+async fn read_learned(node: &Node) -> Option<LearnedEstimates> {
     if !node.settings.policy.run_times.is_stored {
         return None;
     }
-    let read = node.read_at("read learnt", keys::LEARNT, LEARNT_TIMEOUT);
+    let read = node.read_at("read learnt", keys::LEARNED, LEARNED_READ_TIMEOUT);
     let read = read.await.inspect_err(|fault| {
         log::warn!(target: "intake", why:% = fault; "could not read learned estimates from the store");
     });
     let (item, _) = read.ok()?;
-    let learnt = kept::read(&item?.value).inspect_err(|error| {
+    let learned = encoding::decode(&item?.value).inspect_err(|error| {
         log::warn!(target: "intake", why:% = error; "can't decode learned estimates");
     });
-    learnt.ok()
+    learned.ok()
 }
 
 /// Loads all stored jobs into the planner. Returns the revision from which to watch for changes,
 /// and the revisions of the progress keys.
-pub(crate) fn load(kept: KeptJobs, tenure: &Tenure) -> (Revision, Revisions) {
-    if let Some(learnt) = kept.learnt {
-        log::info!(target: "intake", token = tenure.token(), run_times = learnt.run_times.len(),
-            paces = learnt.paces.len(); "read learned estimates");
-        tenure.with(|planner, now| planner.restore_learned_estimates(learnt, now));
+pub(crate) fn load(stored: StoredJobs, tenure: &Tenure) -> (Revision, Revisions) {
+    if let Some(learned) = stored.learned {
+        log::info!(target: "intake", token = tenure.token(), run_times = learned.run_times.len(),
+            paces = learned.paces.len(); "read learned estimates");
+        tenure.with_planner(|planner, now| planner.restore_learned_estimates(learned, now));
     }
     let mut revisions = Revisions::new();
     let mut progress: BTreeMap<JobId, Progress> = BTreeMap::new();
-    for item in kept.progress {
-        let Some(id) = keys::read_progress(&item.key) else {
+    for item in stored.progress {
+        let Some(id) = keys::parse_progress_key(&item.key) else {
             continue;
         };
         revisions.insert(id.clone(), item.revision);
-        match kept::read(&item.value) {
+        match encoding::decode(&item.value) {
             Ok(found) => {
                 progress.insert(id, found);
             }
@@ -100,30 +100,30 @@
             }
         }
     }
-    let cancelled: BTreeSet<JobId> = kept
+    let cancelled: BTreeSet<JobId> = stored
         .jobs
         .iter()
-        .filter_map(|item| match keys::read_job(&item.key) {
-            Some(JobKeyKind::Cancel(id)) => Some(id),
+        .filter_map(|item| match keys::parse_job_key(&item.key) {
+            Some(JobKey::Cancel(id)) => Some(id),
             _ => None,
         })
         .collect();
-    for job in kept.jobs.iter().filter_map(read_job) {
+    for job in stored.jobs.iter().filter_map(decode_job) {
         let id = job.id.clone();
-        tenure.with(|planner, now| {
+        tenure.with_planner(|planner, now| {
             planner.restore_job(job, progress.get(&id), cancelled.contains(&id), now);
         });
     }
-    (kept.at, revisions)
+    (stored.at, revisions)
 }
 
 /// Returns the accepted job that an item holds, or `None` if the item is a cancellation, a refusal
 /// record or unreadable.
-fn read_job(item: &Item) -> Option<AcceptedJob> {
-    let Some(JobKeyKind::Accepted(id)) = keys::read_job(&item.key) else {
+fn decode_job(item: &Item) -> Option<AcceptedJob> {
+    let Some(JobKey::Accepted(id)) = keys::parse_job_key(&item.key) else {
         return None;
     };
-    KeptJob::read(&item.value)
+    StoredJob::read(&item.value)
         .inspect_err(|error| {
             log::error!(target: "intake", job:% = id, why:% = error; "can't decode the job");
         })
@@ -133,23 +133,23 @@
 
 /// Polls for changes for as long as the tenure lasts.
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>, mut at: Revision) {
-    let mut first_pauses = FIRST_PAUSES.into_iter();
-    let mut pause = Duration::ZERO;
+    let mut initial_delays = INITIAL_DELAYS.into_iter();
+    let mut delay = Duration::ZERO;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            () = tenure.resumed.notified() => {}
+            () = tokio::time::sleep(delay) => {}
+            () = tenure.lease_restored.notified() => {}
         }
         // A poll sent before the lease was restored may hang on its connection until its own
         // timeout.
-        pause = tokio::select! {
+        delay = tokio::select! {
             biased;
-            () = tenure.resumed.notified() => Duration::ZERO,
-            found = ask(&node, &tenure, at) => {
+            () = tenure.lease_restored.notified() => Duration::ZERO,
+            found = poll(&node, &tenure, at) => {
                 let failed = found.is_err();
                 at = found.unwrap_or(at);
-                let next = first_pauses.next().unwrap_or(INTERVAL);
-                if failed { next.min(STORE_PAUSE) } else { next }
+                let next = initial_delays.next().unwrap_or(POLL_INTERVAL);
+                if failed { next.min(STORE_RETRY_DELAY) } else { next }
             }
         };
     }
@@ -157,44 +157,44 @@
 
 /// Polls for changes once and passes them to the planner. Returns the revision from which to poll
 /// next.
-async fn ask(node: &Node, tenure: &Tenure, at: Revision) -> Result<Revision, StoreFault> {
-    let asked_at = node.clock.now();
+async fn poll(node: &Node, tenure: &Tenure, at: Revision) -> Result<Revision, StoreFault> {
+    let requested_at = node.clock.now();
     let watched = node.store.watch(keys::JOBS, at, Duration::ZERO);
-    let at = match node.stored("watch jobs", watched).await {
+    let at = match node.store_call("watch jobs", watched).await {
         Ok(watched) => {
             for change in &watched.changes {
-                take(tenure, change);
+                handle_change(tenure, change);
             }
             watched.at
         }
-        Err(StoreFault::HistoryGone) => reread(node, tenure).await?,
+        Err(StoreFault::HistoryGone) => reload(node, tenure).await?,
         Err(fault) => return Err(fault),
     };
-    tenure.with(|planner, _| planner.confirm_jobs_current(asked_at));
+    tenure.with_planner(|planner, _| planner.confirm_jobs_current(requested_at));
     Ok(at)
 }
 
 /// Reads all jobs again after the store has compacted the history that the watch needs.
-async fn reread(node: &Node, tenure: &Tenure) -> Result<Revision, StoreFault> {
+async fn reload(node: &Node, tenure: &Tenure) -> Result<Revision, StoreFault> {
     let (items, at) = node.read_all("list jobs", keys::JOBS).await?;
     for item in items {
-        take(tenure, &Change::Written(item));
+        handle_change(tenure, &Change::Written(item));
     }
     Ok(at)
 }
 
-fn take(tenure: &Tenure, change: &Change) {
+fn handle_change(tenure: &Tenure, change: &Change) {
     let Change::Written(item) = change else {
         return;
     };
-    match keys::read_job(&item.key) {
-        Some(JobKeyKind::Accepted(_)) => {
-            if let Some(job) = read_job(item) {
-                tenure.with(|planner, now| planner.submit(job, now));
+    match keys::parse_job_key(&item.key) {
+        Some(JobKey::Accepted(_)) => {
+            if let Some(job) = decode_job(item) {
+                tenure.with_planner(|planner, now| planner.submit(job, now));
             }
         }
-        Some(JobKeyKind::Cancel(id)) => {
-            tenure.with(|planner, now| planner.cancel(&id, now));
+        Some(JobKey::Cancel(id)) => {
+            tenure.with_planner(|planner, now| planner.cancel(&id, now));
         }
         None => {}
     }
--- a/crates/stairstalld/src/batch/keys.rs
+++ b/crates/stairstalld/src/batch/keys.rs
@@ -4,15 +4,15 @@
 
 /// Key of the [`PlannerRecord`](super::node::PlannerRecord). It is removed when the planner's lease
 /// ends.
-pub(crate) const PLANNER: &str = "stairstall/role/planner";
+pub(crate) const PLANNER_ROLE: &str = "stairstall/role/planner";
 /// Key of the number of tenures so far, which is the last fencing token.
-pub(crate) const TENURE: &str = "stairstall/role/tenures";
+pub(crate) const TENURE_COUNT: &str = "stairstall/role/tenures";
 /// Prefix of accepted jobs and cancellations.
 pub(crate) const JOBS: &str = "stairstall/job/";
 /// Prefix of the jobs' progress.
 pub(crate) const PROGRESS: &str = "stairstall/progress/";
 /// Key of the run times and paces that one planner has learned, for the next one.
-pub(crate) const LEARNT: &str = "stairstall/learnt";
+pub(crate) const LEARNED: &str = "stairstall/learnt";
 /// Suffix of the key of a cancellation.
 const CANCEL_SUFFIX: &str = ".cancel";
 
@@ -33,7 +33,7 @@
 
 /// A parsed key under [`JOBS`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum JobKeyKind {
+pub(crate) enum JobKey {
     /// Key of an accepted job or of its refusal.
     Accepted(JobId),
     /// Key of a cancellation.
@@ -41,15 +41,15 @@
 }
 
 /// Parses a key under [`JOBS`].
-pub(crate) fn read_job(key: &str) -> Option<JobKeyKind> {
+pub(crate) fn parse_job_key(key: &str) -> Option<JobKey> {
     let name = key.strip_prefix(JOBS)?;
     match name.strip_suffix(CANCEL_SUFFIX) {
-        Some(id) => Some(JobKeyKind::Cancel(id.parse().ok()?)),
-        None => Some(JobKeyKind::Accepted(name.parse().ok()?)),
+        Some(id) => Some(JobKey::Cancel(id.parse().ok()?)),
+        None => Some(JobKey::Accepted(name.parse().ok()?)),
     }
 }
 
 /// Parses a key under [`PROGRESS`].
-pub(crate) fn read_progress(key: &str) -> Option<JobId> {
+pub(crate) fn parse_progress_key(key: &str) -> Option<JobId> {
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
--- a/crates/stairstalld/src/batch/load.rs
+++ b/crates/stairstalld/src/batch/load.rs
@@ -11,65 +11,69 @@
 
 /// A load summary and the time when it was requested.
 #[derive(Debug, Clone)]
-struct Word {
+struct CachedSummary {
     summary: Arc<LoadSummary>,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
 }
 
 /// Caches the planner's latest load summary.
 #[derive(Debug)]
-pub(crate) struct HeldLoad {
+pub(crate) struct LoadCache {
     policy: AdmissionPolicy,
-    word: Mutex<Option<Word>>,
+    cached: Mutex<Option<CachedSummary>>,
     /// Shortest interval between two calls to the planner, as set by the planner.
-    pause: Mutex<Duration>,
+    call_interval: Mutex<Duration>,
 }
 
-impl HeldLoad {
+impl LoadCache {
     pub(crate) const fn new(policy: &AdmissionPolicy) -> Self {
         Self {
             policy: *policy,
-            word: Mutex::new(None),
-            pause: Mutex::new(Duration::ZERO),
+            cached: Mutex::new(None),
+            call_interval: Mutex::new(Duration::ZERO),
         }
     }
 
     /// Sets the interval between two calls to the planner. The planner makes it longer the more
     /// daemons there are.
-    pub(crate) fn set_pause(&self, pause: Duration) {
-        *lock(&self.pause) = pause;
+    pub(crate) fn set_call_interval(&self, call_interval: Duration) {
+        *lock(&self.call_interval) = call_interval;
     }
 
     /// Returns whether it is time to request a new summary from the planner.
-    pub(crate) fn is_wanted(&self, now: Timestamp) -> bool {
+    pub(crate) fn should_request(&self, now: Timestamp) -> bool {
         let policy = &self.policy;
         if !policy.refuses_impossible && !policy.refuses_too_late {
             return false;
         }
-        let pause = *lock(&self.pause);
-        let every = pause
+        let call_interval = *lock(&self.call_interval);
+        let interval = call_interval
             .max(policy.min_refresh_interval)
             .min(policy.max_refresh_interval);
-        let word = lock(&self.word);
-        word.as_ref()
-            .is_none_or(|word| now - word.asked_at >= every)
+        let cached = lock(&self.cached);
+        cached
+            .as_ref()
+            .is_none_or(|cached| now - cached.requested_at >= interval)
     }
 
     /// Stores a summary unless a later one is known.
-    pub(crate) fn take(&self, summary: LoadSummary, asked_at: Timestamp) {
-        let mut word = lock(&self.word);
-        let is_later = |known: &Word| summary.is_later_than(&known.summary);
-        if word.as_ref().is_none_or(is_later) {
+    pub(crate) fn update(&self, summary: LoadSummary, requested_at: Timestamp) {
+        let mut cached = lock(&self.cached);
+        let is_later = |known: &CachedSummary| summary.is_later_than(&known.summary);
+        if cached.as_ref().is_none_or(is_later) {
             let summary = Arc::new(summary);
-            *word = Some(Word { summary, asked_at });
+            *cached = Some(CachedSummary {
+                summary,
+                requested_at,
+            });
         }
     }
 
     /// Returns the latest summary and an upper bound of its age.
-    pub(crate) fn known(&self, now: Timestamp) -> Option<(Arc<LoadSummary>, Duration)> {
-        let word = lock(&self.word).clone()?;
-        let age = now - word.asked_at + self.policy.summary_interval;
-        Some((word.summary, age))
+    pub(crate) fn latest(&self, now: Timestamp) -> Option<(Arc<LoadSummary>, Duration)> {
+        let cached = lock(&self.cached).clone()?;
+        let age = now - cached.requested_at + self.policy.summary_interval;
+        Some((cached.summary, age))
     }
 }
 
--- a/crates/stairstalld/src/batch/upkeep.rs
+++ b/crates/stairstalld/src/batch/maintenance.rs
@@ -9,80 +9,80 @@
 
 use super::node::Node;
 use super::tenure::Tenure;
-use super::{kept, keys};
+use super::{encoding, keys};
 use crate::clock::millis;
 
 /// Interval between rounds.
-const INTERVAL: Duration = Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of rounds between status lines.
-const ROUNDS_PER_LINE: u64 = 5;
+const ROUNDS_PER_STATUS: u64 = 5;
 /// Number of rounds between two writes of learned estimates.
-const ROUNDS_PER_LEARNT: u64 = 2;
+const ROUNDS_PER_LEARNED: u64 = 2;
 /// Number of customers whose usage is logged.
-const CUSTOMERS_TOLD: usize = 5;
+const CUSTOMERS_LOGGED: usize = 5;
 /// Jobs in one write. The store accepts 32 entries, up to two for each job and one for the role.
 const JOBS_PER_WRITE: usize = 15;
 
 /// Does the periodic work for as long as the tenure lasts.
 pub(crate) async fn run(node: Arc<Node>, tenure: Arc<Tenure>) {
-    let mut written = LearnedEstimates::default();
+    let mut stored = LearnedEstimates::default();
     for round in 1_u64.. {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
         if !tenure.is_in_force() {
             continue;
         }
-        if round.is_multiple_of(ROUNDS_PER_LINE) {
-            tell_lag(&tenure);
-            tell_paces(&tenure);
-            tell_use(&tenure);
+        if round.is_multiple_of(ROUNDS_PER_STATUS) {
+            log_contact_lag(&tenure);
+            log_paces(&tenure);
+            log_usage(&tenure);
         }
-        if node.settings.policy.run_times.is_stored && round.is_multiple_of(ROUNDS_PER_LEARNT) {
-            keep_learnt(&node, &tenure, &mut written).await;
+        if node.settings.policy.run_times.is_stored && round.is_multiple_of(ROUNDS_PER_LEARNED) {
+            store_learned(&node, &tenure, &mut stored).await;
         }
-        let trims = tenure.with(|planner, _| planner.take_jobs_to_trim(JOBS_PER_WRITE));
-        if !trims.is_empty() {
-            write(&node, &tenure, &trims).await;
+        let trimmed = tenure.with_planner(|planner, _| planner.take_jobs_to_trim(JOBS_PER_WRITE));
+        if !trimmed.is_empty() {
+            store_trimmed(&node, &tenure, &trimmed).await;
         }
     }
 }
 
 /// Logs how current the planner's contact with its workers is.
-fn tell_lag(tenure: &Tenure) {
+fn log_contact_lag(tenure: &Tenure) {
     let lag = tenure.contact_lag();
-    let (evacuated, evacuations_age) = tenure.evacuations();
+    let (evacuated, evacuated_age) = tenure.evacuated_zones();
     log::info!(target: "contact", token = tenure.token(), silent = lag.silent,
         oldest_report_ms = millis(lag.oldest_report), report_wait_ms = millis(lag.report_wait),
         starts_under_way = lag.starts_under_way, evacuated_zones = evacuated,
-        evacuations_age_ms = millis(evacuations_age.unwrap_or_default()); "worker contact of this planner");
+        evacuations_age_ms = millis(evacuated_age.unwrap_or_default()); "worker contact of this planner");
 }
 
 /// Logs how many workers differ in pace.
-fn tell_paces(tenure: &Tenure) {
+fn log_paces(tenure: &Tenure) {
     let paces = tenure.pace_summary();
     log::info!(target: "pace", token = tenure.token(), known = paces.known, slow = paces.slow,
         fast = paces.fast, uneven = paces.is_heterogeneous; "paces of workers");
 }
 
 /// Logs the recent usage of the customers with the highest usage.
-fn tell_use(tenure: &Tenure) {
-    let (customers, fair_ms) = tenure.customer_use(CUSTOMERS_TOLD);
-    for one in customers {
-        let customer = one
+fn log_usage(tenure: &Tenure) {
+    let (customers, fair_ms) = tenure.customer_usage(CUSTOMERS_LOGGED);
+    for usage in customers {
+        let customer = usage
             .customer
             .map_or_else(|| "-".to_owned(), |name| name.to_string());
         log::info!(target: "use", token = tenure.token(), customer:% = customer,
-            used_ms = one.used_ms, fair_ms; "recent usage of a customer, in time of the whole fleet");
+            used_ms = usage.used_ms, fair_ms; "recent usage of a customer, in time of the whole fleet");
     }
 }
 
 /// Stores the learned estimates if they would tell the next planner more than those stored before.
 /// A failed write is retried in a later round.
-async fn keep_learnt(node: &Node, tenure: &Tenure, written: &mut LearnedEstimates) {
-    let learnt = tenure.with(|planner, now| planner.learned_estimates(now));
-    if !learnt.differs_significantly_from(written) {
+async fn store_learned(node: &Node, tenure: &Tenure, stored: &mut LearnedEstimates) {
+    let learned = tenure.with_planner(|planner, now| planner.learned_estimates(now));
+    if !learned.differs_significantly_from(stored) {
         return;
     }
-    let value = match kept::write(&learnt) {
+    let value = match encoding::encode(&learned) {
         Ok(value) => value,
         Err(error) => {
             log::error!(target: "upkeep", why:% = error; "can't encode learned estimates");
@@ -90,30 +90,32 @@
         }
     };
     let bytes = value.len();
-    let commit = Commit::default().when(keys::PLANNER, tenure.role_revision);
-    let commit = commit.put(keys::LEARNT.to_owned(), value);
-    let outcome = node.stored("keep learnt", node.store.commit(commit)).await;
+    let commit = Commit::default().when(keys::PLANNER_ROLE, tenure.role_revision);
+    let commit = commit.put(keys::LEARNED.to_owned(), value);
+    let outcome = node
+        .store_call("keep learnt", node.store.commit(commit))
+        .await;
     let is_done = matches!(outcome, Ok(Committed::Done(_)));
     if is_done {
-        *written = learnt;
+        *stored = learned;
     }
     log::info!(target: "upkeep", bytes, done = is_done; "storing learned estimates");
 }
 
-async fn write(node: &Node, tenure: &Tenure, trims: &[AcceptedJob]) {
-    let mut commit = Commit::default().when(keys::PLANNER, tenure.role_revision);
-    for job in trims {
-        match kept::write(job) {
+async fn store_trimmed(node: &Node, tenure: &Tenure, trimmed: &[AcceptedJob]) {
+    let mut commit = Commit::default().when(keys::PLANNER_ROLE, tenure.role_revision);
+    for job in trimmed {
+        match encoding::encode(job) {
             Ok(value) => commit = commit.put(keys::job(&job.id), value),
             Err(error) => {
                 log::error!(target: "upkeep", job:% = job.id, why:% = error; "can't encode the job's record");
             }
         }
     }
-    let written = node.stored("trim", node.store.commit(commit)).await;
-    let is_done = matches!(written, Ok(Committed::Done(_)));
-    tenure.with(|planner, _| {
-        for job in trims {
+    let stored = node.store_call("trim", node.store.commit(commit)).await;
+    let is_done = matches!(stored, Ok(Committed::Done(_)));
+    tenure.with_planner(|planner, _| {
+        for job in trimmed {
             if is_done {
                 planner.job_trimmed(&job.id);
             } else {
@@ -121,5 +123,5 @@
             }
         }
     });
-    log::info!(target: "upkeep", jobs = trims.len(), done = is_done; "shortening records of ended jobs");
+    log::info!(target: "upkeep", jobs = trimmed.len(), done = is_done; "shortening records of ended jobs");
 }
--- a/crates/stairstalld/src/batch/node.rs
+++ b/crates/stairstalld/src/batch/node.rs
@@ -12,10 +12,10 @@
 use stairstall_ports::{Adviser, Dialect, Item, Revision, SharedStore, StoreFault, WorkerCalls};
 use tokio::sync::watch;
 
-use super::load::HeldLoad;
+use super::load::LoadCache;
 use super::refusals::Refusals;
 use super::role;
-use super::rpc::Peers;
+use super::rpc::PeerClients;
 use super::settings::BatchSettings;
 use super::store_health::StoreHealth;
 use super::telemetry::Telemetry;
@@ -26,7 +26,7 @@
 /// Slowest link, in megabits per second, on which two listings are read concurrently. At this rate
 /// the windows of two connections, about 130 kB, take 0.1 s, well below the time of a lease
 /// renewal.
-const WIDE_LINK_MBPS: u32 = 10;
+const CONCURRENT_LISTING_MIN_MBPS: u32 = 10;
 
 /// Longest call for one page of a listing, which may be 1 MB over a slow link.
 pub(crate) const LIST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -66,11 +66,11 @@
     pub(crate) workers: Arc<dyn WorkerCalls>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) adviser: Option<Arc<dyn Adviser>>,
-    pub(crate) peers: Peers,
+    pub(crate) peer_clients: PeerClients,
     /// The other daemons that this one knows.
-    pub(crate) reach: Mutex<PeerTable>,
+    pub(crate) peer_table: Mutex<PeerTable>,
     /// The latest summary of the fleet's load.
-    pub(crate) load: HeldLoad,
+    pub(crate) load: LoadCache,
     /// The lease of refusal records, and the retry times given to refused callers.
     pub(crate) refusals: Refusals,
     pub(crate) telemetry: Telemetry,
@@ -106,9 +106,9 @@
             workers,
             dialect,
             adviser,
-            peers: Peers::new(settings.policy.acceptance.peer_timeout),
-            reach: Mutex::new(PeerTable::new(settings.zone.clone(), settings.policy.reach)),
-            load: HeldLoad::new(&settings.policy.admission),
+            peer_clients: PeerClients::new(settings.policy.acceptance.peer_timeout),
+            peer_table: Mutex::new(PeerTable::new(settings.zone.clone(), settings.policy.reach)),
+            load: LoadCache::new(&settings.policy.admission),
             refusals: Refusals::new(&settings.policy.admission),
             telemetry: Telemetry::new(),
             catalog: watch::channel(None).0,
@@ -126,19 +126,19 @@
     /// Reads two listings. On a fast link they are read concurrently, so that a slow store adds its
     /// latency once. On a slow link they are read one after the other, so that renewals of the
     /// planner's lease don't queue behind both.
-    pub(crate) async fn listings<A, B>(
+    pub(crate) async fn read_both<A, B>(
         &self,
         first: impl Future<Output = Result<A, StoreFault>>,
         second: impl Future<Output = Result<B, StoreFault>>,
     ) -> Result<(A, B), StoreFault> {
-        if self.settings.link_mbps >= WIDE_LINK_MBPS {
+        if self.settings.link_mbps >= CONCURRENT_LISTING_MIN_MBPS {
             futures::try_join!(first, second)
         } else {
             Ok((first.await?, second.await?))
         }
     }
 
-    pub(crate) const fn me(&self) -> &VmId {
+    pub(crate) const fn vm(&self) -> &VmId {
         &self.settings.vm
     }
 
@@ -154,26 +154,26 @@
     }
 
     /// Returns the entry of this daemon for the peer tables of other daemons.
-    pub(crate) fn address(&self) -> PeerAddress {
+    pub(crate) fn peer_address(&self) -> PeerAddress {
         PeerAddress {
-            vm: self.me().clone(),
+            vm: self.vm().clone(),
             zone: self.settings.zone.clone(),
             rpc: self.rpc_address().to_string(),
-            capacity_shortfall_percent: role::weakness_percent(&self.settings),
+            capacity_shortfall_percent: role::capacity_shortfall_percent(&self.settings),
         }
     }
 
     /// Records that a peer did not answer. Its connections are dropped, since the other end may
     /// have disappeared without closing them.
     pub(crate) fn peer_failed(&self, rpc: &str) {
-        self.peers.drop_client(rpc);
-        lock(&self.reach).record_failure(rpc);
+        self.peer_clients.drop_client(rpc);
+        lock(&self.peer_table).record_failure(rpc);
     }
 
     /// Returns whether neither the store nor any peer can take work from this daemon.
     pub(crate) fn is_cut_off(&self) -> bool {
         let now = self.clock.now();
-        self.store_health.holds_back(now) && lock(&self.reach).is_cut_off(now)
+        self.store_health.should_fail_fast(now) && lock(&self.peer_table).is_cut_off(now)
     }
 
     /// Returns whether callers should use this daemon.
@@ -192,9 +192,9 @@
 
     /// Returns whether the configuration is known to be the newest, so that callers may be refused
     /// by it.
-    pub(crate) fn knows_newest_catalog(&self) -> bool {
+    pub(crate) fn is_catalog_current(&self) -> bool {
         let is_confirmed = self.catalog_confirmed.load(Ordering::Acquire);
-        is_confirmed && !self.store_health.holds_back(self.clock.now())
+        is_confirmed && !self.store_health.should_fail_fast(self.clock.now())
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
@@ -211,21 +211,21 @@
     }
 
     /// Returns the planner if it is another daemon.
-    pub(crate) fn other_planner(&self) -> Option<PlannerRecord> {
+    pub(crate) fn remote_planner(&self) -> Option<PlannerRecord> {
         self.planner
             .borrow()
             .clone()
-            .filter(|record| record.vm != *self.me())
+            .filter(|record| record.vm != *self.vm())
     }
 
     /// Returns a mark that is unique among all writes of all daemons.
     pub(crate) fn next_mark(&self) -> Mark {
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
-        Mark::new(self.me().clone(), self.instance, serial)
+        Mark::new(self.vm().clone(), self.instance, serial)
     }
 
     /// Makes a call to the store and records its outcome and latency.
-    pub(crate) async fn stored<T>(
+    pub(crate) async fn store_call<T>(
         &self,
         kind: &'static str,
         call: impl Future<Output = Result<T, StoreFault>>,
@@ -233,7 +233,7 @@
         let started = self.clock.now();
         let result = call.await;
         let now = self.clock.now();
-        self.store_health.note(&result, now);
+        self.store_health.record_result(&result, now);
         let outcome = match &result {
             Ok(_) => "ok",
             Err(fault) if fault.is_outage() => "outage",
@@ -254,7 +254,7 @@
         timeout: Duration,
     ) -> Result<(Option<Item>, Revision), StoreFault> {
         let range = self.store.range(key, "", timeout);
-        let page = self.stored(kind, range).await?;
+        let page = self.store_call(kind, range).await?;
         let item = page.items.into_iter().find(|item| item.key == key);
         Ok((item, page.at))
     }
@@ -272,7 +272,7 @@
                 .last()
                 .map_or_else(String::new, |item| item.key.clone());
             let range = self.store.range(prefix, &after, LIST_TIMEOUT);
-            let page = self.stored(kind, range).await?;
+            let page = self.store_call(kind, range).await?;
             at.get_or_insert(page.at);
             let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
@@ -283,8 +283,8 @@
     }
 
     /// Sleeps for about the given time after a failure, with 25 % of jitter.
-    pub(crate) async fn pause(&self, about: Duration) {
-        let spread = rand::random_range(0.75..1.25);
-        tokio::time::sleep(about.mul_f64(spread)).await;
+    pub(crate) async fn back_off(&self, delay: Duration) {
+        let jitter = rand::random_range(0.75..1.25);
+        tokio::time::sleep(delay.mul_f64(jitter)).await;
     }
 }
--- a/crates/stairstalld/src/batch/orders.rs
+++ b/crates/stairstalld/src/batch/orders.rs
@@ -18,7 +18,7 @@
     worker: WorkerAddress,
     mut orders: UnboundedReceiver<Order>,
 ) {
-    let overtake_after = node.settings.policy.links.pipeline_after;
+    let pipeline_after = node.settings.policy.links.pipeline_after;
     let mut late = FuturesUnordered::new();
     loop {
         let order = tokio::select! {
@@ -31,20 +31,20 @@
             while late.next().await.is_some() {}
             return;
         };
-        let mut carried = Box::pin(carry_out(
+        let mut execution = Box::pin(execute(
             Arc::clone(&node),
             Arc::clone(&tenure),
             worker.clone(),
             order,
         ));
-        let in_time = tokio::time::timeout(overtake_after, &mut carried).await;
+        let in_time = tokio::time::timeout(pipeline_after, &mut execution).await;
         if in_time.is_err() {
-            late.push(carried);
+            late.push(execution);
         }
     }
 }
 
-async fn carry_out(node: Arc<Node>, tenure: Arc<Tenure>, worker: WorkerAddress, order: Order) {
+async fn execute(node: Arc<Node>, tenure: Arc<Tenure>, worker: WorkerAddress, order: Order) {
     let timeout = node.settings.policy.links.order_timeout;
     match order.kind {
         OrderKind::Start { .. } => {
@@ -53,8 +53,8 @@
             } else {
                 StartOutcome::NotSent
             };
-            node.telemetry.order("start", start_word(outcome));
-            tenure.with(|planner, now| planner.handle_start_outcome(&order, outcome, now));
+            node.telemetry.order("start", start_label(outcome));
+            tenure.with_planner(|planner, now| planner.handle_start_outcome(&order, outcome, now));
         }
         OrderKind::Stop => {
             let outcome = if tenure.is_in_force() {
@@ -62,13 +62,13 @@
             } else {
                 StopOutcome::Unknown
             };
-            node.telemetry.order("stop", stop_word(outcome));
-            tenure.with(|planner, now| planner.handle_stop_outcome(&order, outcome, now));
+            node.telemetry.order("stop", stop_label(outcome));
+            tenure.with_planner(|planner, now| planner.handle_stop_outcome(&order, outcome, now));
         }
     }
 }
 
-const fn start_word(outcome: StartOutcome) -> &'static str {
+const fn start_label(outcome: StartOutcome) -> &'static str {
     match outcome {
         StartOutcome::Started { .. } => "started",
         StartOutcome::Refused(_) => "refused",
@@ -79,7 +79,7 @@
     }
 }
 
-const fn stop_word(outcome: StopOutcome) -> &'static str {
+const fn stop_label(outcome: StopOutcome) -> &'static str {
     match outcome {
         StopOutcome::Taken => "taken",
         StopOutcome::Fenced => "fenced",
--- a/crates/stairstalld/src/batch/ask.rs
+++ b/crates/stairstalld/src/batch/queries.rs
@@ -4,10 +4,10 @@
 use stairstall_core::batch::{AcceptedJob, CallerState, JobExplanation, Progress};
 use stairstall_ports::StoreFault;
 
-use super::kept_job::KeptJob;
 use super::node::Node;
 use super::rpc::{JobAnswer, PeerClient, SubmitAnswer};
-use super::{kept, keys};
+use super::stored_job::StoredJob;
+use super::{encoding, keys};
 
 /// Returns what is known about a job. The answer is [`JobAnswer::Unknown`] only if the store has no
 /// such job.
@@ -23,43 +23,45 @@
     if let Some(tenure) = node.tenure() {
         return tenure.job(id);
     }
-    let Some(planner) = node.other_planner() else {
+    let Some(planner) = node.remote_planner() else {
         return JobAnswer::NotPlanner;
     };
-    let Some(client) = node.peers.client(&planner.rpc) else {
+    let Some(client) = node.peer_clients.client(&planner.rpc) else {
         return JobAnswer::NotPlanner;
     };
-    let asked = client.job(id.clone()).await;
-    node.peers.note(&planner.rpc, &asked);
-    asked.unwrap_or(JobAnswer::NotPlanner)
+    let answer = client.job(id.clone()).await;
+    node.peer_clients.record_call(&planner.rpc, &answer);
+    answer.unwrap_or(JobAnswer::NotPlanner)
 }
 
 async fn from_store(
     node: &Node,
     id: &JobId,
-    planner_missed_it: bool,
+    is_unknown_to_planner: bool,
 ) -> Result<JobAnswer, StoreFault> {
     let key = keys::job(id);
-    let Some(item) = node.stored("read job", node.store.get(&key)).await? else {
+    let Some(item) = node.store_call("read job", node.store.get(&key)).await? else {
         return Ok(JobAnswer::Unknown);
     };
-    let unreadable = |e: kept::KeptError| StoreFault::Unexpected(e.to_string());
-    let found = KeptJob::read(&item.value).map_err(unreadable)?;
+    let undecodable = |e: encoding::EncodingError| StoreFault::Unexpected(e.to_string());
+    let found = StoredJob::read(&item.value).map_err(undecodable)?;
     let Some(accepted) = found.accepted() else {
         return Ok(JobAnswer::Unknown);
     };
     let customer = accepted.customer.clone();
-    if planner_missed_it {
-        tell_planner(node, accepted).await;
+    if is_unknown_to_planner {
+        notify_accepted(node, accepted).await;
         return Ok(JobAnswer::Known {
             customer,
             state: CallerState::Queued,
         });
     }
     let key = keys::progress(id);
-    let item = node.stored("read progress", node.store.get(&key)).await?;
+    let item = node
+        .store_call("read progress", node.store.get(&key))
+        .await?;
     let progress: Progress = match item {
-        Some(item) => kept::read(&item.value).map_err(unreadable)?,
+        Some(item) => encoding::decode(&item.value).map_err(undecodable)?,
         None => Progress::default(),
     };
     Ok(JobAnswer::Known {
@@ -70,36 +72,37 @@
 
 /// Notifies the planner of an accepted job. If the call fails, the planner's own watch finds the
 /// job.
-pub(crate) async fn tell_planner(node: &Node, job: AcceptedJob) {
+pub(crate) async fn notify_accepted(node: &Node, job: AcceptedJob) {
     if let Some(tenure) = node.tenure() {
         tenure.submit(job);
         return;
     }
-    let Some(planner) = node.other_planner() else {
+    let Some(planner) = node.remote_planner() else {
         return;
     };
-    if let Some(client) = node.peers.client(&planner.rpc) {
-        let asked_at = node.clock.now();
-        let wants_load = node.load.is_wanted(asked_at);
+    if let Some(client) = node.peer_clients.client(&planner.rpc) {
+        let requested_at = node.clock.now();
+        let wants_load = node.load.should_request(requested_at);
         let answer = client.submitted(job, Some(wants_load)).await;
-        node.peers.note(&planner.rpc, &answer);
+        node.peer_clients.record_call(&planner.rpc, &answer);
         if let Some(load) = answer.ok().and_then(SubmitAnswer::load) {
-            node.load.take(load, asked_at);
+            node.load.update(load, requested_at);
         }
     }
 }
 
 /// Notifies the planner of a cancellation. If the call fails, the planner's own watch finds it.
-pub(crate) async fn tell_cancelled(node: &Node, id: JobId) {
+pub(crate) async fn notify_cancelled(node: &Node, id: JobId) {
     if let Some(tenure) = node.tenure() {
         tenure.cancel(&id);
         return;
     }
-    let Some(planner) = node.other_planner() else {
+    let Some(planner) = node.remote_planner() else {
         return;
     };
-    if let Some(client) = node.peers.client(&planner.rpc) {
-        node.peers.note(&planner.rpc, &client.cancelled(id).await);
+    if let Some(client) = node.peer_clients.client(&planner.rpc) {
+        node.peer_clients
+            .record_call(&planner.rpc, &client.cancelled(id).await);
     }
 }
 
@@ -109,11 +112,11 @@
     if let Some(tenure) = node.tenure() {
         return tenure.explain(id);
     }
-    let planner = node.other_planner()?;
-    let client = node.peers.client(&planner.rpc)?;
-    let asked = client.explain(id.clone()).await;
-    node.peers.note(&planner.rpc, &asked);
-    asked.ok().flatten()
+    let planner = node.remote_planner()?;
+    let client = node.peer_clients.client(&planner.rpc)?;
+    let answer = client.explain(id.clone()).await;
+    node.peer_clients.record_call(&planner.rpc, &answer);
+    answer.ok().flatten()
 }
 
 /// Returns the number of waiting jobs in a queue, or `None` if the planner can't be reached.
@@ -121,9 +124,9 @@
     if let Some(tenure) = node.tenure() {
         return tenure.pending(queue);
     }
-    let planner = node.other_planner()?;
-    let client = node.peers.client(&planner.rpc)?;
-    let asked = client.pending(queue.to_owned()).await;
-    node.peers.note(&planner.rpc, &asked);
-    asked.ok().flatten()
+    let planner = node.remote_planner()?;
+    let client = node.peer_clients.client(&planner.rpc)?;
+    let answer = client.pending(queue.to_owned()).await;
+    node.peer_clients.record_call(&planner.rpc, &answer);
+    answer.ok().flatten()
 }
--- /dev/null
+++ b/crates/stairstalld/src/batch/reachability.rs
@@ -0,0 +1,137 @@
+//! Finds out whether work can be stored: pings the store when it is quiet, and probes peers while
+//! the store does not serve this daemon.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures::future::join_all;
+use stairstall_core::batch::{Catalog, PeerAddress};
+
+use super::node::Node;
+use super::rpc::{PeerClient, PeerUpdate};
+use super::{catalog, keys, role};
+use crate::daemon::lock;
+
+/// Runs the checks for as long as the daemon runs.
+pub(crate) async fn follow(node: Arc<Node>) {
+    tokio::join!(ping_store(&node), probe_peers(&node), announce(&node));
+}
+
+/// Pings the store whenever no other call has completed for a while.
+async fn ping_store(node: &Node) {
+    let policy = &node.settings.policy.reach;
+    loop {
+        tokio::time::sleep(policy.ping_after / 2).await;
+        let now = node.clock.now();
+        if !node.store_health.is_quiet(now, policy.ping_after) {
+            continue;
+        }
+        node.store_health.begin_ping(now);
+        let ping = node.store.ping(keys::PLANNER_ROLE);
+        // `store_call` records the outcome, so a failure needs no other handling here.
+        if node.store_call("ping", ping).await.is_err() {
+            node.store_health.abandon_ping();
+        }
+    }
+}
+
+/// Probes peers, while the store does not serve this daemon, whether it serves them.
+async fn probe_peers(node: &Node) {
+    let policy = &node.settings.policy.reach;
+    let mut was_cut_off = false;
+    loop {
+        tokio::time::sleep(policy.probe_interval).await;
+        if node.store_health.may_be_down(node.clock.now()) {
+            let peers = lock(&node.peer_table).peers_to_probe();
+            join_all(peers.iter().map(|rpc| request_update(node, rpc))).await;
+        }
+        let cut_off = node.is_cut_off();
+        if cut_off != was_cut_off {
+            was_cut_off = cut_off;
+            log::warn!(target: "ready", cut_off; "{}", if cut_off {
+                "neither the store nor a peer can take work: callers should use another daemon"
+            } else {
+                "the store or a peer can take work again"
+            });
+        }
+    }
+}
+
+/// Asks one peer for a [`PeerUpdate`] and applies it. Returns how long to wait before the next
+/// call, or `None` if the peer did not answer.
+async fn request_update(node: &Node, rpc: &str) -> Option<Duration> {
+    let timeout = node.settings.policy.reach.probe_timeout;
+    let version = node.current_catalog().map_or(0, |catalog| catalog.version);
+    let client = node.peer_clients.client(rpc)?;
+    let requested_at = node.clock.now();
+    let wants_load = node.load.should_request(requested_at);
+    let update = client.peer_update(version, node.peer_address(), Some(wants_load));
+    let answer = tokio::time::timeout(timeout, update).await;
+    match answer {
+        Ok(Ok(mut update)) => {
+            let interval = Duration::from_millis(update.pause_ms);
+            lock(&node.peer_table).record_answer(rpc, update.is_served, node.clock.now());
+            node.load.set_call_interval(interval);
+            if let Some(load) = update.load.take() {
+                node.load.update(load, requested_at);
+            }
+            apply_update(node, update);
+            return Some(interval);
+        }
+        Ok(Err(error)) => {
+            log::debug!(target: "ready", rpc, why:% = error; "peer does not answer");
+        }
+        Err(_) => log::debug!(target: "ready", rpc; "peer did not answer in time"),
+    }
+    node.peer_failed(rpc);
+    None
+}
+
+/// Announces this daemon to the planner, which answers with some other daemons.
+async fn announce(node: &Node) {
+    let mut interval = node.settings.policy.reach.min_introduction_interval;
+    loop {
+        node.back_off(interval).await;
+        let now = node.clock.now();
+        if let Some(planner) = node.remote_planner()
+            && !node.store_health.may_be_down(now)
+            && let Some(next) = request_update(node, &planner.rpc).await
+        {
+            interval = next;
+        }
+    }
+}
+
+fn apply_update(node: &Node, update: PeerUpdate) {
+    if let Some(catalog) = update.catalog {
+        catalog::activate(node, catalog, "peer");
+    }
+    role::record_planner(node, update.planner);
+    let now = node.clock.now();
+    let mut peer_table = lock(&node.peer_table);
+    for peer in update.peers {
+        if peer.vm != *node.vm() {
+            peer_table.record_introduction(peer, now);
+        }
+    }
+}
+
+/// Returns the update for a peer that asks, and adds that peer to the peer table.
+pub(crate) fn peer_update(node: &Node, version: u64, asker: PeerAddress) -> PeerUpdate {
+    let catalog = node.current_catalog();
+    let catalog = catalog.filter(|catalog| catalog.version > version);
+    let now = node.clock.now();
+    let mut peer_table = lock(&node.peer_table);
+    let offset = rand::random_range(0..usize::from(u16::MAX));
+    let mut peers = peer_table.peers_to_introduce(&asker, offset, now);
+    peer_table.record_call(asker, now);
+    peers.push(node.peer_address());
+    PeerUpdate {
+        catalog: catalog.map(|catalog| Catalog::clone(&catalog)),
+        planner: node.planner.borrow().clone(),
+        pause_ms: crate::clock::millis(peer_table.introduction_interval()),
+        is_served: node.store_health.serves(now),
+        peers,
+        load: None,
+    }
+}
--- a/crates/stairstalld/src/batch/refusals.rs
+++ b/crates/stairstalld/src/batch/refusals.rs
@@ -13,7 +13,7 @@
 
 /// A lease to which refusal records are attached.
 #[derive(Debug, Clone, Copy)]
-struct MarkLease {
+struct RefusalLease {
     id: LeaseId,
     lease: Lease,
 }
@@ -22,11 +22,11 @@
 #[derive(Debug)]
 pub(crate) struct Refusals {
     policy: AdmissionPolicy,
-    lease: Mutex<Option<MarkLease>>,
+    lease: Mutex<Option<RefusalLease>>,
     /// Held while a lease is requested, so that concurrent refusals share one lease.
-    pub(crate) granting: tokio::sync::Mutex<()>,
+    pub(crate) grant_lock: tokio::sync::Mutex<()>,
     /// Retry times by queue priority.
-    returns: Mutex<BTreeMap<u8, ReturnTimes>>,
+    retry_times: Mutex<BTreeMap<u8, ReturnTimes>>,
 }
 
 impl Refusals {
@@ -34,38 +34,39 @@
         Self {
             policy: *policy,
             lease: Mutex::new(None),
-            granting: tokio::sync::Mutex::const_new(()),
-            returns: Mutex::new(BTreeMap::new()),
+            grant_lock: tokio::sync::Mutex::const_new(()),
+            retry_times: Mutex::new(BTreeMap::new()),
         }
     }
 
     /// Returns the current lease if it keeps a refusal record for long enough.
     pub(crate) fn lease(&self, now: Timestamp) -> Option<LeaseId> {
-        let held = *lock(&self.lease);
-        let lasts = |held: &MarkLease| held.lease.ends_at() - now >= self.policy.min_mark_lifetime;
-        held.filter(lasts).map(|held| held.id)
+        let current = *lock(&self.lease);
+        let is_long_enough =
+            |current: &RefusalLease| current.lease.ends_at() - now >= self.policy.min_mark_lifetime;
+        current.filter(is_long_enough).map(|current| current.id)
     }
 
     /// Sets a lease that was granted.
-    pub(crate) fn take_lease(&self, id: LeaseId, lease: Lease) {
-        *lock(&self.lease) = Some(MarkLease { id, lease });
+    pub(crate) fn set_lease(&self, id: LeaseId, lease: Lease) {
+        *lock(&self.lease) = Some(RefusalLease { id, lease });
     }
 
     /// Drops a lease that has ended according to the store.
-    pub(crate) fn drop_lease(&self, id: LeaseId) {
-        lock(&self.lease).take_if(|held| held.id == id);
+    pub(crate) fn remove_lease(&self, id: LeaseId) {
+        lock(&self.lease).take_if(|current| current.id == id);
     }
 
     /// Returns the delay after which a caller should retry if its job would likely wait for `wait`.
-    pub(crate) fn return_after(&self, priority: u8, wait: Duration, now: Timestamp) -> Duration {
+    pub(crate) fn retry_after(&self, priority: u8, wait: Duration, now: Timestamp) -> Duration {
         let bounds = ReturnBounds {
             shortest: self.policy.min_retry_after,
             longest: self.policy.max_retry_after,
         };
         let spacing = self.policy.retry_after_spacing;
-        let mut returns = lock(&self.returns);
-        let returns = returns.entry(priority);
-        let returns = returns.or_insert_with(|| ReturnTimes::new(bounds, spacing));
-        returns.next(wait, now, rand::random_range(0.0..1.0))
+        let mut retry_times = lock(&self.retry_times);
+        let retry_times = retry_times.entry(priority);
+        let retry_times = retry_times.or_insert_with(|| ReturnTimes::new(bounds, spacing));
+        retry_times.next(wait, now, rand::random_range(0.0..1.0))
     }
 }
--- a/crates/stairstalld/src/batch/role.rs
+++ b/crates/stairstalld/src/batch/role.rs
@@ -17,65 +17,65 @@
 use super::rpc::PeerClient;
 use super::tenure::{self, Tenure};
 
+mod acquire;
 mod handover;
-mod take;
 
-use handover::{hand_over, next_offer, take_from};
-pub(crate) use handover::{take_offer, wait_until_given_up};
-use take::{LastTenure, put_off, take};
-pub(crate) use take::{Taken, weakness_percent};
+pub(crate) use acquire::{AcquiredRole, capacity_shortfall_percent};
+use acquire::{LastTenure, acquire, acquire_delay};
+use handover::{acquire_from, hand_over, next_offer};
+pub(crate) use handover::{handle_offer, wait_until_released};
 
 /// Longest time for one watch call on the role.
-const WATCH_WAIT: Duration = Duration::from_secs(15);
-/// Delay before the store is asked again after a failure.
-const STORE_PAUSE: Duration = Duration::from_millis(200);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay before a failed store call is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Acquires the role whenever it is free, for as long as the daemon runs.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
-        match try_role(&node).await {
-            Ok(Some(taken)) => hold(&node, taken).await,
+        match wait_for_role(&node).await {
+            Ok(Some(acquired)) => run_tenure(&node, acquired).await,
             Ok(None) => {}
             Err(fault) => {
                 log::debug!(target: "role", why:% = fault; "checking the planner role failed");
-                node.pause(STORE_PAUSE).await;
+                node.back_off(STORE_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Waits while another daemon holds the role. Returns the role once this daemon has acquired it.
-async fn try_role(node: &Node) -> Result<Option<Taken>, StoreFault> {
+async fn wait_for_role(node: &Node) -> Result<Option<AcquiredRole>, StoreFault> {
     let (item, mut at) = node
-        .read_at("read role", keys::PLANNER, node.settings.store_timeout)
+        .read_at("read role", keys::PLANNER_ROLE, node.settings.store_timeout)
         .await?;
     let Some(item) = item else {
         if node.is_leaving() {
-            node.pause(STORE_PAUSE).await;
+            node.back_off(STORE_RETRY_DELAY).await;
             return Ok(None);
         }
-        tokio::time::sleep(put_off(node)).await;
-        return take(node, None, None).await;
+        tokio::time::sleep(acquire_delay(node)).await;
+        return acquire(node, None, None).await;
     };
-    let mut last = note_item(node, &item);
+    let mut last = record_role_item(node, &item);
     let mut offers = node.offer.subscribe();
     loop {
-        let watched = node.store.watch(keys::PLANNER, at, WATCH_WAIT);
+        let watched = node.store.watch(keys::PLANNER_ROLE, at, WATCH_TIMEOUT);
         let watched = tokio::select! {
-            watched = node.stored("watch role", watched) => watched?,
+            watched = node.store_call("watch role", watched) => watched?,
             offer = next_offer(&mut offers) => {
                 node.offer.send_replace(None);
-                return take_from(node, &offer).await;
+                return acquire_from(node, &offer).await;
             }
         };
         at = watched.at;
         for change in watched.changes {
             match change {
-                Change::Written(item) => last = note_item(node, &item),
+                Change::Written(item) => last = record_role_item(node, &item),
                 Change::Gone { .. } if node.is_leaving() => return Ok(None),
                 Change::Gone { .. } => {
-                    tokio::time::sleep(put_off(node)).await;
-                    return take(node, last, None).await;
+                    tokio::time::sleep(acquire_delay(node)).await;
+                    return acquire(node, last, None).await;
                 }
             }
         }
@@ -83,10 +83,10 @@
 }
 
 /// Records the planner from the role's key and returns its tenure.
-fn note_item(node: &Node, item: &Item) -> Option<LastTenure> {
+fn record_role_item(node: &Node, item: &Item) -> Option<LastTenure> {
     let record: PlannerRecord = serde_json::from_slice(&item.value).ok()?;
     let count = record.token;
-    note_planner(node, Some(record));
+    record_planner(node, Some(record));
     Some(LastTenure {
         count,
         revision: item.revision,
@@ -95,7 +95,7 @@
 
 /// Records the planner unless a later one is known. Ends this daemon's tenure if the new planner
 /// supersedes it.
-pub(crate) fn note_planner(node: &Node, record: Option<PlannerRecord>) {
+pub(crate) fn record_planner(node: &Node, record: Option<PlannerRecord>) {
     let Some(record) = record else {
         return;
     };
@@ -111,33 +111,33 @@
     }
     log::info!(target: "role", planner:% = record.vm, token = record.token; "new planner recorded");
     if let Some(tenure) = node.tenure().filter(|own| own.token() < record.token) {
-        tenure.give_up("another daemon has acquired the role");
+        tenure.end("another daemon has acquired the role");
     }
 }
 
 /// Notifies the previous planner, which may not reach the store, that it is superseded.
-async fn tell_predecessor(node: &Node, predecessor: Option<PlannerRecord>, own: PlannerRecord) {
+async fn notify_predecessor(node: &Node, predecessor: Option<PlannerRecord>, own: PlannerRecord) {
     let Some(predecessor) = predecessor.filter(|p| p.vm != own.vm) else {
         return;
     };
-    if let Some(client) = node.peers.client(&predecessor.rpc) {
-        let told = client.taken(own).await;
-        log::info!(target: "role", predecessor:% = predecessor.vm, told = told.is_ok();
+    if let Some(client) = node.peer_clients.client(&predecessor.rpc) {
+        let result = client.taken(own).await;
+        log::info!(target: "role", predecessor:% = predecessor.vm, told = result.is_ok();
             "notifying the previous planner");
     }
 }
 
 /// Runs the planner for as long as this daemon holds the role.
-async fn hold(node: &Arc<Node>, taken: Taken) {
-    log::info!(target: "role", token = taken.record.token, lease_ms = crate::clock::millis(node.settings.role_lease);
+async fn run_tenure(node: &Arc<Node>, acquired: AcquiredRole) {
+    log::info!(target: "role", token = acquired.record.token, lease_ms = crate::clock::millis(node.settings.role_lease);
         "acquired the planner role");
     let predecessor = node.planner.borrow().clone();
-    note_planner(node, Some(taken.record.clone()));
-    let told = Arc::clone(node);
-    let record = taken.record.clone();
-    tokio::spawn(async move { tell_predecessor(&told, predecessor, record).await });
-    let lease_id = taken.lease_id;
-    let tenure = Arc::new(Tenure::new(node, &taken));
+    record_planner(node, Some(acquired.record.clone()));
+    let notifier = Arc::clone(node);
+    let record = acquired.record.clone();
+    tokio::spawn(async move { notify_predecessor(&notifier, predecessor, record).await });
+    let lease_id = acquired.lease_id;
+    let tenure = Arc::new(Tenure::new(node, &acquired));
     let renewing = tokio::spawn(renew(
         Arc::clone(node),
         Arc::clone(&tenure),
@@ -149,7 +149,10 @@
     node.set_tenure(None);
     let token = tenure.token();
     log::info!(target: "role", token, why; "released the planner role");
-    if let Err(fault) = node.stored("release", node.store.release(lease_id)).await {
+    if let Err(fault) = node
+        .store_call("release", node.store.release(lease_id))
+        .await
+    {
         log::warn!(target: "role", token, why:% = fault; "could not end the lease; it will expire");
     }
 }
@@ -166,15 +169,15 @@
     let renewals = node.settings.policy.role.renewals_per_lease;
     let mut ticks = tokio::time::interval(node.settings.role_lease / renewals);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut under_way = FuturesUnordered::new();
+    let mut in_flight = FuturesUnordered::new();
     let mut is_leaving = false;
     let mut handover = pin!(Fuse::terminated());
     loop {
         tokio::select! {
-            _ = ticks.tick() => under_way.push(renew_once(&node, &tenure, lease_id)),
-            Some(is_over) = under_way.next() => {
+            _ = ticks.tick() => in_flight.push(renew_once(&node, &tenure, lease_id)),
+            Some(is_over) = in_flight.next() => {
                 if is_over {
-                    tenure.give_up("its lease has ended");
+                    tenure.end("its lease has ended");
                     return;
                 }
             }
@@ -183,7 +186,7 @@
                 handover.set(hand_over(&node, &tenure).fuse());
             }
             () = &mut handover, if is_leaving => {
-                tenure.give_up("the daemon is leaving");
+                tenure.end("the daemon is leaving");
                 return;
             }
         }
--- a/crates/stairstalld/src/batch/role/take.rs
+++ b/crates/stairstalld/src/batch/role/acquire.rs
@@ -11,7 +11,7 @@
 
 /// The role after it was acquired.
 #[derive(Debug, Clone)]
-pub(crate) struct Taken {
+pub(crate) struct AcquiredRole {
     pub(crate) record: PlannerRecord,
     /// Revision of the role's key, a condition of every write in this tenure.
     pub(crate) revision: Revision,
@@ -29,7 +29,7 @@
 }
 
 /// Returns the capacity that a VM lacks to plan for a large fleet, in percent.
-pub(crate) fn weakness_percent(settings: &BatchSettings) -> u32 {
+pub(crate) fn capacity_shortfall_percent(settings: &BatchSettings) -> u32 {
     let policy = &settings.policy.role;
     let lacking = |has: u32, strong: u32| 100 - has.min(strong) * 100 / strong.max(1);
     lacking(settings.cpu_percent, policy.strong_cpu_percent)
@@ -37,16 +37,16 @@
 }
 
 /// Returns a random delay before trying to acquire the role. Strong VMs get shorter delays.
-pub(super) fn put_off(node: &Node) -> Duration {
+pub(super) fn acquire_delay(node: &Node) -> Duration {
     let policy = &node.settings.policy.role;
-    let weakness = f64::from(weakness_percent(&node.settings)) / 100.0;
-    policy.max_jitter.mul_f64(rand::random_range(0.0..1.0)) + policy.weak_delay.mul_f64(weakness)
+    let shortfall = f64::from(capacity_shortfall_percent(&node.settings)) / 100.0;
+    policy.max_jitter.mul_f64(rand::random_range(0.0..1.0)) + policy.weak_delay.mul_f64(shortfall)
 }
 
 /// Reads the tenure count.
 async fn read_last_tenure(node: &Node) -> Result<LastTenure, StoreFault> {
     let item = node
-        .stored("read tenures", node.store.get(keys::TENURE))
+        .store_call("read tenures", node.store.get(keys::TENURE_COUNT))
         .await?;
     let none = LastTenure {
         count: 0,
@@ -65,20 +65,20 @@
 ///
 /// `last` is the latest tenure, if it is known without reading it. `replaces` is the revision of
 /// the role's key if its holder has offered the role.
-pub(super) async fn take(
+pub(super) async fn acquire(
     node: &Node,
     last: Option<LastTenure>,
     replaces: Option<Revision>,
-) -> Result<Option<Taken>, StoreFault> {
+) -> Result<Option<AcquiredRole>, StoreFault> {
     let last = match last {
         Some(last) => last,
         None => read_last_tenure(node).await?,
     };
     let requested_at = node.clock.now();
     let grant = node.store.grant(node.settings.role_lease);
-    let (lease_id, ttl) = node.stored("grant", grant).await?;
+    let (lease_id, ttl) = node.store_call("grant", grant).await?;
     let record = PlannerRecord {
-        vm: node.me().clone(),
+        vm: node.vm().clone(),
         rpc: node.rpc_address().to_string(),
         token: last.count + 1,
         mark: node.next_mark(),
@@ -87,32 +87,37 @@
         return Ok(None);
     };
     let commit = Commit::default()
-        .when(keys::PLANNER, replaces.unwrap_or_default())
-        .when(keys::TENURE, last.revision)
-        .put_leased(keys::PLANNER, value, lease_id)
-        .put(keys::TENURE, record.token.to_string().into_bytes());
-    let taken = |revision| Taken {
+        .when(keys::PLANNER_ROLE, replaces.unwrap_or_default())
+        .when(keys::TENURE_COUNT, last.revision)
+        .put_leased(keys::PLANNER_ROLE, value, lease_id)
+        .put(keys::TENURE_COUNT, record.token.to_string().into_bytes());
+    let acquired = |revision| AcquiredRole {
         record: record.clone(),
         revision,
         lease_id,
         lease: Lease::new(requested_at, ttl),
     };
-    match node.stored("take role", node.store.commit(commit)).await {
-        Ok(Committed::Done(revision)) => Ok(Some(taken(revision))),
+    match node
+        .store_call("take role", node.store.commit(commit))
+        .await
+    {
+        Ok(Committed::Done(revision)) => Ok(Some(acquired(revision))),
         Ok(Committed::Conflict(_) | Committed::NoLease) => {
-            let _ = node.stored("release", node.store.release(lease_id)).await;
+            let _ = node
+                .store_call("release", node.store.release(lease_id))
+                .await;
             Ok(None)
         }
         Err(fault) => {
             log::warn!(target: "role", why:% = fault; "unknown whether the planner role was acquired");
             let found = node
-                .stored("read role", node.store.get(keys::PLANNER))
+                .store_call("read role", node.store.get(keys::PLANNER_ROLE))
                 .await?;
             let own = found.filter(|item| {
                 serde_json::from_slice::<PlannerRecord>(&item.value)
                     .is_ok_and(|found| found.mark == record.mark)
             });
-            Ok(own.map(|item| taken(item.revision)))
+            Ok(own.map(|item| acquired(item.revision)))
         }
     }
 }
--- a/crates/stairstalld/src/batch/role/handover.rs
+++ b/crates/stairstalld/src/batch/role/handover.rs
@@ -8,22 +8,22 @@
 use super::super::node::{Node, RoleOffer};
 use super::super::rpc::PeerClient;
 use super::super::tenure::Tenure;
-use super::take::{LastTenure, Taken, take};
+use super::acquire::{AcquiredRole, LastTenure, acquire};
 use crate::daemon::lock;
 
 /// Interval at which a daemon that has drained its callers checks whether the role is released.
-const GIVEN_UP_INTERVAL: Duration = Duration::from_millis(10);
+const RELEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until this daemon has stopped planning, for no longer than a handover may take.
-pub(crate) async fn wait_until_given_up(node: &Node) {
+pub(crate) async fn wait_until_released(node: &Node) {
     let settings = &node.settings;
     let limit = settings.policy.role.handover_wait + settings.store_timeout;
-    let given_up = async {
+    let released = async {
         while node.tenure().is_some() {
-            tokio::time::sleep(GIVEN_UP_INTERVAL).await;
+            tokio::time::sleep(RELEASE_CHECK_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(limit, given_up).await.is_err() {
+    if tokio::time::timeout(limit, released).await.is_err() {
         log::warn!(target: "role", limit_ms = crate::clock::millis(limit);
             "planner role not released in time; its lease will expire");
     }
@@ -40,7 +40,7 @@
 }
 
 /// Records an offer of the role; returns whether this daemon wants it.
-pub(crate) fn take_offer(node: &Node, offer: RoleOffer) -> bool {
+pub(crate) fn handle_offer(node: &Node, offer: RoleOffer) -> bool {
     let wants = !node.is_leaving()
         && node.tenure().is_none()
         && node.current_catalog().is_some()
@@ -52,7 +52,10 @@
 }
 
 /// Acquires the role from a leaving planner, which keeps it until then.
-pub(super) async fn take_from(node: &Node, offer: &RoleOffer) -> Result<Option<Taken>, StoreFault> {
+pub(super) async fn acquire_from(
+    node: &Node,
+    offer: &RoleOffer,
+) -> Result<Option<AcquiredRole>, StoreFault> {
     let revision = Revision(offer.revision);
     let last = LastTenure {
         count: offer.record.token,
@@ -60,7 +63,7 @@
     };
     log::info!(target: "role", planner:% = offer.record.vm, token = offer.record.token;
         "leaving planner offers the role to this daemon");
-    take(node, Some(last), Some(revision)).await
+    acquire(node, Some(last), Some(revision)).await
 }
 
 /// Offers the role to other daemons in turn; returns whether one of them wants it.
@@ -72,14 +75,14 @@
         record,
         revision: tenure.role_revision.0,
     };
-    let successors = lock(&node.reach).successor_candidates(node.clock.now());
+    let successors = lock(&node.peer_table).successor_candidates(node.clock.now());
     for successor in successors {
-        let Some(client) = node.peers.client(&successor.rpc) else {
+        let Some(client) = node.peer_clients.client(&successor.rpc) else {
             continue;
         };
         let timeout = node.settings.policy.reach.probe_timeout;
-        let asked = tokio::time::timeout(timeout, client.offer(offer.clone())).await;
-        let wants = matches!(asked, Ok(Ok(true)));
+        let answer = tokio::time::timeout(timeout, client.offer(offer.clone())).await;
+        let wants = matches!(answer, Ok(Ok(true)));
         log::info!(target: "role", token = tenure.token(), successor:% = successor.vm, wants;
             "planner role offered");
         if wants {
--- a/crates/stairstalld/src/batch/rpc.rs
+++ b/crates/stairstalld/src/batch/rpc.rs
@@ -16,9 +16,9 @@
 };
 use stairstall_core::{CustomerId, JobId};
 
-use super::accept::{self, Acceptance, Cancellation, Marks};
+use super::accept::{self, Acceptance, Cancellation, OnRefusal};
 use super::node::{Node, PlannerRecord, RoleOffer};
-use super::{load, reach, role};
+use super::{load, reachability, role};
 use crate::daemon::lock;
 
 /// Largest number of cached clients; a full cache is cleared.
@@ -106,12 +106,12 @@
     /// whether the store serves the daemon, and some other daemons. A planner adds a load summary
     /// if `wants_load` is true.
     #[method(name = "news")]
-    async fn news(
+    async fn peer_update(
         &self,
         version: u64,
         asker: PeerAddress,
         wants_load: Option<bool>,
-    ) -> RpcResult<News>;
+    ) -> RpcResult<PeerUpdate>;
 
     /// Offers the planner role to the daemon; returns whether it wants the role.
     #[method(name = "offer")]
@@ -124,7 +124,7 @@
 
 /// What a daemon reports to a peer that asks.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub(crate) struct News {
+pub(crate) struct PeerUpdate {
     /// The configuration, if it is newer than that of the asking daemon.
     pub(crate) catalog: Option<Catalog>,
     /// The latest known holder of the planner role.
@@ -184,41 +184,41 @@
     }
 
     async fn accept(&self, job: AcceptedJob) -> RpcResult<Acceptance> {
-        if self.0.store_health.holds_back(self.0.clock.now()) {
+        if self.0.store_health.should_fail_fast(self.0.clock.now()) {
             return Ok(Acceptance::NotKept);
         }
         // The caller may have been refused by another daemon since.
         let mut job = job;
         let called_at = self.0.clock.now();
-        Ok(accept::write_job(&self.0, &mut job, Marks::Stand, called_at).await)
+        Ok(accept::write_job(&self.0, &mut job, OnRefusal::Keep, called_at).await)
     }
 
     async fn cancel(&self, id: JobId, customer: Option<CustomerId>) -> RpcResult<Cancellation> {
-        if self.0.store_health.holds_back(self.0.clock.now()) {
+        if self.0.store_health.should_fail_fast(self.0.clock.now()) {
             return Ok(Cancellation::Unsettled);
         }
         Ok(accept::write_cancel(&self.0, &id, customer.as_ref()).await)
     }
 
-    async fn news(
+    async fn peer_update(
         &self,
         version: u64,
         asker: PeerAddress,
         wants_load: Option<bool>,
-    ) -> RpcResult<News> {
-        let mut news = reach::news(&self.0, version, asker);
+    ) -> RpcResult<PeerUpdate> {
+        let mut update = reachability::peer_update(&self.0, version, asker);
         if wants_load == Some(true) {
-            news.load = self.0.tenure().and_then(|tenure| tenure.load_summary());
+            update.load = self.0.tenure().and_then(|tenure| tenure.load_summary());
         }
-        Ok(news)
+        Ok(update)
     }
 
     async fn offer(&self, offer: RoleOffer) -> RpcResult<bool> {
-        Ok(role::take_offer(&self.0, offer))
+        Ok(role::handle_offer(&self.0, offer))
     }
 
     async fn taken(&self, planner: PlannerRecord) -> RpcResult<()> {
-        role::note_planner(&self.0, Some(planner));
+        role::record_planner(&self.0, Some(planner));
         Ok(())
     }
 }
@@ -236,20 +236,20 @@
 
 /// A cache of RPC clients, which keep their connections open.
 #[derive(Debug)]
-pub(crate) struct Peers {
+pub(crate) struct PeerClients {
     /// Longest RPC call.
     timeout: Duration,
     clients: Mutex<HashMap<String, HttpClient>>,
     /// The address of the last failed call to the planner.
-    failing: Mutex<Option<String>>,
+    last_failed: Mutex<Option<String>>,
 }
 
-impl Peers {
+impl PeerClients {
     pub(crate) fn new(timeout: Duration) -> Self {
         Self {
             timeout,
             clients: Mutex::default(),
-            failing: Mutex::default(),
+            last_failed: Mutex::default(),
         }
     }
 
@@ -277,24 +277,24 @@
 
     /// Records the result of a call to the planner. After a failure its connections are dropped,
     /// since the other end may have disappeared without closing them.
-    pub(crate) fn note<T>(&self, address: &str, answer: &Result<T, RpcError>) {
+    pub(crate) fn record_call<T>(&self, address: &str, answer: &Result<T, RpcError>) {
         let fails = answer.is_err();
-        let failed_before = {
-            let mut failing = lock(&self.failing);
-            let before = failing.as_deref() == Some(address);
+        let had_failed = {
+            let mut last_failed = lock(&self.last_failed);
+            let before = last_failed.as_deref() == Some(address);
             if fails {
-                *failing = Some(address.to_owned());
+                *last_failed = Some(address.to_owned());
                 lock(&self.clients).remove(address);
             } else if before {
-                *failing = None;
+                *last_failed = None;
             }
             before
         };
         match answer {
-            Err(error) if !failed_before => {
+            Err(error) if !had_failed => {
                 log::warn!(target: "dependency", on = "planner", address, why:% = error; "planner does not answer");
             }
-            Ok(_) if failed_before => {
+            Ok(_) if had_failed => {
                 log::info!(target: "dependency", on = "planner", address; "planner answers again");
             }
             _ => {}
@@ -304,7 +304,7 @@
 
 /// Returns whether a failed call may have been carried out by the peer. It was not if no connection
 /// was made.
-pub(crate) fn may_have_left(error: &RpcError) -> bool {
+pub(crate) fn may_have_run(error: &RpcError) -> bool {
     let mut cause: Option<&(dyn std::error::Error + 'static)> = Some(error);
     while let Some(found) = cause {
         if let Some(failure) = found.downcast_ref::<hyper_util::client::legacy::Error>() {
--- a/crates/stairstalld/src/batch/serve.rs
+++ b/crates/stairstalld/src/batch/serve.rs
@@ -13,7 +13,7 @@
 
 use super::node::Node;
 use super::settings::BatchSettings;
-use super::{callers, catalog, health, reach, role, rpc};
+use super::{caller_api, catalog, health, reachability, role, rpc};
 use crate::listener::NoDelayListener;
 use crate::serve::{RunError, system};
 use crate::shutdown::{self, Drained, Shutdown};
@@ -40,7 +40,7 @@
         .block_on(serve(settings))
 }
 
-fn make_node(settings: BatchSettings) -> Node {
+fn build_node(settings: BatchSettings) -> Node {
     let http = HttpClient::new(CONNECT_TIMEOUT, IDLE_CONNECTIONS);
     let store = PlatformStore::new(
         http.clone(),
@@ -65,38 +65,39 @@
     let (callers, listen) = bind(settings.listen, "--listen").await?;
     let (health, health_listen) = bind(settings.health_listen, "--health-listen").await?;
     let (metrics, metrics_listen) = bind(settings.metrics_listen, "--metrics-listen").await?;
-    let node = Arc::new(make_node(settings));
+    let node = Arc::new(build_node(settings));
     let (rpc_address, rpc) = rpc::serve(Arc::clone(&node))
         .await
         .map_err(system("--rpc-listen"))?;
     node.set_rpc_address(rpc_address);
-    log::info!(target: "start", vm:% = node.me(), zone:% = node.settings.zone,
+    log::info!(target: "start", vm:% = node.vm(), zone:% = node.settings.zone,
         listen:% = listen, rpc:% = rpc_address, health:% = health_listen,
         metrics:% = metrics_listen, store:% = node.settings.store,
         version = env!("CARGO_PKG_VERSION"); "serving");
     tokio::spawn(catalog::follow(Arc::clone(&node)));
-    tokio::spawn(reach::follow(Arc::clone(&node)));
+    tokio::spawn(reachability::follow(Arc::clone(&node)));
     let role = tokio::spawn(role::run(Arc::clone(&node)));
-    tokio::spawn(serve_plain(health, health::health_router(&node)));
-    tokio::spawn(serve_plain(metrics, health::metrics_router(&node)));
-    tokio::spawn(shutdown::log_hang_ups(node.me().clone()));
+    tokio::spawn(serve_router(health, health::health_router(&node)));
+    tokio::spawn(serve_router(metrics, health::metrics_router(&node)));
+    tokio::spawn(shutdown::log_hang_ups(node.vm().clone()));
 
     let shutdown = Shutdown {
-        vm: node.me().clone(),
+        vm: node.vm().clone(),
         leaving: node.leaving.clone(),
         delay: node.settings.drain_delay,
         limit: node.settings.drain_limit,
     };
-    let server = viz::Server::with_builder(callers, callers::router(&node), builder())
-        .signal(shutdown.clone().asked());
+    let server =
+        viz::Server::with_builder(callers, caller_api::router(&node), connection_builder())
+            .signal(shutdown.clone().asked());
     let drained = shutdown.drain(tokio::spawn(server.into_future())).await;
-    role::wait_until_given_up(&node).await;
+    role::wait_until_released(&node).await;
     role.abort();
     let _ = rpc.stop();
     if drained? == Drained::CutOff {
         return Err(RunError::CutOff);
     }
-    log::info!(target: "stop", vm:% = node.me(); "stopped; no calls were open");
+    log::info!(target: "stop", vm:% = node.vm(); "stopped; no calls were open");
     Ok(())
 }
 
@@ -109,7 +110,7 @@
     Ok((NoDelayListener(listener), bound))
 }
 
-fn builder() -> Builder<TokioExecutor> {
+fn connection_builder() -> Builder<TokioExecutor> {
     let mut builder = Builder::new(TokioExecutor::new());
     builder
         .http1()
@@ -118,8 +119,8 @@
     builder
 }
 
-async fn serve_plain(listener: NoDelayListener, router: viz::Router) {
-    let server = viz::Server::with_builder(listener, router, builder());
+async fn serve_router(listener: NoDelayListener, router: viz::Router) {
+    let server = viz::Server::with_builder(listener, router, connection_builder());
     if let Err(error) = server.into_future().await {
         log::error!(target: "start", error:% = error; "a listening address is no longer served");
     }
--- a/crates/stairstalld/src/batch/settings.rs
+++ b/crates/stairstalld/src/batch/settings.rs
@@ -22,7 +22,7 @@
 
 /// Unchecked settings as they were given.
 #[derive(Debug, Clone)]
-struct Raw {
+struct RawSettings {
     vm: String,
     zone: String,
     listen: String,
@@ -109,7 +109,7 @@
 }
 
 #[allow(clippy::too_many_lines, reason = "one statement per flag")]
-fn parser() -> OptionParser<Raw> {
+fn parser() -> OptionParser<RawSettings> {
     let vm = flag!("vm", "STAIRSTALL_VM", "Name of this VM");
     let zone = flag!("zone", "STAIRSTALL_ZONE", "Availability zone of this VM");
     let listen = flag!("listen", "STAIRSTALL_LISTEN", "IP:PORT for callers");
@@ -223,7 +223,7 @@
         .help("Changes one value of the policy for an experiment, as in reports.shortest_wait=500; may be given several times")
         .argument::<String>("GROUP.FIELD=VALUE")
         .many();
-    construct!(Raw {
+    construct!(RawSettings {
         vm,
         zone,
         listen,
@@ -285,7 +285,7 @@
         }
     }
 
-    fn check(raw: &Raw) -> Result<Self, Mistakes> {
+    fn check(raw: &RawSettings) -> Result<Self, Mistakes> {
         let mut checks = Checks::default();
         let settings = Self::read(raw, &mut checks);
         match settings {
@@ -296,7 +296,7 @@
 
     /// Checks every field before it returns at the first invalid one, so that all errors are
     /// reported at once.
-    fn read(raw: &Raw, checks: &mut Checks) -> Option<Self> {
+    fn read(raw: &RawSettings, checks: &mut Checks) -> Option<Self> {
         let vm = checks.name("--vm", &raw.vm);
         let zone = checks.name("--zone", &raw.zone);
         let listen = checks.address("--listen", &raw.listen);
@@ -305,8 +305,8 @@
         let metrics_listen = checks.address("--metrics-listen", &raw.metrics_listen);
         let store = checks.address("--store", &raw.store);
         let adviser = (!raw.adviser.is_empty()).then(|| checks.address("--adviser", &raw.adviser));
-        let cpu_percent = share(checks, "--cpu-percent", &raw.cpu_percent);
-        let link_mbps = amount(checks, "--link-mbps", &raw.link_mbps);
+        let cpu_percent = parse_cpu_percent(checks, "--cpu-percent", &raw.cpu_percent);
+        let link_mbps = parse_rounded_up(checks, "--link-mbps", &raw.link_mbps);
         let store_timeout = checks.millis("--store-timeout-ms", &raw.store_timeout_ms, 10, 10_000);
         let role_lease = checks.millis("--role-lease-ms", &raw.role_lease_ms, 500, 60_000);
         let bounds = Self::read_bounds(raw, checks);
@@ -336,7 +336,7 @@
         })
     }
 
-    fn read_bounds(raw: &Raw, checks: &mut Checks) -> Option<Bounds> {
+    fn read_bounds(raw: &RawSettings, checks: &mut Checks) -> Option<Bounds> {
         let hold_max = checks.millis("--hold-max-ms", &raw.hold_max_ms, 500, DAY_MS);
         let stop_max = checks.millis("--stop-max-ms", &raw.stop_max_ms, 1, DAY_MS);
         let reclaim = checks.millis("--reclaim-ms", &raw.reclaim_ms, 1, DAY_MS);
@@ -359,7 +359,7 @@
 }
 
 /// Largest allowed CPU share and link capacity.
-const MAX_SHARE: f64 = 1_000_000.0;
+const MAX_CAPACITY: f64 = 1_000_000.0;
 
 /// Parses a positive number as percent; a number up to 1 is a fraction of a core.
 #[allow(
@@ -367,8 +367,8 @@
     clippy::cast_sign_loss,
     reason = "checked to be between 0 and a million"
 )]
-fn share(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
-    let number = positive(checks, flag, value)?;
+fn parse_cpu_percent(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
+    let number = parse_positive(checks, flag, value)?;
     let scaled = if number <= 1.0 {
         number * 100.0
     } else {
@@ -383,15 +383,15 @@
     clippy::cast_sign_loss,
     reason = "checked to be between 0 and a million"
 )]
-fn amount(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
-    Some(positive(checks, flag, value)?.ceil() as u32)
+fn parse_rounded_up(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
+    Some(parse_positive(checks, flag, value)?.ceil() as u32)
 }
 
-fn positive(checks: &mut Checks, flag: &'static str, value: &str) -> Option<f64> {
+fn parse_positive(checks: &mut Checks, flag: &'static str, value: &str) -> Option<f64> {
     let found = value
         .parse::<f64>()
         .ok()
-        .filter(|n| *n > 0.0 && *n <= MAX_SHARE);
+        .filter(|n| *n > 0.0 && *n <= MAX_CAPACITY);
     if found.is_none() {
         checks.0.push(Mistake {
             flag,
--- a/crates/stairstalld/src/batch/settings/policy.rs
+++ b/crates/stairstalld/src/batch/settings/policy.rs
@@ -8,24 +8,24 @@
 /// Applies overrides such as `reports.shortest_wait=500` to the default policy.
 pub(super) fn read(changes: &[String], checks: &mut Checks) -> Option<Policy> {
     let mut policy = Policy::default();
-    let mut is_whole = true;
+    let mut is_valid = true;
     for change in changes {
         match apply(&policy, change) {
             Ok(changed) => policy = changed,
             Err(allowed) => {
-                is_whole = false;
-                note(checks, change, allowed);
+                is_valid = false;
+                add_mistake(checks, change, allowed);
             }
         }
     }
     if let Err(error) = policy.check() {
-        is_whole = false;
-        note(checks, &changes.join(" "), error.to_string());
+        is_valid = false;
+        add_mistake(checks, &changes.join(" "), error.to_string());
     }
-    is_whole.then_some(policy)
+    is_valid.then_some(policy)
 }
 
-fn note(checks: &mut Checks, value: &str, allowed: String) {
+fn add_mistake(checks: &mut Checks, value: &str, allowed: String) {
     checks.0.push(Mistake {
         flag: "--policy",
         value: value.to_owned(),
@@ -43,10 +43,10 @@
         .ok_or("a change as GROUP.FIELD=VALUE")?;
     let value: Value = serde_json::from_str(value).map_err(|_| "a number, true or false")?;
     let mut values = serde_json::to_value(policy).map_err(|error| error.to_string())?;
-    let place = values
+    let target = values
         .get_mut(group)
         .and_then(|group| group.get_mut(field))
         .ok_or_else(|| format!("{path} to be a value of the policy"))?;
-    *place = value;
+    *target = value;
     serde_json::from_value(values).map_err(|error| format!("{path} to hold {error}"))
 }
--- a/crates/stairstalld/src/batch/store_health.rs
+++ b/crates/stairstalld/src/batch/store_health.rs
@@ -13,27 +13,27 @@
 struct State {
     failing_since: Option<Timestamp>,
     /// When a call to the store last completed, successfully or not.
-    heard_at: Option<Timestamp>,
+    last_result_at: Option<Timestamp>,
     /// When the ping was sent that has no answer yet.
-    asked_at: Option<Timestamp>,
+    ping_sent_at: Option<Timestamp>,
 }
 
 /// The state of the store as seen by this daemon's calls.
 #[derive(Debug)]
 pub(crate) struct StoreHealth {
     /// How long calls must have failed without a success before callers' requests fail fast.
-    failing_for: Duration,
+    fail_fast_after: Duration,
     /// Longest time that a ping may go without an answer.
-    silent_after: Duration,
+    ping_timeout: Duration,
     state: Mutex<State>,
     recovered: Notify,
 }
 
 impl StoreHealth {
-    pub(crate) fn new(failing_for: Duration, silent_after: Duration) -> Self {
+    pub(crate) fn new(fail_fast_after: Duration, ping_timeout: Duration) -> Self {
         Self {
-            failing_for,
-            silent_after,
+            fail_fast_after,
+            ping_timeout,
             state: Mutex::default(),
             recovered: Notify::new(),
         }
@@ -43,19 +43,19 @@
     ///
     /// Calls made before the recovery may hang on a dead connection until their own timeout, while
     /// new calls are answered.
-    pub(crate) async fn recovers(&self) {
+    pub(crate) async fn wait_for_recovery(&self) {
         self.recovered.notified().await;
     }
 
     /// Records the result of a call.
-    pub(crate) fn note<T>(&self, result: &Result<T, StoreFault>, now: Timestamp) {
+    pub(crate) fn record_result<T>(&self, result: &Result<T, StoreFault>, now: Timestamp) {
         let outage = result.as_ref().err().is_some_and(StoreFault::is_outage);
         let mut state = lock(&self.state);
-        state.heard_at = Some(now);
+        state.last_result_at = Some(now);
         if !outage {
-            state.asked_at = None;
+            state.ping_sent_at = None;
             if let Some(since) = state.failing_since.take() {
-                if now - since >= self.failing_for {
+                if now - since >= self.fail_fast_after {
                     self.recovered.notify_waiters();
                 }
                 let ms = crate::clock::millis(now - since);
@@ -70,44 +70,46 @@
                 .map_or_else(String::new, ToString::to_string);
             log::warn!(target: "dependency", on = "store", why:% = why; "store does not serve");
             // If a ping is open, the outage began when the ping was sent.
-            state.failing_since = Some(state.asked_at.unwrap_or(now));
+            state.failing_since = Some(state.ping_sent_at.unwrap_or(now));
         }
     }
 
     /// Records that a ping is sent, unless one is already open.
-    pub(crate) fn begin_question(&self, now: Timestamp) {
-        lock(&self.state).asked_at.get_or_insert(now);
+    pub(crate) fn begin_ping(&self, now: Timestamp) {
+        lock(&self.state).ping_sent_at.get_or_insert(now);
     }
 
     /// Records that the open ping was given up without an answer.
-    pub(crate) fn end_question(&self) {
-        lock(&self.state).asked_at = None;
+    pub(crate) fn abandon_ping(&self) {
+        lock(&self.state).ping_sent_at = None;
     }
 
     /// Returns whether no call has completed for `quiet_for`, so that it is time for a ping.
     pub(crate) fn is_quiet(&self, now: Timestamp, quiet_for: Duration) -> bool {
-        let heard_at = lock(&self.state).heard_at;
-        heard_at.is_none_or(|at| now - at >= quiet_for)
+        let last_result_at = lock(&self.state).last_result_at;
+        last_result_at.is_none_or(|at| now - at >= quiet_for)
     }
 
     /// Returns whether the store has failed for a while or leaves a ping unanswered.
     ///
     /// Callers' requests then fail without a call to the store. The tasks that follow the
     /// configuration and the role keep calling it and so detect the recovery.
-    pub(crate) fn holds_back(&self, now: Timestamp) -> bool {
+    pub(crate) fn should_fail_fast(&self, now: Timestamp) -> bool {
         let state = lock(&self.state);
-        let is_over = |since: Option<Timestamp>, span| since.is_some_and(|at| now - at >= span);
-        is_over(state.failing_since, self.failing_for) || is_over(state.asked_at, self.silent_after)
+        let is_longer_than =
+            |since: Option<Timestamp>, span| since.is_some_and(|at| now - at >= span);
+        is_longer_than(state.failing_since, self.fail_fast_after)
+            || is_longer_than(state.ping_sent_at, self.ping_timeout)
     }
 
     /// Returns whether the store serves this daemon, slowly or not.
     pub(crate) fn serves(&self, now: Timestamp) -> bool {
-        !self.is_in_doubt(now)
+        !self.may_be_down(now)
     }
 
     /// Returns whether the store is not known to serve this daemon at the moment.
-    pub(crate) fn is_in_doubt(&self, now: Timestamp) -> bool {
-        self.is_failing() || self.holds_back(now)
+    pub(crate) fn may_be_down(&self, now: Timestamp) -> bool {
+        self.is_failing() || self.should_fail_fast(now)
     }
 
     /// Returns whether the last call failed because the store did not serve it.
--- a/crates/stairstalld/src/batch/kept_job.rs
+++ b/crates/stairstalld/src/batch/stored_job.rs
@@ -5,15 +5,15 @@
 use stairstall_core::batch::AcceptedJob;
 use stairstall_core::claim::Mark;
 
-use super::kept::{self, KeptError};
+use super::encoding::{self, EncodingError};
 
 /// First bytes of an encoded refusal record. An encoded job never starts with them.
-const MARK_START: &[u8] = b"{\"refused_by\"";
+const REFUSAL_PREFIX: &[u8] = b"{\"refused_by\"";
 
 /// The record of a refusal, stored under the key of the refused job. It makes late writes by
 /// earlier requests for this job fail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct RefusalMark {
+pub(crate) struct RefusalRecord {
     /// Identifies the write, so that a lost answer can be resolved. Must stay the first field, see
     /// [`REFUSAL_PREFIX`].
     pub(crate) refused_by: Mark,
@@ -23,9 +23,9 @@
     pub(crate) first_asked_unix_ms: u64,
 }
 
-impl RefusalMark {
+impl RefusalRecord {
     /// Creates the first refusal record of a job.
-    pub(crate) fn of(job: &AcceptedJob) -> Self {
+    pub(crate) fn new(job: &AcceptedJob) -> Self {
         Self {
             refused_by: job.mark.clone(),
             customer: job.customer.clone(),
@@ -34,7 +34,7 @@
     }
 
     /// Takes over the first-request time of an earlier refusal if it is the same customer's.
-    pub(crate) fn follow(&mut self, earlier: &Self) {
+    pub(crate) fn inherit_first_request(&mut self, earlier: &Self) {
         if earlier.customer == self.customer {
             let first = earlier.first_asked_unix_ms;
             self.first_asked_unix_ms = self.first_asked_unix_ms.min(first);
@@ -44,20 +44,20 @@
 
 /// The value under a job's own key.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum KeptJob {
+pub(crate) enum StoredJob {
     /// The job as it was accepted.
     Accepted(Box<AcceptedJob>),
     /// The record of a refusal: there is no such job.
-    Refused(RefusalMark),
+    Refused(RefusalRecord),
 }
 
-impl KeptJob {
+impl StoredJob {
     /// Decodes the value of a job's own key.
-    pub(crate) fn read(value: &[u8]) -> Result<Self, KeptError> {
-        if value.starts_with(MARK_START) {
-            return kept::read(value).map(Self::Refused);
+    pub(crate) fn read(value: &[u8]) -> Result<Self, EncodingError> {
+        if value.starts_with(REFUSAL_PREFIX) {
+            return encoding::decode(value).map(Self::Refused);
         }
-        kept::read(value).map(|job| Self::Accepted(Box::new(job)))
+        encoding::decode(value).map(|job| Self::Accepted(Box::new(job)))
     }
 
     /// Returns the job, or `None` if it was refused.
--- a/crates/stairstalld/src/batch/telemetry.rs
+++ b/crates/stairstalld/src/batch/telemetry.rs
@@ -24,8 +24,8 @@
     store_time: HistogramVec,
     decisions: IntCounterVec,
     orders: IntCounterVec,
-    holds: IntCounterVec,
-    spans: HistogramVec,
+    reports: IntCounterVec,
+    phases: HistogramVec,
     admissions: IntCounterVec,
     first_start: Histogram,
     takeover: Histogram,
@@ -65,13 +65,13 @@
 }
 
 /// Converts a count to the value of a gauge.
-fn count(count: usize) -> i64 {
+fn gauge_count(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
 /// Converts a duration to the value of a gauge, in whole milliseconds.
-fn whole_millis(span: Duration) -> i64 {
-    i64::try_from(span.as_millis()).unwrap_or(i64::MAX)
+fn gauge_millis(duration: Duration) -> i64 {
+    i64::try_from(duration.as_millis()).unwrap_or(i64::MAX)
 }
 
 impl Telemetry {
@@ -108,12 +108,12 @@
                 "Orders to workers by kind and outcome",
                 &["kind", "outcome"],
             ),
-            holds: counters(
+            reports: counters(
                 "stairstall_holds_total",
                 "Renewals and reports of workers by outcome",
                 &["outcome"],
             ),
-            spans: histograms(
+            phases: histograms(
                 "stairstall_job_span_seconds",
                 "What ended jobs spent time on, by their queue's priority",
                 &["priority", "span"],
@@ -178,8 +178,8 @@
             Box::new(self.store_time.clone()),
             Box::new(self.decisions.clone()),
             Box::new(self.orders.clone()),
-            Box::new(self.holds.clone()),
-            Box::new(self.spans.clone()),
+            Box::new(self.reports.clone()),
+            Box::new(self.phases.clone()),
             Box::new(self.admissions.clone()),
             Box::new(self.first_start.clone()),
             Box::new(self.takeover.clone()),
@@ -227,14 +227,14 @@
         self.orders.with_label_values(&[kind, outcome]).inc();
     }
 
-    pub(crate) fn hold(&self, outcome: &'static str) {
-        self.holds.with_label_values(&[outcome]).inc();
+    pub(crate) fn report(&self, outcome: &'static str) {
+        self.reports.with_label_values(&[outcome]).inc();
     }
 
-    pub(crate) fn span(&self, priority: u8, span: &'static str, spent: Duration) {
+    pub(crate) fn phase(&self, priority: u8, phase: &'static str, spent: Duration) {
         let priority = priority.to_string();
-        self.spans
-            .with_label_values(&[priority.as_str(), span])
+        self.phases
+            .with_label_values(&[priority.as_str(), phase])
             .observe(spent.as_secs_f64());
     }
 
@@ -247,7 +247,7 @@
     }
 
     pub(crate) fn load_age(&self, age: Duration) {
-        self.load_age.set(whole_millis(age));
+        self.load_age.set(gauge_millis(age));
     }
 
     pub(crate) fn first_start(&self, after: Duration) {
@@ -264,25 +264,25 @@
     }
 
     pub(crate) fn load(&self, open_jobs: usize, runs: usize) {
-        self.open_jobs.set(count(open_jobs));
-        self.runs.set(count(runs));
+        self.open_jobs.set(gauge_count(open_jobs));
+        self.runs.set(gauge_count(runs));
     }
 
     pub(crate) fn paces(&self, paces: &PaceSummary) {
-        self.known_paces.set(count(paces.known));
-        self.slow_workers.set(count(paces.slow));
+        self.known_paces.set(gauge_count(paces.known));
+        self.slow_workers.set(gauge_count(paces.slow));
     }
 
-    pub(crate) fn evacuations(&self, zones: usize, age: Duration) {
-        self.evacuated_zones.set(count(zones));
-        self.evacuations_age.set(whole_millis(age));
+    pub(crate) fn evacuated_zones(&self, zones: usize, age: Duration) {
+        self.evacuated_zones.set(gauge_count(zones));
+        self.evacuations_age.set(gauge_millis(age));
     }
 
     pub(crate) fn contact(&self, lag: &ContactLag) {
-        self.silent_workers.set(count(lag.silent));
-        self.oldest_report.set(whole_millis(lag.oldest_report));
-        self.report_wait.set(whole_millis(lag.report_wait));
-        self.starts_under_way.set(count(lag.starts_under_way));
+        self.silent_workers.set(gauge_count(lag.silent));
+        self.oldest_report.set(gauge_millis(lag.oldest_report));
+        self.report_wait.set(gauge_millis(lag.report_wait));
+        self.starts_under_way.set(gauge_count(lag.starts_under_way));
     }
 
     /// Returns all metrics in the Prometheus text format.
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -13,18 +13,18 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-use super::links::Links;
 use super::node::Node;
-use super::role::Taken;
+use super::role::AcquiredRole;
 use super::rpc::JobAnswer;
-use super::{directory, evacuation, intake, upkeep, writer};
+use super::worker_links::WorkerLinks;
+use super::{directory, evacuated_zones, job_watch, maintenance, writer};
 use crate::clock::{Clock, unix_millis};
 use crate::daemon::lock;
 
 /// Delay while the lease is not known to be valid.
-const SUSPENDED_PAUSE: Duration = Duration::from_millis(50);
+const SUSPENDED_DELAY: Duration = Duration::from_millis(50);
 /// Delay before the initial load is retried.
-const LOAD_PAUSE: Duration = Duration::from_millis(100);
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// One tenure: the time during which this daemon holds the planner role.
 #[derive(Debug)]
@@ -39,17 +39,17 @@
     /// Wakes the planning loop.
     wake: Notify,
     /// Wakes the writer.
-    pub(crate) dirty: Notify,
+    pub(crate) writes_pending: Notify,
     /// Notifies waiters that a write has succeeded.
-    pub(crate) written: Notify,
+    pub(crate) write_done: Notify,
     /// Notifies the job watch that the lease is valid again after it had lapsed.
-    pub(crate) resumed: Notify,
+    pub(crate) lease_restored: Notify,
     ended: watch::Sender<Option<&'static str>>,
 }
 
 impl Tenure {
-    pub(crate) fn new(node: &Node, taken: &Taken) -> Self {
-        let token = taken.record.token;
+    pub(crate) fn new(node: &Node, acquired: &AcquiredRole) -> Self {
+        let token = acquired.record.token;
         let mut planner = Planner::new(token, node.settings.bounds)
             .with_policy(node.settings.policy)
             .with_limits(node.settings.vm_limits());
@@ -60,13 +60,13 @@
             token,
             clock: node.clock,
             planner: Mutex::new(planner),
-            lease: Mutex::new(taken.lease),
-            role_revision: taken.revision,
+            lease: Mutex::new(acquired.lease),
+            role_revision: acquired.revision,
             loaded: AtomicBool::new(false),
             wake: Notify::new(),
-            dirty: Notify::new(),
-            written: Notify::new(),
-            resumed: Notify::new(),
+            writes_pending: Notify::new(),
+            write_done: Notify::new(),
+            lease_restored: Notify::new(),
             ended: watch::channel(None).0,
         }
     }
@@ -89,8 +89,8 @@
             return;
         }
         if !lease.is_valid(self.clock.now()) {
-            self.with(Planner::mark_jobs_stale);
-            self.resumed.notify_one();
+            self.with_planner(Planner::mark_jobs_stale);
+            self.lease_restored.notify_one();
         }
         *lease = renewed;
     }
@@ -101,7 +101,7 @@
         self.ended.borrow().is_none() && lock(&self.lease).is_valid(self.clock.now())
     }
 
-    pub(crate) fn give_up(&self, why: &'static str) {
+    pub(crate) fn end(&self, why: &'static str) {
         self.ended.send_if_modified(|ended| {
             let first = ended.is_none();
             if first {
@@ -113,7 +113,7 @@
 
     /// Calls `act` with the planner, then wakes the planning loop and the writer if they have work
     /// to do. Ends the tenure if a worker has seen a higher fencing token.
-    pub(crate) fn with<T>(&self, act: impl FnOnce(&mut Planner, Now) -> T) -> T {
+    pub(crate) fn with_planner<T>(&self, act: impl FnOnce(&mut Planner, Now) -> T) -> T {
         let now = self.now();
         let mut planner = lock(&self.planner);
         let result = act(&mut planner, now);
@@ -121,38 +121,38 @@
             self.wake.notify_one();
         }
         if planner.has_writes() {
-            self.dirty.notify_one();
+            self.writes_pending.notify_one();
         }
         if planner.is_superseded() {
-            self.give_up("a worker has seen a higher fencing token");
+            self.end("a worker has seen a higher fencing token");
         }
         result
     }
 
-    fn answers(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.loaded.load(Ordering::Acquire) && self.is_in_force()
     }
 
     /// Adds an accepted job; returns false if this tenure is not in force.
     pub(crate) fn submit(&self, job: AcceptedJob) -> bool {
-        let answers = self.answers();
-        if answers {
-            self.with(|planner, now| planner.submit(job, now));
+        let is_serving = self.is_serving();
+        if is_serving {
+            self.with_planner(|planner, now| planner.submit(job, now));
         }
-        answers
+        is_serving
     }
 
     /// Cancels a job; returns false if this tenure is not in force or does not know the job.
     pub(crate) fn cancel(&self, id: &JobId) -> bool {
-        self.answers() && self.with(|planner, now| planner.cancel(id, now))
+        self.is_serving() && self.with_planner(|planner, now| planner.cancel(id, now))
     }
 
     pub(crate) fn set_catalog(&self, catalog: Arc<Catalog>) {
-        self.with(|planner, _| planner.set_catalog(catalog));
+        self.with_planner(|planner, _| planner.set_catalog(catalog));
     }
 
     pub(crate) fn job(&self, id: &JobId) -> JobAnswer {
-        if !self.answers() {
+        if !self.is_serving() {
             return JobAnswer::NotPlanner;
         }
         let planner = lock(&self.planner);
@@ -168,20 +168,21 @@
     /// Explains the state of a job. Returns `None` if this tenure is not in force or does not know
     /// the job.
     pub(crate) fn explain(&self, id: &JobId) -> Option<JobExplanation> {
-        let answers = self.answers();
-        answers
+        let is_serving = self.is_serving();
+        is_serving
             .then(|| lock(&self.planner).explain(id, self.now()))
             .flatten()
     }
 
     pub(crate) fn pending(&self, queue: &str) -> Option<u64> {
-        self.answers().then(|| lock(&self.planner).pending(queue))
+        self.is_serving()
+            .then(|| lock(&self.planner).pending(queue))
     }
 
     /// Returns a summary of the fleet's load, or `None` if this tenure is not in force.
     pub(crate) fn load_summary(&self) -> Option<LoadSummary> {
         let now = self.now();
-        self.answers()
+        self.is_serving()
             .then(|| lock(&self.planner).load_summary(now))
     }
 
@@ -191,7 +192,7 @@
     }
 
     /// Returns the number of evacuated zones and the age of that information.
-    pub(crate) fn evacuations(&self) -> (usize, Option<Duration>) {
+    pub(crate) fn evacuated_zones(&self) -> (usize, Option<Duration>) {
         let planner = lock(&self.planner);
         (
             planner.evacuated_zone_count(),
@@ -206,12 +207,12 @@
 
     /// Returns the customers with the highest usage, and the fair usage of each customer, in
     /// milliseconds of the whole fleet.
-    pub(crate) fn customer_use(&self, most: usize) -> (Vec<CustomerUsageTotal>, u64) {
+    pub(crate) fn customer_usage(&self, most: usize) -> (Vec<CustomerUsageTotal>, u64) {
         lock(&self.planner).customer_usage(most, self.now())
     }
 
     /// Returns the number of open jobs and the number of runs.
-    pub(crate) fn load(&self) -> (usize, usize) {
+    pub(crate) fn load_counts(&self) -> (usize, usize) {
         let planner = lock(&self.planner);
         (planner.open_jobs(), planner.runs())
     }
@@ -220,7 +221,7 @@
 /// Runs the planner until the tenure ends; returns why it ended.
 pub(crate) async fn run(node: &Arc<Node>, tenure: &Arc<Tenure>) -> &'static str {
     let mut ended = tenure.ended.subscribe();
-    let planning = plan(node, tenure);
+    let planning = run_planner(node, tenure);
     let stopped = async {
         let ended = ended.wait_for(Option::is_some).await;
         ended.ok().and_then(|why| *why)
@@ -231,14 +232,14 @@
     }
 }
 
-async fn plan(node: &Arc<Node>, tenure: &Arc<Tenure>) {
+async fn run_planner(node: &Arc<Node>, tenure: &Arc<Tenure>) {
     let started = node.clock.now();
-    let (directory_at, intake_at, revisions) = load(node, tenure).await;
+    let (directory_at, jobs_at, revisions) = load_state(node, tenure).await;
     tenure.loaded.store(true, Ordering::Release);
     node.set_tenure(Some(Arc::clone(tenure)));
     let took = node.clock.now() - started;
     node.telemetry.takeover(took);
-    let (open_jobs, _) = tenure.load();
+    let (open_jobs, _) = tenure.load_counts();
     log::info!(target: "role", token = tenure.token, open_jobs, ms = crate::clock::millis(took);
         "jobs and workers loaded");
     let mut tasks = JoinSet::new();
@@ -247,35 +248,38 @@
         Arc::clone(tenure),
         directory_at,
     ));
-    tasks.spawn(evacuation::follow(Arc::clone(node), Arc::clone(tenure)));
-    tasks.spawn(intake::follow(
+    tasks.spawn(evacuated_zones::follow(
         Arc::clone(node),
         Arc::clone(tenure),
-        intake_at,
+    ));
+    tasks.spawn(job_watch::follow(
+        Arc::clone(node),
+        Arc::clone(tenure),
+        jobs_at,
     ));
     tasks.spawn(writer::run(Arc::clone(node), Arc::clone(tenure), revisions));
-    tasks.spawn(upkeep::run(Arc::clone(node), Arc::clone(tenure)));
-    let mut links = Links::new(Arc::clone(node), Arc::clone(tenure));
+    tasks.spawn(maintenance::run(Arc::clone(node), Arc::clone(tenure)));
+    let mut links = WorkerLinks::new(Arc::clone(node), Arc::clone(tenure));
     loop {
-        let next = tenure.with(|planner, now| planner.next_tick(now));
+        let next = tenure.with_planner(|planner, now| planner.next_tick(now));
         let _ = tokio::time::timeout(next, tenure.wake.notified()).await;
         if !tenure.is_in_force() {
-            tokio::time::sleep(SUSPENDED_PAUSE).await;
+            tokio::time::sleep(SUSPENDED_DELAY).await;
             tenure.wake.notify_one();
             continue;
         }
-        let (orders, decisions, summaries) = tenure.with(|planner, now| {
+        let (orders, decisions, summaries) = tenure.with_planner(|planner, now| {
             let orders = planner.tick(now);
             (orders, planner.take_decisions(), planner.take_summaries())
         });
         for summary in &summaries {
-            tell_summary(node, tenure.token, summary);
+            log_job_summary(node, tenure.token, summary);
         }
         for decision in &decisions {
-            tell(node, tenure.token, decision);
+            log_decision(node, tenure.token, decision);
         }
         ask_adviser(node, tenure, &mut tasks);
-        links.keep_up();
+        links.update();
         links.send(orders);
     }
 }
@@ -285,25 +289,25 @@
 
 /// Sends the planner's requests to the adviser, each in its own task.
 fn ask_adviser(node: &Arc<Node>, tenure: &Arc<Tenure>, tasks: &mut JoinSet<()>) {
-    let requests = tenure.with(|planner, _| planner.take_advice_requests());
+    let requests = tenure.with_planner(|planner, _| planner.take_advice_requests());
     for request in requests {
         let Some(adviser) = node.adviser.clone() else {
             log::warn!(target: "advice", step:% = request.group; "no adviser configured");
-            tenure.with(|planner, _| planner.handle_advice_failure(&request));
+            tenure.with_planner(|planner, _| planner.handle_advice_failure(&request));
             continue;
         };
         let tenure = Arc::clone(tenure);
         tasks.spawn(async move {
-            let asked = adviser.advise(&request, ADVICE_TIMEOUT).await;
-            match asked {
+            let advice = adviser.advise(&request, ADVICE_TIMEOUT).await;
+            match advice {
                 Ok(good) => {
                     log::info!(target: "advice", step:% = request.group,
                         asked = request.workers.len(), good = good.len(); "adviser answered");
-                    tenure.with(|planner, now| planner.handle_advice(&request, good, now));
+                    tenure.with_planner(|planner, now| planner.handle_advice(&request, good, now));
                 }
                 Err(error) => {
                     log::warn!(target: "advice", step:% = request.group, why:% = error; "adviser did not answer");
-                    tenure.with(|planner, _| planner.handle_advice_failure(&request));
+                    tenure.with_planner(|planner, _| planner.handle_advice_failure(&request));
                 }
             }
         });
@@ -312,32 +316,33 @@
 }
 
 /// Loads what earlier planners have stored; retries until everything is read.
-async fn load(node: &Node, tenure: &Tenure) -> (Revision, Revision, writer::Revisions) {
+async fn load_state(node: &Node, tenure: &Tenure) -> (Revision, Revision, writer::Revisions) {
     loop {
         let loaded = async {
             let workers = directory::load(node, tenure);
-            let listings = node.listings(workers, intake::read(node));
+            let listings = node.read_both(workers, job_watch::read(node));
             // A short response, read concurrently so that a slow store adds its latency only once.
-            let evacuations = evacuation::load(node, tenure);
-            let ((directory_at, kept), ()) = futures::try_join!(listings, evacuations)?;
-            let (intake_at, revisions) = intake::load(kept, tenure);
-            Ok::<_, stairstall_ports::StoreFault>((directory_at, intake_at, revisions))
+            let zones = evacuated_zones::load(node, tenure);
+            let ((directory_at, stored), ()) = futures::try_join!(listings, zones)?;
+            let (jobs_at, revisions) = job_watch::load(stored, tenure);
+            Ok::<_, stairstall_ports::StoreFault>((directory_at, jobs_at, revisions))
         };
         match loaded.await {
             Ok(loaded) => return loaded,
             Err(fault) => {
                 log::warn!(target: "role", token = tenure.token, why:% = fault; "could not load the stored state; retrying");
-                node.pause(LOAD_PAUSE).await;
+                node.back_off(LOAD_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Logs and counts where the time of an ended job went.
-fn tell_summary(node: &Node, token: u64, summary: &JobSummary) {
-    for span in JobPhase::ALL {
-        let spent = summary.phases.get(&span).copied().unwrap_or_default();
-        node.telemetry.span(summary.priority, span.as_str(), spent);
+fn log_job_summary(node: &Node, token: u64, summary: &JobSummary) {
+    for phase in JobPhase::ALL {
+        let spent = summary.phases.get(&phase).copied().unwrap_or_default();
+        node.telemetry
+            .phase(summary.priority, phase.as_str(), spent);
     }
     let name = |name: Option<String>| name.unwrap_or_else(|| "-".to_owned());
     log::info!(target: "job", token, job:% = summary.job, queue:% = summary.queue,
@@ -357,10 +362,10 @@
 }
 
 /// Logs and counts one decision.
-fn tell(node: &Node, token: u64, decision: &Decision) {
+fn log_decision(node: &Node, token: u64, decision: &Decision) {
     node.telemetry.decision(decision.kind.as_str());
-    if let Some(after) = decision.waited {
-        node.telemetry.first_start(after);
+    if let Some(waited) = decision.waited {
+        node.telemetry.first_start(waited);
     }
     let target = decision.kind.as_str();
     let why = &decision.why;
--- a/crates/stairstalld/src/batch/links.rs
+++ b/crates/stairstalld/src/batch/worker_links.rs
@@ -18,34 +18,34 @@
 use super::tenure::Tenure;
 
 /// Interval at which an idle worker is checked for work, without a call to it.
-const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Delay while the planner's lease is not known to be valid.
-const SUSPENDED_PAUSE: Duration = Duration::from_millis(50);
+const SUSPENDED_DELAY: Duration = Duration::from_millis(50);
 
 /// The poll task and the order task of one worker. When it is dropped, no further polls are sent,
 /// and the tasks end once open calls are answered.
 #[derive(Debug)]
-struct Link {
+struct WorkerLink {
     address: String,
     orders: UnboundedSender<Order>,
-    asking: Arc<Asking>,
+    control: Arc<PollControl>,
 }
 
-impl Drop for Link {
+impl Drop for WorkerLink {
     fn drop(&mut self) {
-        self.asking.is_closed.store(true, Ordering::Release);
-        self.asking.wake.notify_one();
+        self.control.is_closed.store(true, Ordering::Release);
+        self.control.wake.notify_one();
     }
 }
 
 /// Wakes or stops the poll task of a worker.
 #[derive(Debug, Default)]
-struct Asking {
+struct PollControl {
     wake: Notify,
     is_closed: AtomicBool,
 }
 
-impl Asking {
+impl PollControl {
     fn is_closed(&self) -> bool {
         self.is_closed.load(Ordering::Acquire)
     }
@@ -53,42 +53,42 @@
 
 /// The links of one tenure to all workers.
 #[derive(Debug)]
-pub(crate) struct Links {
+pub(crate) struct WorkerLinks {
     node: Arc<Node>,
     tenure: Arc<Tenure>,
-    open: HashMap<WorkerId, Link>,
+    open: HashMap<WorkerId, WorkerLink>,
     /// Version of the worker set for which links were last updated.
-    seen_set: Option<u64>,
+    linked_worker_set: Option<u64>,
     tasks: JoinSet<()>,
 }
 
-impl Links {
+impl WorkerLinks {
     pub(crate) fn new(node: Arc<Node>, tenure: Arc<Tenure>) -> Self {
         Self {
             node,
             tenure,
             open: HashMap::new(),
-            seen_set: None,
+            linked_worker_set: None,
             tasks: JoinSet::new(),
         }
     }
 
     /// Opens links to new workers and closes those to workers that are gone. Wakes the poll tasks
     /// of workers that the planner wants to poll.
-    pub(crate) fn keep_up(&mut self) {
-        let (to_ask, worker_set) = self
-            .tenure
-            .with(|planner, _| (planner.take_workers_to_poll(), planner.worker_set_version()));
-        for id in to_ask {
+    pub(crate) fn update(&mut self) {
+        let (to_poll, worker_set) = self.tenure.with_planner(|planner, _| {
+            (planner.take_workers_to_poll(), planner.worker_set_version())
+        });
+        for id in to_poll {
             if let Some(link) = self.open.get(&id) {
-                link.asking.wake.notify_one();
+                link.control.wake.notify_one();
             }
         }
-        if self.seen_set == Some(worker_set) {
+        if self.linked_worker_set == Some(worker_set) {
             return;
         }
-        self.seen_set = Some(worker_set);
-        let known: HashMap<WorkerId, String> = self.tenure.with(|planner, _| {
+        self.linked_worker_set = Some(worker_set);
+        let known: HashMap<WorkerId, String> = self.tenure.with_planner(|planner, _| {
             let workers = planner.workers();
             workers
                 .map(|(id, address)| (id.clone(), address.to_owned()))
@@ -107,23 +107,23 @@
 
     fn open_link(&mut self, worker: WorkerAddress) {
         let (sender, receiver) = unbounded_channel();
-        let asking = Arc::new(Asking::default());
+        let control = Arc::new(PollControl::default());
         self.tasks.spawn(orders::run(
             Arc::clone(&self.node),
             Arc::clone(&self.tenure),
             worker.clone(),
             receiver,
         ));
-        self.tasks.spawn(hold(
+        self.tasks.spawn(poll_worker(
             Arc::clone(&self.node),
             Arc::clone(&self.tenure),
             worker.clone(),
-            Arc::clone(&asking),
+            Arc::clone(&control),
         ));
-        let link = Link {
+        let link = WorkerLink {
             address: worker.address,
             orders: sender,
-            asking,
+            control,
         };
         self.open.insert(worker.id, link);
     }
@@ -132,7 +132,7 @@
     pub(crate) fn send(&self, orders: Vec<Order>) {
         for order in orders {
             if let Some(link) = self.open.get(&order.worker) {
-                link.asking.wake.notify_one();
+                link.control.wake.notify_one();
                 if link.orders.send(order).is_err() {
                     log::error!(target: "orders", "a worker's order task has ended");
                 }
@@ -145,47 +145,52 @@
 ///
 /// It keeps running when the planner no longer knows the worker: if the worker is listed again
 /// before the links are next updated, the link is kept, and nothing else would poll the worker.
-async fn hold(node: Arc<Node>, tenure: Arc<Tenure>, worker: WorkerAddress, asking: Arc<Asking>) {
-    while !asking.is_closed() {
+async fn poll_worker(
+    node: Arc<Node>,
+    tenure: Arc<Tenure>,
+    worker: WorkerAddress,
+    control: Arc<PollControl>,
+) {
+    while !control.is_closed() {
         if !tenure.is_in_force() {
-            tokio::time::sleep(SUSPENDED_PAUSE).await;
+            tokio::time::sleep(SUSPENDED_DELAY).await;
             continue;
         }
-        let request = tenure.with(|planner, now| planner.hold_request(&worker.id, now));
+        let request = tenure.with_planner(|planner, now| planner.hold_request(&worker.id, now));
         match request {
             None => {
-                let _ = tokio::time::timeout(IDLE_INTERVAL, asking.wake.notified()).await;
+                let _ = tokio::time::timeout(IDLE_CHECK_INTERVAL, control.wake.notified()).await;
             }
-            Some(request) => ask(&node, &tenure, &worker, &asking, request).await,
+            Some(request) => poll_once(&node, &tenure, &worker, &control, request).await,
         }
     }
 }
 
-async fn ask(
+async fn poll_once(
     node: &Node,
     tenure: &Tenure,
     worker: &WorkerAddress,
-    asking: &Asking,
+    control: &PollControl,
     request: ReportRequest,
 ) {
     let policy = &node.settings.policy.links;
     let sent_at = node.clock.now();
     let timeout = request.max_wait + policy.report_timeout;
     let answer = node.workers.hold(worker, request, timeout).await;
-    if asking.is_closed() {
+    if control.is_closed() {
         // The link is closed, but the run ends in the report are still valid.
         match answer {
             Ok(report) => {
-                node.telemetry.hold("late");
+                node.telemetry.report("late");
                 if report.truncated {
                     log::info!(target: "links", worker:% = worker.id; "the last report before its link closed omitted run ends");
                 }
-                tenure.with(|planner, now| {
+                tenure.with_planner(|planner, now| {
                     planner.handle_worker_report(&worker.id, &request, sent_at, report, now);
                 });
             }
             Err(fault) => {
-                node.telemetry.hold("late, no answer");
+                node.telemetry.report("late, no answer");
                 log::info!(target: "links", worker:% = worker.id, why:% = fault;
                     "no report before its link closed");
             }
@@ -194,31 +199,31 @@
     }
     match answer {
         Ok(report) => {
-            node.telemetry.hold("ok");
-            let has_ends = !report.ended.is_empty();
-            let written = tenure.written.notified();
-            tenure.with(|planner, now| {
+            node.telemetry.report("ok");
+            let has_run_ends = !report.ended.is_empty();
+            let written = tenure.write_done.notified();
+            tenure.with_planner(|planner, now| {
                 planner.handle_worker_report(&worker.id, &request, sent_at, report, now);
             });
-            if has_ends {
+            if has_run_ends {
                 let _ = tokio::time::timeout(policy.write_wait, written).await;
             }
         }
         Err(WorkerFault::OtherLife) => {
-            node.telemetry.hold("other life");
-            tenure.with(|planner, now| {
+            node.telemetry.report("other life");
+            tenure.with_planner(|planner, now| {
                 planner.end_incarnation(&worker.id, "another incarnation answered", now);
             });
         }
         Err(WorkerFault::Fenced) => {
-            node.telemetry.hold("fenced");
-            tenure.with(|planner, _| planner.handle_fenced(&worker.id, request.token));
+            node.telemetry.report("fenced");
+            tenure.with_planner(|planner, _| planner.handle_fenced(&worker.id, request.token));
         }
         Err(fault) => {
-            node.telemetry.hold("no answer");
+            node.telemetry.report("no answer");
             log::debug!(target: "hold", worker:% = worker.id, why:% = fault; "worker did not report");
-            tenure.with(|planner, now| planner.handle_report_failure(&worker.id, now));
-            node.pause(policy.pause_after_timeout).await;
+            tenure.with_planner(|planner, now| planner.handle_report_failure(&worker.id, now));
+            node.back_off(policy.pause_after_timeout).await;
         }
     }
 }
--- a/crates/stairstalld/src/batch/writer.rs
+++ b/crates/stairstalld/src/batch/writer.rs
@@ -14,20 +14,20 @@
 
 use super::node::Node;
 use super::tenure::Tenure;
-use super::{kept, keys};
+use super::{encoding, keys};
 
 /// Revisions of the progress keys by job.
 pub(crate) type Revisions = BTreeMap<JobId, Revision>;
 
 /// Delay after a failure.
-const PAUSE: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Interval at which expired jobs are removed.
-const FORGET_INTERVAL: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 /// Number of expired jobs removed by one write.
-const JOBS_PER_FORGET: usize = 9;
+const JOBS_PER_REMOVAL: usize = 9;
 
 /// A completed write and its outcome.
-struct Sent {
+struct CompletedWrite {
     writes: Vec<ProgressWrite>,
     /// Total length of the written values.
     bytes: usize,
@@ -40,12 +40,12 @@
     tenure: Arc<Tenure>,
     revisions: Revisions,
     /// Jobs whose progress is being written.
-    busy: BTreeSet<JobId>,
+    jobs_in_flight: BTreeSet<JobId>,
     /// Total length of the values that are being written.
-    bytes_under_way: usize,
+    bytes_in_flight: usize,
     /// When expired jobs were last removed.
-    forgot_at: Instant,
-    under_way: FuturesUnordered<BoxFuture<'static, Sent>>,
+    last_removal_at: Instant,
+    in_flight: FuturesUnordered<BoxFuture<'static, CompletedWrite>>,
 }
 
 /// Writes progress for as long as the tenure lasts.
@@ -57,149 +57,150 @@
         node,
         tenure,
         revisions,
-        busy: BTreeSet::new(),
-        bytes_under_way: 0,
-        forgot_at: Instant::now(),
-        under_way: FuturesUnordered::new(),
+        jobs_in_flight: BTreeSet::new(),
+        bytes_in_flight: 0,
+        last_removal_at: Instant::now(),
+        in_flight: FuturesUnordered::new(),
     };
     loop {
-        if writer.under_way.is_empty() {
+        if writer.in_flight.is_empty() {
             writer.wait_for_work().await;
         }
-        if writer.may_send_more() {
-            writer.send_next();
+        if writer.can_send() {
+            writer.start_write();
         }
-        writer.take_answer().await;
+        writer.await_completion().await;
     }
 }
 
 impl Writer {
-    fn may_send_more(&self) -> bool {
-        let most = self.node.settings.policy.writing.max_in_flight;
-        self.under_way.len() < usize::from(most) && self.bytes_under_way < self.window()
+    fn can_send(&self) -> bool {
+        let limit = self.node.settings.policy.writing.max_in_flight;
+        self.in_flight.len() < usize::from(limit) && self.bytes_in_flight < self.byte_window()
     }
 
     /// Returns the largest number of bytes in flight. More bytes would only queue on the link,
     /// ahead of orders.
-    fn window(&self) -> usize {
+    fn byte_window(&self) -> usize {
         let per_s = self.node.settings.vm_limits().link_bytes_per_s;
         let window = self.node.settings.policy.writing.link_window;
         usize::try_from(u128::from(per_s) * window.as_millis() / 1000).unwrap_or(usize::MAX)
     }
 
     async fn wait_for_work(&mut self) {
-        if self.forgot_at.elapsed() >= FORGET_INTERVAL {
-            self.forgot_at = Instant::now();
-            forget(&self.node, &self.tenure, &mut self.revisions).await;
+        if self.last_removal_at.elapsed() >= EXPIRY_INTERVAL {
+            self.last_removal_at = Instant::now();
+            remove_expired(&self.node, &self.tenure, &mut self.revisions).await;
         }
-        if self.tenure.with(|planner, _| planner.has_writes()) {
+        if self.tenure.with_planner(|planner, _| planner.has_writes()) {
             return;
         }
-        let dirty = self.tenure.dirty.notified();
-        let woken = tokio::time::timeout(FORGET_INTERVAL, dirty).await;
+        let woken = self.tenure.writes_pending.notified();
+        let woken = tokio::time::timeout(EXPIRY_INTERVAL, woken).await;
         if woken.is_ok() {
             tokio::time::sleep(self.node.settings.policy.writing.batch_delay).await;
         }
     }
 
     /// Writes the progress of jobs that have changes and no write in flight.
-    fn send_next(&mut self) {
-        let busy = &self.busy;
+    fn start_write(&mut self) {
+        let jobs_in_flight = &self.jobs_in_flight;
         let jobs = usize::from(self.node.settings.policy.writing.jobs_per_write);
         let writes = self
             .tenure
-            .with(|planner, now| planner.take_writes(jobs, busy, now));
+            .with_planner(|planner, now| planner.take_writes(jobs, jobs_in_flight, now));
         if writes.is_empty() {
             return;
         }
-        let (commit, writes, bytes) = self.fill(writes);
-        self.busy.extend(writes.iter().map(|w| w.job.clone()));
-        self.bytes_under_way += bytes;
+        let (commit, writes, bytes) = self.build_commit(writes);
+        self.jobs_in_flight
+            .extend(writes.iter().map(|w| w.job.clone()));
+        self.bytes_in_flight += bytes;
         let node = Arc::clone(&self.node);
-        let sent = async move {
+        let write = async move {
             let call = node.store.commit(commit);
-            let outcome = node.stored("write progress", call).await;
-            Sent {
+            let outcome = node.store_call("write progress", call).await;
+            CompletedWrite {
                 writes,
                 bytes,
                 outcome,
             }
         };
-        self.under_way.push(sent.boxed());
+        self.in_flight.push(write.boxed());
     }
 
     /// Adds writes to a commit up to the byte window, at least one, and returns the others to the
     /// planner. Returns the commit, the writes in it, and the total length of their values.
-    fn fill(&self, writes: Vec<ProgressWrite>) -> (Commit, Vec<ProgressWrite>, usize) {
-        let left = self.window().saturating_sub(self.bytes_under_way);
-        let mut commit = Commit::default().when(keys::PLANNER, self.tenure.role_revision);
-        let mut sent = Vec::new();
+    fn build_commit(&self, writes: Vec<ProgressWrite>) -> (Commit, Vec<ProgressWrite>, usize) {
+        let left = self.byte_window().saturating_sub(self.bytes_in_flight);
+        let mut commit = Commit::default().when(keys::PLANNER_ROLE, self.tenure.role_revision);
+        let mut included = Vec::new();
         let mut bytes = 0;
         for write in writes {
             if bytes > left {
                 self.tenure
-                    .with(|planner, _| planner.progress_write_failed(&write.job));
+                    .with_planner(|planner, _| planner.progress_write_failed(&write.job));
                 continue;
             }
-            match kept::write(&write.progress) {
+            match encoding::encode(&write.progress) {
                 Ok(value) => {
                     let key = keys::progress(&write.job);
                     let revision = self.revisions.get(&write.job).copied().unwrap_or_default();
                     bytes += value.len();
                     commit = commit.when(key.clone(), revision).put(key, value);
-                    sent.push(write);
+                    included.push(write);
                 }
                 Err(error) => {
                     log::error!(target: "writer", job:% = write.job, why:% = error; "can't encode the job's progress");
                 }
             }
         }
-        (commit, sent, bytes)
+        (commit, included, bytes)
     }
 
     /// Waits for the next write to complete. Stops waiting after a while if another write can be
     /// sent.
-    async fn take_answer(&mut self) {
-        let may_send_more = self.may_send_more();
-        let next = self.under_way.next();
-        let sent = if may_send_more {
+    async fn await_completion(&mut self) {
+        let can_send = self.can_send();
+        let next = self.in_flight.next();
+        let completed = if can_send {
             tokio::time::timeout(self.node.settings.policy.writing.pipeline_after, next).await
         } else {
             Ok(next.await)
         };
-        let Ok(Some(sent)) = sent else {
+        let Ok(Some(completed)) = completed else {
             return;
         };
-        self.bytes_under_way -= sent.bytes;
-        for write in &sent.writes {
-            self.busy.remove(&write.job);
+        self.bytes_in_flight -= completed.bytes;
+        for write in &completed.writes {
+            self.jobs_in_flight.remove(&write.job);
         }
-        if !self.lasts(&sent) {
-            self.tenure.with(|planner, _| {
-                for write in &sent.writes {
+        if !self.handle_outcome(&completed) {
+            self.tenure.with_planner(|planner, _| {
+                for write in &completed.writes {
                     planner.progress_write_failed(&write.job);
                 }
             });
-            self.node.pause(PAUSE).await;
+            self.node.back_off(RETRY_DELAY).await;
         }
     }
 
     /// Handles the outcome of a write; returns whether it was stored.
-    fn lasts(&mut self, sent: &Sent) -> bool {
-        match &sent.outcome {
+    fn handle_outcome(&mut self, completed: &CompletedWrite) -> bool {
+        match &completed.outcome {
             Ok(Committed::Done(revision)) => {
                 let revisions = &mut self.revisions;
-                self.tenure.with(|planner, _| {
-                    for write in &sent.writes {
+                self.tenure.with_planner(|planner, _| {
+                    for write in &completed.writes {
                         planner.progress_written(&write.job, write.change);
                         revisions.insert(write.job.clone(), *revision);
                     }
                 });
-                self.tenure.written.notify_waiters();
+                self.tenure.write_done.notify_waiters();
                 true
             }
             Ok(Committed::Conflict(items)) => {
-                take_conflict(&self.tenure, &mut self.revisions, &sent.writes, items);
+                handle_conflict(&self.tenure, &mut self.revisions, &completed.writes, items);
                 false
             }
             Ok(Committed::NoLease) | Err(_) => false,
@@ -209,7 +210,7 @@
 
 /// Handles a failed condition: ends the tenure if another planner holds the role, else takes over
 /// the current revisions of the progress keys.
-fn take_conflict(
+fn handle_conflict(
     tenure: &Tenure,
     revisions: &mut Revisions,
     writes: &[ProgressWrite],
@@ -217,9 +218,9 @@
 ) {
     let holds = items
         .iter()
-        .any(|item| item.key == keys::PLANNER && item.revision == tenure.role_revision);
+        .any(|item| item.key == keys::PLANNER_ROLE && item.revision == tenure.role_revision);
     if !holds {
-        tenure.give_up("another planner holds the role in the store");
+        tenure.end("another planner holds the role in the store");
         return;
     }
     for write in writes {
@@ -231,10 +232,10 @@
 }
 
 /// Removes the records of expired jobs.
-async fn forget(node: &Node, tenure: &Tenure, revisions: &mut Revisions) {
-    let expired = tenure.with(Planner::take_expired);
-    for ids in expired.chunks(JOBS_PER_FORGET) {
-        let mut commit = Commit::default().when(keys::PLANNER, tenure.role_revision);
+async fn remove_expired(node: &Node, tenure: &Tenure, revisions: &mut Revisions) {
+    let expired = tenure.with_planner(Planner::take_expired);
+    for ids in expired.chunks(JOBS_PER_REMOVAL) {
+        let mut commit = Commit::default().when(keys::PLANNER_ROLE, tenure.role_revision);
         for id in ids {
             revisions.remove(id);
             commit = commit
@@ -242,7 +243,7 @@
                 .remove(keys::cancel(id))
                 .remove(keys::progress(id));
         }
-        let removed = node.stored("forget", node.store.commit(commit)).await;
+        let removed = node.store_call("forget", node.store.commit(commit)).await;
         log::info!(target: "forget", jobs = ids.len(), done = removed.is_ok(); "removing expired jobs");
     }
 }
