--- a/crates/stairstall-core/src/batch/policy.rs
+++ b/crates/stairstall-core/src/batch/policy.rs
@@ -1,11 +1,12 @@
-//! Everything that decides by a threshold, a weight or a wait, in one value.
+//! Thresholds, weights and time limits of the planner and of the daemon that runs it.
 //!
-//! The defaults are the product's; an experiment changes one of them with
-//! `--policy GROUP.FIELD=VALUE` and compares, see docs/EXPERIMENTS.md. What is
-//! needed for a promise to hold, such as how far a worker's clock may drift,
-//! is a constant where it is used and can't be set here.
+//! The defaults are those of the product. An experiment changes one of them with
+//! `--policy GROUP.FIELD=VALUE` and compares the results, see docs/EXPERIMENTS.md. GROUP and FIELD
+//! are the serialized names, which differ from the Rust names where a field has a `rename`
+//! attribute. Values that a guarantee depends on, such as the maximum drift of a worker's clock,
+//! are constants where they are used and can't be set here.
 //!
-//! Durations are written as whole milliseconds.
+//! Durations are serialized as whole milliseconds.
 //!
 //! ```
 //! use stairstall_core::batch::Policy;
@@ -34,72 +35,72 @@
 };
 
 quick_error! {
-    /// A policy whose values don't go together.
+    /// An inconsistent policy.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum PolicyError {
-        /// A bound is above the one that it has to stay below.
-        Order(low: &'static str, high: &'static str) {
+        /// A lower bound is above its upper bound.
+        BoundsReversed(low: &'static str, high: &'static str) {
             display("{low} must not be more than {high}")
         }
-        /// A value that counts or divides is zero.
-        Zero(name: &'static str) {
+        /// A count or divisor is zero.
+        NotPositive(name: &'static str) {
             display("{name} must be more than zero")
         }
     }
 }
 
-/// How the planner and the daemon round it decide, by mechanism.
+/// All settings of the planner and of the daemon that runs it, grouped by mechanism.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Where tasks are put.
+    /// Placement of tasks on workers.
     pub places: PlacePolicy,
-    /// Who gives way to whom.
+    /// Preemption: which runs are stopped for which.
     pub victims: VictimPolicy,
-    /// Room that is kept free for urgent work.
+    /// Accelerators kept free for urgent work.
     pub headroom: HeadroomPolicy,
-    /// What failures and silence say of a worker.
+    /// How failures, missing answers and crashes count against workers and tasks.
     pub health: HealthPolicy,
-    /// When a run is taken to stand still or to be slow.
+    /// Detection of stalled runs and stragglers.
     pub pace: PacePolicy,
     /// How often workers report.
     pub reports: ReportPolicy,
-    /// How much of its VM the planner's messages may take.
+    /// Share of the planner's VM that messages to and from workers may use.
     pub flow: FlowPolicy,
-    /// Starts and stops that get no answer.
+    /// Retries and time limits of start and stop orders.
     pub orders: OrderPolicy,
-    /// What stays on a worker that leaves.
+    /// Which runs may finish on a worker that is leaving.
     pub leaving: LeavingPolicy,
-    /// What a new planner waits for.
+    /// How long a new planner waits for reports.
     pub takeover: TakeoverPolicy,
-    /// How the adviser is asked.
+    /// Requests to the adviser.
     pub advice: AdvicePolicy,
-    /// How the pace of workers is learnt.
+    /// Learning the pace of workers.
     pub worker_pace: WorkerPacePolicy,
-    /// How run times are learnt.
+    /// Learning run times.
     pub run_times: RunTimePolicy,
-    /// Whose turn it is within a rank.
+    /// Scheduling order within a rank.
     pub turns: TurnPolicy,
-    /// What is refused before it is kept.
+    /// Which jobs are refused on submission.
     pub admission: AdmissionPolicy,
-    /// How a job is accepted, or refused.
+    /// Storing submitted jobs and refusals.
     pub acceptance: AcceptancePolicy,
-    /// How a daemon finds out whether it can have work kept.
+    /// Detection of an unavailable store, and relaying work to peers.
     pub reach: ReachPolicy,
-    /// How the planner's role is taken and kept.
+    /// Acquiring and handing over the planner role.
     pub role: RolePolicy,
-    /// How progress is written.
+    /// Writes of job progress to the store.
     pub writing: WritePolicy,
-    /// How workers are called.
+    /// Calls to workers.
     pub links: LinkPolicy,
 }
 
 impl Policy {
-    /// Checks what must go together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
-    /// Returns the first pair of values that don't.
+    /// Returns the first inconsistency.
     pub fn check(&self) -> Result<(), PolicyError> {
         ordered(
             self.reports.shortest_wait,
--- a/crates/stairstall-core/src/batch/policy/check.rs
+++ b/crates/stairstall-core/src/batch/policy/check.rs
@@ -1,8 +1,8 @@
-//! What the values of a policy are held against.
+//! Checks of policy values.
 
 use super::PolicyError;
 
-/// Checks that one value is not above another.
+/// Checks that `low` is not above `high`.
 pub(super) fn ordered<T: Copy + PartialOrd>(
     low: T,
     high: T,
@@ -11,14 +11,16 @@
     let is_ordered = low <= high;
     is_ordered
         .then_some(())
-        .ok_or(PolicyError::Order(names.0, names.1))
+        .ok_or(PolicyError::BoundsReversed(names.0, names.1))
 }
 
-/// Checks that a value that counts or divides is above zero.
+/// Checks that a count or divisor is above zero.
 pub(super) fn positive<T: Copy + Default + PartialOrd>(
     value: T,
     name: &'static str,
 ) -> Result<(), PolicyError> {
     let is_positive = value > T::default();
-    is_positive.then_some(()).ok_or(PolicyError::Zero(name))
+    is_positive
+        .then_some(())
+        .ok_or(PolicyError::NotPositive(name))
 }
--- a/crates/stairstall-core/src/batch/policy/daemon.rs
+++ b/crates/stairstall-core/src/batch/policy/daemon.rs
@@ -1,31 +1,32 @@
-//! How the daemon round the planner decides.
+//! Settings of the daemon that runs the planner: storing jobs, peers, the planner role and calls to
+//! workers.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How a job is accepted, or refused.
+/// Storing submitted jobs and refusals.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AcceptancePolicy {
-    /// Longest time to settle a write whose answer was lost, while the store serves other
-    /// calls.
+    /// Time limit for settling a write whose answer was lost, while the store serves other calls.
     #[serde(with = "super::millis")]
     pub settle_limit: Duration,
-    /// The same while nothing else is served either.
+    /// Time limit for settling a write whose answer was lost, while the store serves no calls.
     #[serde(with = "super::millis")]
     pub outage_settle_limit: Duration,
-    /// Pause between two tries of a write.
+    /// Pause between two attempts of a write.
     #[serde(rename = "try_again", with = "super::millis")]
     pub retry_pause: Duration,
-    /// How long calls to the store must have failed without a success before callers' calls are
-    /// answered without asking it.
+    /// How long calls to the store must have failed without a success before callers are answered
+    /// without asking the store.
     #[serde(with = "super::millis")]
     pub silent_after: Duration,
-    /// Longest call to another daemon.
+    /// Timeout of a call to another daemon.
     #[serde(with = "super::millis")]
     pub peer_timeout: Duration,
-    /// Part of its caller's time that a call may take, so that the answer still arrives.
+    /// Fraction of the caller's timeout that a call may take, so that the answer still arrives in
+    /// time.
     #[serde(rename = "answer_share")]
     pub response_time_fraction: f64,
 }
@@ -43,46 +44,48 @@
     }
 }
 
-/// How a daemon finds out whether it can have work kept, and says so.
+/// Detection of an unavailable store, and relaying work to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReachPolicy {
-    /// Whether a daemon that is cut off calls itself not ready.
+    /// Whether a daemon that is cut off reports itself as not ready.
     pub says_cut_off: bool,
-    /// Whether peers that the store serves are asked to pass work on, beside the planner.
+    /// Whether work may be relayed to peers that the store serves, rather than to the planner only.
     #[serde(rename = "asks_peers")]
     pub probes_peers: bool,
-    /// How long the store may be without an answered call before it is asked whether it serves:
-    /// with `silent_after`, a silence shows well within a second.
+    /// How long no call to the store must have been answered before the store is pinged. Together
+    /// with `silent_after`, an unresponsive store is noticed well within a second.
     #[serde(with = "super::millis")]
     pub ping_after: Duration,
-    /// How long such a question may be without an answer; above what a store sixty times
-    /// slower than usual takes.
+    /// How long a ping may be unanswered before the store counts as unavailable. Longer than a
+    /// store needs that is sixty times slower than usual.
     #[serde(with = "super::millis")]
     pub silent_after: Duration,
-    /// How often peers are asked while the store does not serve.
+    /// Interval between probes of peers while the store does not serve this daemon.
     #[serde(rename = "ask_interval", with = "super::millis")]
     pub probe_interval: Duration,
-    /// Longest wait for a peer's answer to that.
+    /// Timeout of a probe.
     #[serde(rename = "ask_timeout", with = "super::millis")]
     pub probe_timeout: Duration,
-    /// Peers that are asked at a time.
+    /// Number of peers probed at a time.
     #[serde(rename = "asked_at_once")]
     pub peers_per_probe: u16,
-    /// How long a peer's answer counts.
+    /// How long a peer's answer is relied on.
     #[serde(with = "super::millis")]
     pub fresh_for: Duration,
-    /// Peers that one job is passed on to, in turn.
+    /// Maximum number of peers that one job is relayed to, one after the other, and that the
+    /// planner role is offered to.
     #[serde(rename = "max_helpers")]
     pub max_relays: u16,
-    /// How often a daemon tells the planner that it is there, at the least; with many daemons less
-    /// often.
+    /// Shortest interval at which a daemon introduces itself to the planner. The interval grows
+    /// with the number of daemons.
     #[serde(rename = "introduce_every", with = "super::millis")]
     pub min_introduction_interval: Duration,
-    /// Daemons that tell the planner so in a second, over all: with letter 1's 24 daemons these
-    /// calls take 8 KB a second of the planner's 21.
+    /// Number of introductions per second that the planner receives from all daemons together. With
+    /// 24 daemons these calls take 8 KB/s of the planner's 21 KB/s.
     pub introductions_per_s: u16,
-    /// A daemon that was not heard of for so many times that pause is introduced to others no more.
+    /// A daemon that was not heard of for this many introduction intervals is no longer introduced
+    /// to others.
     #[serde(rename = "forget_after_pauses")]
     pub forget_after_intervals: u16,
 }
@@ -106,25 +109,25 @@
     }
 }
 
-/// How the planner's role is taken and kept.
+/// Acquiring and handing over the planner role.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RolePolicy {
-    /// Longest time by which daemons put off their tries differently.
+    /// Longest random delay before a daemon tries to acquire the role, so that not all try at once.
     #[serde(rename = "spread", with = "super::millis")]
     pub max_jitter: Duration,
-    /// How much longer a VM puts it off that is too weak to plan for many workers.
+    /// Additional delay of a VM that is too weak to plan for many workers.
     #[serde(with = "super::millis")]
     pub weak_delay: Duration,
-    /// Processor, in percent of a core, from which a VM is strong.
+    /// CPU, in percent of a core, from which a VM counts as strong.
     pub strong_cpu_percent: u32,
-    /// Link, in megabits a second, from which a VM is strong.
+    /// Bandwidth, in Mbit/s, from which a VM counts as strong.
     pub strong_link_mbps: u32,
-    /// How long a planner that leaves waits for a successor to take the role from it; it plans
-    /// on until then. None gives the role up at once.
+    /// How long a planner whose daemon is shutting down waits for a successor to acquire the role.
+    /// It continues planning until then. Zero releases the role at once.
     #[serde(with = "super::millis")]
     pub handover_wait: Duration,
-    /// Renewals within one lease.
+    /// Number of renewals within one lease.
     pub renewals_per_lease: u32,
 }
 
@@ -141,23 +144,24 @@
     }
 }
 
-/// How progress is written.
+/// Writes of job progress to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WritePolicy {
-    /// How long ends are gathered before they are written together.
+    /// How long run ends are collected before they are written together.
     #[serde(rename = "gather", with = "super::millis")]
     pub batch_delay: Duration,
-    /// How long a write may be without an answer before the next one is sent beside it.
+    /// How long a write may be unanswered before the next one is sent concurrently.
     #[serde(rename = "overtake_after", with = "super::millis")]
     pub pipeline_after: Duration,
-    /// Most writes that are under way at a time.
+    /// Maximum number of concurrent writes.
     #[serde(rename = "max_under_way")]
     pub max_in_flight: u16,
-    /// Jobs in one write: the store takes 32 entries, two a job and one for the role.
+    /// Maximum number of jobs in one write. The store accepts 32 entries: two per job and one for
+    /// the planner role.
     pub jobs_per_write: u16,
-    /// How long the link may need for all that is being written: well below the time after which
-    /// a start counts as unanswered.
+    /// How long the link may need for all writes in flight. Well below the time after which a start
+    /// counts as unanswered.
     #[serde(with = "super::millis")]
     pub link_window: Duration,
 }
@@ -174,23 +178,23 @@
     }
 }
 
-/// How workers are called.
+/// Calls to workers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkPolicy {
-    /// What a report may take beside the time that the worker was told to wait.
+    /// Timeout of a report in addition to the time that the worker was told to wait.
     #[serde(rename = "hold_timeout", with = "super::millis")]
     pub report_timeout: Duration,
-    /// Pause after a worker did not answer.
+    /// Pause after a worker failed to answer.
     #[serde(rename = "silent_pause", with = "super::millis")]
     pub pause_after_timeout: Duration,
-    /// Longest wait for ends to be written before the worker is asked again.
+    /// How long to wait at most for run ends to be stored before the worker is polled again.
     #[serde(rename = "write_patience", with = "super::millis")]
     pub write_wait: Duration,
-    /// Longest wait for the answer to a start or stop.
+    /// Timeout of a start or stop order.
     #[serde(with = "super::millis")]
     pub order_timeout: Duration,
-    /// How long an order may be without an answer before the next one is sent beside it.
+    /// How long an order may be unanswered before the next one is sent concurrently.
     #[serde(rename = "overtake_after", with = "super::millis")]
     pub pipeline_after: Duration,
 }
--- a/crates/stairstall-core/src/batch/policy/health.rs
+++ b/crates/stairstall-core/src/batch/policy/health.rs
@@ -1,53 +1,54 @@
-//! What failures, silence and crashes say of workers and of tasks.
+//! How failures, missing answers and crashes count against workers and tasks.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What failures and silence say of a worker.
+/// How failures, missing answers and crashes count against workers and tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HealthPolicy {
-    /// A failure within this time of the start is the worker's.
+    /// A run that fails within this time of its start counts as a failure of the worker.
     #[serde(with = "super::millis")]
     pub early_failure: Duration,
-    /// Jobs that fail one after the other at a worker until it is suspect.
+    /// Number of jobs that must fail in succession on a worker before it is suspect.
     pub failed_jobs: u16,
-    /// How long a worker gets nothing new after failures, unless something succeeds there; the
-    /// troubles of the first sites last about as long.
+    /// How long a worker stays suspect after failures, unless a run succeeds there. Worker faults
+    /// on the first sites last about as long.
     #[serde(with = "super::millis")]
     pub suspect_after_failure: Duration,
-    /// The same after it called itself unhealthy.
+    /// How long a worker stays suspect after it reported itself unhealthy.
     #[serde(with = "super::millis")]
     pub suspect_after_refusal: Duration,
-    /// The same after something stood still or was slow there.
+    /// How long a worker stays suspect after a run there stalled or was a straggler.
     #[serde(with = "super::millis")]
     pub suspect_after_stall: Duration,
-    /// Silent workers of a zone that cast doubt on all of it.
+    /// Number of silent workers in a zone from which all its workers count as unresponsive until
+    /// they answer.
     #[serde(rename = "doubtful_zone")]
     pub suspect_zone_workers: u16,
-    /// Whether a worker that reports is not in doubt, though an order got no answer.
+    /// Whether a worker that reports stays responsive although an order to it got no answer.
     #[serde(rename = "reports_count")]
     pub trusts_reports: bool,
-    /// A worker that answered within this time is not in doubt with its zone.
+    /// A worker that answered within this time does not become unresponsive together with its zone.
     #[serde(rename = "heard_lately", with = "super::millis")]
     pub recent_contact: Duration,
-    /// Workers that may crash under a task before it is given up. Two crashes may be chance: each
-    /// takes a seventh of the fleet in the troubles of the first sites.
+    /// Number of crashes of workers running a task at which the task is given up. Two crashes may
+    /// be chance: in incidents on the first sites, each crash affects a seventh of the fleet.
     pub max_crashes: u32,
-    /// The same with those that crashed without an answer to its start: work that crashes its
-    /// workers before they can answer ends there, while a start that came after a crash leaves room
-    /// for four more.
+    /// Same limit including workers that crashed before they answered the task's start. It stops
+    /// work that crashes its workers before they can answer, while a start that was sent after a
+    /// crash leaves four more attempts.
     pub max_losses: u32,
-    /// A run that began within this time before its worker was last heard is put its loss down to,
-    /// rather than those that had worked for longer.
+    /// The loss of a worker is attributed to runs that began within this time before its last
+    /// answer, rather than to runs that had worked for longer.
     #[serde(with = "super::millis")]
     pub fresh_start: Duration,
-    /// How long a worker that was lost must be missing in the directory, and silent, to be taken for
-    /// crashed: those that are well list themselves again within 2 s of the store's return.
+    /// How long a lost worker must be missing from the directory, and silent, to be presumed
+    /// crashed. Healthy workers register again within 2 s of the store's return.
     #[serde(rename = "vanished_after", with = "super::millis")]
     pub presumed_crashed_after: Duration,
-    /// How long a task that lasts must be at work until earlier crashes count no longer.
+    /// How long a long-running task must be at work before its earlier crashes no longer count.
     #[serde(with = "super::millis")]
     pub crashes_forgiven_after: Duration,
 }
--- a/crates/stairstall-core/src/batch/policy/load.rs
+++ b/crates/stairstall-core/src/batch/policy/load.rs
@@ -1,4 +1,4 @@
-//! How the planner learns from the load and decides where there is too little room.
+//! Settings for learning from runs, for the scheduling order and for admission.
 
 use std::time::Duration;
 
@@ -7,61 +7,63 @@
 use super::PolicyError;
 use super::check::{ordered, positive};
 
-/// How the pace of workers is learnt.
+/// Learning the pace of workers: how long work takes there compared with a typical worker.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkerPacePolicy {
-    /// Whether it is learnt and used.
+    /// Whether the pace is learned and used.
     #[serde(rename = "learns")]
     pub enabled: bool,
-    /// How far the tasks of one step lie apart: the deviation of their times, in percent.
+    /// Assumed standard deviation of the run times of one step's tasks, in percent.
     pub task_spread_percent: u16,
-    /// Up to which deviation, in percent, a worker's pace is known.
+    /// Standard deviation, in percent, up to which a worker's pace counts as known.
     pub known_spread_percent: u16,
-    /// How many runs must have told of a worker until its pace is known.
+    /// Number of runs that must contribute before a worker's pace counts as known.
     pub known_runs: u8,
-    /// From how many percent of the usual time a worker counts as slow; as many times faster, as fast.
+    /// Run time, in percent of the typical one, from which a worker counts as slow. A worker that
+    /// is faster by the same factor counts as fast.
     pub slow_percent: u16,
-    /// After how long without a word nothing is known of a worker any more.
+    /// Time without a sample after which nothing is known of a worker's pace any more.
     #[serde(rename = "widens_over", with = "super::millis")]
     pub forgotten_after: Duration,
-    /// From how many percent of the usual time a worker is so slow that urgent work there ends late; as
-    /// many times faster, so fast that others seem so.
+    /// Run time, in percent of the typical one, from which a worker is so slow that urgent work
+    /// ends late there. A worker that is faster by the same factor makes others seem that slow.
     pub late_pace_percent: u16,
-    /// How many of the known workers must differ by that until places are chosen by pace, in percent.
+    /// Share of known workers, in percent, that must differ in pace before placement considers it.
     #[serde(rename = "uneven_percent")]
     pub heterogeneous_percent: u8,
-    /// Up to this many known workers, any that differs by `slow_percent` counts; above it, only those that
-    /// differ by `late_pace_percent`.
+    /// With up to this many known workers, each one that differs by `slow_percent` counts; with
+    /// more, only those that differ by `late_pace_percent`.
     #[serde(rename = "uneven_first")]
     pub small_fleet_workers: u16,
-    /// What a worker that isn't known costs urgent work, in percent of the work.
+    /// Cost of a worker of unknown pace for urgent work, in percent of the work.
     #[serde(rename = "doubt_percent")]
     pub unknown_pace_cost_percent: u16,
-    /// What a worker of usual pace costs work that has time, in percent of the work.
+    /// Cost of a worker of typical pace for work that has slack, in percent of the work.
     #[serde(rename = "spare_percent")]
     pub usual_pace_cost_percent: u16,
-    /// How much longer than expected work must have to its objective to have time, in percent.
+    /// Work has slack if the time to its objective is at least this many percent of its expected
+    /// run time.
     #[serde(rename = "margin_percent")]
     pub slack_percent: u16,
-    /// What ending late costs beside the time, in percent of the work.
+    /// Cost of ending late in addition to the run time, in percent of the work.
     #[serde(rename = "late_percent")]
     pub late_cost_percent: u16,
-    /// From which part of the work on, in percent, a run's progress is learnt from.
+    /// Share of the work, in percent, from which a run's progress contributes to the pace.
     #[serde(rename = "told_percent")]
     pub min_progress_percent: u8,
 }
 
 impl WorkerPacePolicy {
-    /// Checks that its values go together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
-    /// Names the first value that doesn't.
+    /// Returns the first inconsistency.
     pub(super) fn check(&self) -> Result<(), PolicyError> {
-        let whole = 100;
+        let hundred_percent = 100;
         ordered(
-            whole,
+            hundred_percent,
             self.slow_percent,
             ("100", "worker_pace.slow_percent"),
         )?;
@@ -71,13 +73,13 @@
             ("worker_pace.slow_percent", "worker_pace.late_pace_percent"),
         )?;
         ordered(
-            whole,
+            hundred_percent,
             self.slack_percent,
             ("100", "worker_pace.margin_percent"),
         )?;
         ordered(
             u16::from(self.min_progress_percent),
-            whole,
+            hundred_percent,
             ("worker_pace.told_percent", "100"),
         )?;
         positive(self.task_spread_percent, "worker_pace.task_spread_percent")?;
@@ -111,41 +113,43 @@
     }
 }
 
-/// How run times are learnt.
+/// Learning run times.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RunTimePolicy {
-    /// Whether they are learnt and used.
+    /// Whether run times are learned and used.
     #[serde(rename = "learns")]
     pub enabled: bool,
-    /// Whether what still runs, or was stopped, counts beside what ended.
+    /// Whether unfinished and stopped runs count in addition to completed ones.
     pub counts_unfinished: bool,
-    /// Whether what is learnt is written down for the next planner.
+    /// Whether learned run times are stored for the next planner.
     #[serde(rename = "is_kept")]
     pub is_stored: bool,
-    /// Runs of a queue from which its ratio of time to estimate is relied on.
+    /// Number of runs of a queue from which its ratio of run time to estimate is relied on.
     pub known_from: u16,
-    /// The same for the runs of one customer in a queue; 0 tells no customers apart.
+    /// Number of runs of one customer in a queue from which the customer's own ratio is relied on;
+    /// 0 does not distinguish customers.
     pub customer_known_from: u16,
-    /// Most runs that what is seen counts for: with each further one the earlier ones count less.
+    /// Maximum number of runs that the samples count for. Beyond it, each further run reduces the
+    /// weight of earlier ones.
     #[serde(rename = "most_runs")]
     pub max_sample_weight: u16,
-    /// How long until what was seen counts half: callers change their programs by the day.
+    /// Time after which a sample counts half. Callers change their programs from day to day.
     #[serde(with = "super::millis")]
     pub half_life: Duration,
-    /// How often what runs is looked through.
+    /// Interval between scans of the current runs.
     #[serde(rename = "look_interval", with = "super::millis")]
     pub scan_interval: Duration,
-    /// Part of its work, in percent, from which a run's own pace tells its whole time.
+    /// Share of its work, in percent, from which a run's own pace predicts its total run time.
     pub shown_percent: u8,
 }
 
 impl RunTimePolicy {
-    /// Checks that its values go together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
-    /// Names the first value that doesn't.
+    /// Returns the first inconsistency.
     pub(super) fn check(&self) -> Result<(), PolicyError> {
         ordered(
             self.known_from.max(self.customer_known_from),
@@ -173,41 +177,41 @@
     }
 }
 
-/// Whose turn it is within a rank.
+/// Scheduling order within a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TurnPolicy {
-    /// Whether what can still be in time comes before what can't.
+    /// Whether jobs that can still be in time come before those that can't.
     pub by_timeliness: bool,
-    /// How many times its objective's span a result is still of use.
+    /// A result is of use for this many times the span of its objective.
     pub late_bound: u32,
-    /// Whether customers that have had less come first.
+    /// Whether customers with less usage come first.
     #[serde(rename = "is_fair")]
     pub fair_share: bool,
-    /// After what time use counts half.
+    /// Time after which usage counts half.
     #[serde(with = "super::millis")]
     pub usage_half_life: Duration,
-    /// Customers whose use differs by less, as time of the whole fleet, are taken to be alike.
+    /// Customers whose usage differs by less than this time of the whole fleet count as equal.
     #[serde(with = "super::millis")]
     pub usage_step: Duration,
-    /// How often what runs is charged to its customers.
+    /// Interval at which current runs are charged to their customers.
     #[serde(with = "super::millis")]
     pub usage_interval: Duration,
-    /// Most customers of which an account is kept.
+    /// Maximum number of customers whose usage is tracked.
     pub max_customers: u32,
-    /// After how many times its objective's span a job is aged; 0 switches ageing off.
+    /// A job is aged after this many times the span of its objective; 0 disables ageing.
     pub aged_after: u32,
-    /// How often the oldest aged job comes first.
+    /// Interval at which the oldest aged job comes first.
     #[serde(rename = "aged_gap", with = "super::millis")]
     pub aged_interval: Duration,
 }
 
 impl TurnPolicy {
-    /// Checks that its values go together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
-    /// Names the first value that doesn't.
+    /// Returns the first inconsistency.
     pub(super) fn check(&self) -> Result<(), PolicyError> {
         let is_ageing = self.aged_after > 0;
         let aged_after = if is_ageing { self.aged_after } else { u32::MAX };
@@ -239,68 +243,70 @@
     }
 }
 
-/// What is refused before it is kept.
+/// Which jobs are refused on submission.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionPolicy {
-    /// Whether work is refused that no worker can ever hold.
+    /// Whether jobs are refused that no worker can ever run.
     pub refuses_impossible: bool,
-    /// Whether work is refused that would surely start when it is of no use any more.
+    /// Whether jobs are refused that would certainly start too late to be of use.
     #[serde(rename = "refuses_hopeless")]
     pub refuses_too_late: bool,
-    /// How old the planner's word may be where work is refused as impossible.
+    /// Maximum age of the planner's load summary for refusing a job as impossible.
     #[serde(rename = "impossible_fresh_for", with = "super::millis")]
     pub impossible_max_age: Duration,
-    /// How old it may be where work is refused as hopeless.
+    /// Maximum age of the planner's load summary for refusing a job as too late.
     #[serde(rename = "hopeless_fresh_for", with = "super::millis")]
     pub too_late_max_age: Duration,
-    /// How long a planner must have watched the workers before anything is impossible: longer than
-    /// a worker that crashes or is moved stays away.
+    /// How long a planner must have observed the workers before any job is impossible. Longer than
+    /// a worker that crashed or is moved stays away.
     #[serde(rename = "impossible_after", with = "super::millis")]
     pub impossible_min_observed: Duration,
-    /// How long it must have known its load before anything is hopeless.
+    /// How long a planner must have known its load before any job is too late.
     #[serde(rename = "hopeless_after", with = "super::millis")]
     pub too_late_min_observed: Duration,
-    /// How long workers and labels count that are away.
+    /// How long absent workers and their labels still count.
     #[serde(rename = "remembers_workers_for", with = "super::millis")]
     pub worker_retention: Duration,
-    /// After how many times its objective a result is of no use.
+    /// A result is of no use after this many times the span of its objective.
     pub late_objectives: u32,
-    /// Work that is of use for longer than this is never hopeless: forecasts don't reach so far, and
-    /// nobody waits at a connection.
+    /// Jobs whose result is of use for longer than this are never too late: forecasts don't reach
+    /// that far, and no caller waits on a connection for them.
     #[serde(rename = "waits_from", with = "super::millis")]
     pub max_judged_span: Duration,
-    /// How much too late the earliest start must be at least.
+    /// Minimum by which the earliest start must be too late.
     #[serde(with = "super::millis")]
     pub margin: Duration,
-    /// The same in percent of the time for which the result is of use.
+    /// The same minimum in percent of the time for which the result is of use; the longer one
+    /// applies.
     pub margin_percent: u32,
-    /// How often the planner sums up its load, at most.
+    /// Shortest interval at which the planner summarizes its load.
     #[serde(rename = "sums_up_every", with = "super::millis")]
     pub summary_interval: Duration,
-    /// How old a daemon's word on the load becomes before it asks for another one, where there are
-    /// few daemons.
+    /// Age at which a daemon's load summary is refreshed, where there are few daemons.
     #[serde(rename = "asks_every", with = "super::millis")]
     pub min_refresh_interval: Duration,
-    /// The same where there are many.
+    /// Age at which a daemon's load summary is refreshed, where there are many daemons.
     #[serde(rename = "asks_at_least_every", with = "super::millis")]
     pub max_refresh_interval: Duration,
-    /// Shortest time to stay away.
+    /// Shortest delay after which a refused caller is told to retry.
     #[serde(rename = "shortest_return", with = "super::millis")]
     pub min_retry_after: Duration,
-    /// Longest time to stay away.
+    /// Longest delay after which a refused caller is told to retry.
     #[serde(rename = "longest_return", with = "super::millis")]
     pub max_retry_after: Duration,
-    /// Between the returns of two callers that one daemon refused.
+    /// Time between the retries of two callers that the same daemon refused.
     #[serde(rename = "return_spacing", with = "super::millis")]
     pub retry_after_spacing: Duration,
-    /// How long the mark of a refusal lasts at most.
+    /// Longest lifetime of the mark that records a refusal in the store.
     #[serde(rename = "mark_lease", with = "super::millis")]
     pub max_mark_lifetime: Duration,
-    /// How long it lasts at least: longer than the longest return, and than a write may be late.
+    /// Shortest lifetime of that mark. Longer than `max_retry_after`, and than a write may be
+    /// delayed.
     #[serde(rename = "mark_lasts", with = "super::millis")]
     pub min_mark_lifetime: Duration,
-    /// How long after a call began it may take the place of a mark: its caller still waits then.
+    /// How long after its start a call may replace a mark by the accepted job. Its caller is still
+    /// waiting then.
     #[serde(with = "super::millis")]
     pub replaces_within: Duration,
 }
--- a/crates/stairstall-core/src/batch/policy/millis.rs
+++ b/crates/stairstall-core/src/batch/policy/millis.rs
@@ -1,4 +1,4 @@
-//! Durations as whole milliseconds.
+//! Serializes durations as whole milliseconds.
 
 use std::time::Duration;
 
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -1,18 +1,18 @@
-//! How the planner decides.
+//! Settings of the planner.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Where tasks are put.
+/// Placement of tasks on workers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacePolicy {
-    /// Shortest time that a task is taken to need: estimates go down to nothing.
+    /// Shortest assumed run time of a task. Estimates may be zero.
     #[serde(rename = "min_expected", with = "super::millis")]
     pub min_run_time: Duration,
-    /// How long urgent work waits for room near its data before it goes elsewhere: a third of
-    /// the work of most urgent jobs on the first sites.
+    /// How long urgent work waits for free capacity near its data before it is placed elsewhere. A
+    /// third of the work of most urgent jobs on the first sites.
     #[serde(rename = "near_patience_urgent", with = "super::millis")]
     pub locality_wait_urgent: Duration,
     /// How long other work waits for a worker that is not suspect.
@@ -21,31 +21,33 @@
     /// How long urgent work waits for a worker that is not suspect.
     #[serde(rename = "suspect_patience_urgent", with = "super::millis")]
     pub suspect_wait_urgent: Duration,
-    /// How long a gang waits before room is held back for it.
+    /// How long a gang waits before capacity is reserved for it.
     #[serde(rename = "hold_back_after", with = "super::millis")]
     pub reserve_after: Duration,
-    /// Most gangs that room is held back for at a time; none switches it off.
+    /// Maximum number of gangs with a reservation at a time; 0 disables reservations.
     #[serde(rename = "max_held_back")]
     pub max_reservations: u16,
-    /// Whether room that is held back stays so until the gang has it or can't be as timely any more.
+    /// Whether a reservation lasts until the gang starts or can no longer be as timely.
     #[serde(rename = "keeps_dates")]
     pub keeps_reservations: bool,
-    /// Whether smaller work may have room that is held back if it surely ends before the gang's date.
+    /// Whether smaller work may use reserved capacity if it certainly ends before the gang's
+    /// expected start.
     #[serde(rename = "fills_in")]
     pub backfills: bool,
-    /// Part of the work, in percent, after which a run's pace is relied on.
+    /// Share of the work, in percent, from which a run's pace is relied on.
     #[serde(rename = "shown_percent")]
     pub min_progress_percent: u8,
-    /// What a suspect worker costs, in times the work of the task.
+    /// Cost of a suspect worker, as a multiple of the task's work.
     pub suspect_penalty: u16,
-    /// The same for a worker where nothing has ended done, for work that has failed.
+    /// Cost of a worker where no run has succeeded, for a task that has failed, as a multiple of
+    /// its work.
     pub unproven_penalty: u16,
-    /// The same for the worker where the task failed last.
+    /// Cost of the worker where the task failed last, as a multiple of its work.
     pub failed_here_penalty: u16,
-    /// The same for a worker with work of another job under which workers were lost, for work under
-    /// which some were lost too.
+    /// Cost of a worker running another job under which workers were lost, for a task under which
+    /// workers were lost too, as a multiple of its work.
     pub suspect_neighbour_penalty: u16,
-    /// Whether work goes to the zone of its caller where that costs nothing.
+    /// Whether work is placed in its caller's zone where that has no cost.
     pub prefers_callers_zone: bool,
 }
 
@@ -70,34 +72,36 @@
     }
 }
 
-/// Who gives way to whom.
+/// Preemption: which runs are stopped for which.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct VictimPolicy {
-    /// What a stop costs beside the work that is lost, as time of the run's room.
+    /// Cost of a stop in addition to the lost work, as time on the run's resources.
     #[serde(with = "super::millis")]
     pub stop_cost: Duration,
-    /// Whether a customer's claim on its own share lets other urgent work go on for as long as it
-    /// can still begin in time.
+    /// Whether a guaranteed job lets other urgent runs continue for as long as it can still start
+    /// in time.
     pub claims_wait: bool,
-    /// Time that a claim keeps in hand, beside a stop, for orders that have to be repeated.
+    /// Time that a guaranteed job sets aside for repeated orders, in addition to the time of a
+    /// stop.
     #[serde(with = "super::millis")]
     pub claim_margin: Duration,
-    /// What stopping a run with checkpoints costs at most, as time of its work.
+    /// Maximum cost of stopping a run with checkpoints, as time of its work.
     #[serde(with = "super::millis")]
     pub restore_cost: Duration,
-    /// Whether stopping a gang that only then would be late costs its whole work beside.
+    /// Whether preempting a gang that becomes late only by its preemption costs its whole work in
+    /// addition.
     #[serde(rename = "counts_lateness")]
     pub counts_caused_lateness: bool,
-    /// What stopping a gang costs beside for each time that it gave way before, as time of its room.
+    /// Additional cost of preempting a gang for each earlier preemption, as time on its resources.
     #[serde(rename = "again_cost", with = "super::millis")]
     pub repeat_preemption_cost: Duration,
-    /// How many times its own work urgent work may throw away; 0 is any. A claim on a customer's own share
-    /// keeps to that for as long as it can still begin in time.
+    /// How many times its own work urgent work may discard by preemption; 0 sets no limit. The
+    /// limit holds for a guaranteed job for as long as it can still start in time.
     #[serde(rename = "most_lost")]
     pub max_lost_factor: u32,
-    /// How long a gang that gave way waits before it returns to room that urgent work may take back;
-    /// doubled each time.
+    /// How long a preempted gang waits before it restarts on capacity that urgent work may take
+    /// back. Doubles with each preemption.
     #[serde(rename = "returns_after", with = "super::millis")]
     pub restart_backoff: Duration,
 }
@@ -117,29 +121,30 @@
     }
 }
 
-/// Room that is kept free for urgent work, so that it need not make others give way.
+/// Accelerators kept free for urgent work, so that it need not preempt other runs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HeadroomPolicy {
-    /// How long an arrival counts for the demand to come.
+    /// How long an arrival counts towards expected demand.
     #[serde(with = "super::millis")]
     pub window: Duration,
-    /// Seconds of urgent demand that are kept free.
+    /// Seconds of urgent demand for which accelerators are kept free.
     pub kept_seconds: f64,
-    /// Part of the time for which a gang may wait, from the end, in which less and less is kept
-    /// free from it: a wide gang would never start otherwise. 0 switches that off.
+    /// Final fraction of the time for which a gang may wait, over which the headroom withheld from
+    /// it shrinks to zero. A wide gang would never start otherwise. 0 disables this.
     pub yields_from: f64,
-    /// Seconds of urgent demand that are kept free beside, for each second that a stop takes.
+    /// Additional seconds of urgent demand for each second that a stop takes.
     pub kept_per_stop: f64,
-    /// Whether the room kept follows demand that is seen to rise or to fall.
+    /// Whether headroom follows rising or falling demand.
     pub follows_change: bool,
-    /// Arrivals within this time are compared with those before.
+    /// Arrivals within this time are compared with earlier ones.
     #[serde(with = "super::millis")]
     pub recent: Duration,
-    /// Standard deviations of a random count from which a change counts as one.
+    /// Standard deviations of a random count from which a difference counts as a change.
     #[serde(rename = "sure_from")]
     pub change_threshold: f64,
-    /// Whether room is kept for a job no longer than it holds it, where that is known.
+    /// Whether headroom for a job is kept no longer than the job holds its accelerators, where that
+    /// is known.
     pub bounded_by_run_time: bool,
 }
 
@@ -158,36 +163,37 @@
     }
 }
 
-/// When a run is taken to stand still or to be slow, and is moved.
+/// Detection of stalled runs and stragglers, which are moved to other workers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PacePolicy {
-    /// How often runs are looked through.
+    /// Shortest interval between two scans of the runs.
     #[serde(with = "super::millis")]
     pub interval: Duration,
-    /// Most moves of one task, or of one gang; none switches them off.
+    /// Maximum number of moves of one task or gang; 0 disables moves.
     pub max_moves: u8,
-    /// Shortest time without any progress since the start that counts as standing still.
+    /// Shortest time without any progress since the start that counts as a stall.
     #[serde(rename = "still_from_start", with = "super::millis")]
     pub stall_from_start: Duration,
-    /// Shortest time without further progress that counts as standing still.
+    /// Shortest time without further progress that counts as a stall.
     #[serde(rename = "still_later", with = "super::millis")]
     pub stall_later: Duration,
-    /// Part of the expected time, as a divisor, that counts as standing still.
+    /// Fraction of the expected run time that counts as a stall, as a divisor.
     #[serde(rename = "still_divisor")]
     pub stall_divisor: u64,
-    /// The shortest time where nothing shows that the whole gang works.
+    /// Shortest time without progress that counts as a stall where it is unknown whether the whole
+    /// gang works.
     #[serde(rename = "unsure_still", with = "super::millis")]
     pub unconfirmed_stall: Duration,
-    /// The part of the expected time there, as a divisor.
+    /// Fraction of the expected run time that counts as a stall there, as a divisor.
     #[serde(rename = "unsure_still_divisor")]
     pub unconfirmed_stall_divisor: u64,
-    /// Shortest work from which a pace is taken for one.
+    /// Shortest working time from which a run's pace is judged.
     #[serde(rename = "judged_after", with = "super::millis")]
     pub min_judged_work: Duration,
-    /// How many times as long as is typical a run must take to be slow.
+    /// Multiple of the typical run time above which a run is a straggler.
     pub slow_factor: u64,
-    /// What a move must save, as a divisor of what it costs.
+    /// What a move must save beyond its cost, as a divisor of the cost.
     pub gain_divisor: u64,
 }
 
@@ -208,18 +214,18 @@
     }
 }
 
-/// How often workers report: the oftener, the sooner trouble shows and the longer leases
-/// outlast a cut; each report is paid for.
+/// How often workers report. Frequent reports show trouble sooner, and leases outlast a longer loss
+/// of contact; but each report costs bandwidth and CPU.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReportPolicy {
-    /// Reports a second, over all workers, that are aimed at.
+    /// Target number of reports per second over all workers.
     #[serde(rename = "looks_per_s")]
     pub reports_per_s: u32,
-    /// Shortest time that a worker waits for an end before it reports.
+    /// Shortest time that a worker waits for a run to end before it reports.
     #[serde(with = "super::millis")]
     pub shortest_wait: Duration,
-    /// Longest time that a worker waits for an end before it reports.
+    /// Longest time that a worker waits for a run to end before it reports.
     #[serde(with = "super::millis")]
     pub longest_wait: Duration,
 }
@@ -234,33 +240,33 @@
     }
 }
 
-/// How much of the planner's own VM its messages to and from workers may take.
+/// Share of the planner's own VM that messages to and from workers may use.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FlowPolicy {
-    /// Part of the link that reports may take, in percent; the rest carries orders, the list of
-    /// workers and callers.
+    /// Share of the bandwidth for reports, in percent. The rest is for orders, the list of workers
+    /// and callers.
     pub reports_percent: u32,
-    /// Part of the processor that reports, and as much again that starts, may take, in percent.
+    /// Share of the CPU for reports, in percent. Starts may use as much again.
     pub processor_percent: u32,
-    /// Processor time that a call to a worker is taken to need, in microseconds. All daemons
-    /// together need 50 s for 125,000 reports and 44,000 starts with everything beside them.
+    /// Assumed CPU time of a call to a worker, in microseconds. All daemons together take 50 s for
+    /// 125,000 reports and 44,000 starts including all other work.
     pub message_us: u32,
-    /// What a call takes on the link beside its body, in bytes: heads and packets.
+    /// Assumed bytes of a call on the link in addition to its body: headers and packets.
     pub message_bytes: u32,
-    /// What a start takes on the link, in bytes.
+    /// Assumed bytes of a start order on the link.
     pub start_bytes: u32,
-    /// How long the link may need for all starts that are under way: well below the time after
-    /// which a start counts as unanswered.
+    /// How long the link may need for all starts in flight. Well below the time after which a start
+    /// counts as unanswered.
     #[serde(with = "super::millis")]
     pub start_window: Duration,
-    /// Time between two passes over the waiting work, in microseconds for each worker: a pass
+    /// Time between two planning passes over the waiting work, in microseconds per worker. A pass
     /// takes a tenth of that or less.
     pub pass_gap_us: u32,
 }
 
 impl FlowPolicy {
-    /// Returns the time between two passes, in whole milliseconds.
+    /// Returns the time between two planning passes, in whole milliseconds.
     #[must_use]
     pub fn pass_interval(&self, workers: usize) -> Duration {
         let us = u64::from(self.pass_gap_us).saturating_mul(workers as u64);
@@ -282,25 +288,25 @@
     }
 }
 
-/// Starts and stops that get no answer.
+/// Retries and time limits of start and stop orders.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OrderPolicy {
-    /// Lease that a start brings; reports extend it.
+    /// Lease that a start order carries. Reports extend it.
     #[serde(with = "super::millis")]
     pub start_lease: Duration,
-    /// Starts of one run that are sent before it is given up.
+    /// Maximum number of start orders sent for one run before it is given up.
     pub max_tries: u8,
     /// How long after a stop should have ended it is sent again.
     #[serde(rename = "stop_again", with = "super::millis")]
     pub stop_retry_after: Duration,
-    /// How long a run whose task is done may take to end by itself.
+    /// How long a run whose task is already done may take to end by itself.
     #[serde(rename = "unwanted_patience", with = "super::millis")]
     pub unwanted_grace: Duration,
-    /// How much longer than a stop a planned run waits for its room.
+    /// How much longer than a stop takes a planned run waits for its resources.
     #[serde(with = "super::millis")]
     pub planned_margin: Duration,
-    /// How long after it was sent an unanswered start may still be carried out.
+    /// How long after it was sent an unanswered start order may still be carried out.
     #[serde(with = "super::millis")]
     pub late_start: Duration,
 }
@@ -318,19 +324,20 @@
     }
 }
 
-/// What stays on a worker that leaves.
+/// Which runs may finish on a worker that is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeavingPolicy {
-    /// Runs that are nearly done stay to the end, in percent of their work.
+    /// Share of its work, in percent, from which a run stays to the end.
     pub nearly_done: u8,
-    /// What must be left once a run should have ended there, at most what a stop takes: a run that
-    /// ends needs no stop, and a notice may be hardly longer than one. 0.1 s instead of a stop's
-    /// 0.9 s earns 0.009 ± 0.003 more of what a day owes (20 days played with both).
+    /// Time that must be left on the worker after a run's expected end, at most the time of a stop.
+    /// A run that ends needs no stop, and the notice may hardly be longer than one. 0.1 s instead
+    /// of 0.9 s, the time of a stop, earns 0.009 ± 0.003 more of the amount due in a day (20
+    /// simulated days with each).
     #[serde(with = "super::millis")]
     pub end_margin: Duration,
-    /// How much longer than the worker has left such a run may need: workers go a little later
-    /// than they say.
+    /// How much longer than the worker's remaining time a nearly done run may need. Workers leave a
+    /// little later than they announce.
     #[serde(with = "super::millis")]
     pub late_margin: Duration,
 }
@@ -345,14 +352,14 @@
     }
 }
 
-/// What a new planner waits for before it places anything.
+/// How long a new planner waits for reports before it places anything.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TakeoverPolicy {
-    /// How long it lets workers report, at most; none switches the wait off.
+    /// Longest time to wait for reports; 0 disables the wait.
     #[serde(rename = "reports_patience", with = "super::millis")]
     pub reports_wait: Duration,
-    /// How long no further worker must have reported for the first time before it goes on.
+    /// The wait ends once no further worker has reported for the first time within this time.
     #[serde(with = "super::millis")]
     pub reports_quiet: Duration,
 }
@@ -366,19 +373,19 @@
     }
 }
 
-/// How the adviser is asked.
+/// Requests to the adviser.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdvicePolicy {
-    /// Workers that one question names.
+    /// Number of workers named in one request.
     pub workers_at_once: u16,
-    /// A ticket that is over within this time is not used.
+    /// A ticket that expires within this time is not used.
     #[serde(with = "super::millis")]
     pub ticket_margin: Duration,
-    /// How long an answer is waited for.
+    /// Timeout of a request.
     #[serde(rename = "answer_patience", with = "super::millis")]
     pub answer_timeout: Duration,
-    /// Pause before the adviser is asked again after a failure.
+    /// Pause after a failure before the adviser is asked again.
     #[serde(rename = "ask_again", with = "super::millis")]
     pub retry_pause: Duration,
 }
