--- a/crates/stairstall-core/src/batch/admission.rs
+++ b/crates/stairstall-core/src/batch/admission.rs
@@ -1,7 +1,7 @@
-//! Whether a job is taken, or refused at once because waiting would be in vain.
+//! Decides whether a job is accepted, or refused at once because waiting would be in vain.
 //!
-//! The load it answers: more is asked than there is room for, for longer than results are wanted;
-//! and jobs that no worker can run at all.
+//! Refusals answer two kinds of load: more work than there is capacity for, for longer than results
+//! are of use; and jobs that no worker can ever run.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 /// Why a job is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AdmissionRefusalReason {
-    /// A task is larger than every worker, or a gang than all of them.
+    /// A task is larger than every worker, or a gang is larger than all workers together.
     TooLarge,
-    /// No worker has a label that a task must have.
+    /// No worker has a label that a task requires.
     NoSuchLabel,
-    /// It would surely start too late to be of use.
+    /// The job would certainly start too late to be of use.
     TooLate,
 }
 
 impl AdmissionRefusalReason {
-    /// Returns the word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -30,39 +30,40 @@
     }
 }
 
-/// A refusal, and the figures that it was decided by.
+/// A refusal, and the figures that it is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRefusal {
-    /// Why.
+    /// Why the job is refused.
     pub reason: AdmissionRefusalReason,
-    /// When it would start; none where it never could.
+    /// When the job would start; none where it never could.
     pub forecast: Option<StartForecast>,
-    /// When it would have to start to be of any use.
+    /// Time from now until the latest start at which the job is of use.
     pub latest_start: Duration,
-    /// How old the word is that this is decided by.
+    /// Age of the load summary that the refusal is based on.
     pub age: Duration,
 }
 
-/// What is decided of a job that is handed in.
+/// Decision on a submitted job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is taken.
+    /// The job is accepted.
     Accept,
-    /// It is refused.
+    /// The job is refused.
     Refuse(AdmissionRefusal),
 }
 
-/// The last word on the load, and how old it is.
+/// The planner's latest load summary, and its age.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownLoad<'a> {
-    /// What the planner said.
+    /// The load summary.
     pub summary: &'a LoadSummary,
-    /// How long ago, at most.
+    /// Maximum age of the summary.
     pub age: Duration,
 }
 
 impl Admission {
-    /// Decides by what is known of the load at this moment.
+    /// Decides on a job by the load known at this moment. Without a load summary, every job is
+    /// accepted.
     #[must_use]
     pub fn decide(
         job: &AcceptedJob,
@@ -72,12 +73,14 @@
         let Some(load) = load else {
             return Self::Accept;
         };
-        let refusal = impossible(job, load, policy).or_else(|| hopeless(job, load, policy));
+        let refusal =
+            refuse_impossible(job, load, policy).or_else(|| refuse_too_late(job, load, policy));
         refusal.map_or(Self::Accept, Self::Refuse)
     }
 }
 
-fn impossible(
+/// Returns a refusal if no worker can ever run the job.
+fn refuse_impossible(
     job: &AcceptedJob,
     load: KnownLoad<'_>,
     policy: &AdmissionPolicy,
@@ -92,7 +95,7 @@
     if !is_steady(job, load.summary, policy) {
         return None;
     }
-    let reason = steps.find_map(|step| obstacle(step, job, load.summary))?;
+    let reason = steps.find_map(|step| impossible_reason(step, job, load.summary))?;
     Some(AdmissionRefusal {
         reason,
         forecast: None,
@@ -101,17 +104,18 @@
     })
 }
 
-/// Tells whether the workers of a job's service are known, and no more of them are just coming.
+/// Tells whether the workers of a job's service are known, and no further ones have appeared
+/// recently.
 fn is_steady(job: &AcceptedJob, summary: &LoadSummary, policy: &AdmissionPolicy) -> bool {
     let kinds = summary.workers.iter();
     let kinds = kinds.filter(|kind| kind.service == job.queue.service);
     let is_steady = |ms| Duration::from_millis(ms) >= policy.impossible_min_observed;
-    let least = kinds.map(|kind| kind.steady_ms).min();
-    least.is_some_and(is_steady)
+    let shortest = kinds.map(|kind| kind.steady_ms).min();
+    shortest.is_some_and(is_steady)
 }
 
-/// Returns why a step can never run, where that is so.
-fn obstacle(
+/// Returns why a step can never run, or none where it can.
+fn impossible_reason(
     step: &StepSpec,
     job: &AcceptedJob,
     summary: &LoadSummary,
@@ -123,14 +127,14 @@
             .iter()
             .filter(|kind| kind.service == *service)
     };
-    let most = step.max_per_worker.unwrap_or(u32::MAX);
-    let room = step.reserved_resources();
-    let places = kinds().fold(0, |sum: u32, kind| {
-        let each = room.copies_in(&kind.capacity, most);
-        sum.saturating_add(kind.count.saturating_mul(each))
+    let max_per_worker = step.max_per_worker.unwrap_or(u32::MAX);
+    let reserved = step.reserved_resources();
+    let copies = kinds().fold(0, |sum: u32, kind| {
+        let per_worker = reserved.copies_in(&kind.capacity, max_per_worker);
+        sum.saturating_add(kind.count.saturating_mul(per_worker))
     });
     let needed = if step.gang { step.count } else { 1 };
-    if places < needed {
+    if copies < needed {
         return Some(AdmissionRefusalReason::TooLarge);
     }
     let label = step.required_label.as_ref()?;
@@ -138,16 +142,17 @@
     (!labels.contains(label)).then_some(AdmissionRefusalReason::NoSuchLabel)
 }
 
-fn hopeless(
+/// Returns a refusal if the job would certainly start too late to be of use.
+fn refuse_too_late(
     job: &AcceptedJob,
     load: KnownLoad<'_>,
     policy: &AdmissionPolicy,
 ) -> Option<AdmissionRefusal> {
     let observed = Duration::from_millis(load.summary.observed_ms);
     let is_known = load.age <= policy.too_late_max_age && observed >= policy.too_late_min_observed;
-    let lasts = job.spec.steps.iter().any(|step| step.long_running);
-    // Urgent work may be its customer's own share, of which the summary says nothing.
-    let is_judged = job.queue.priority > 0 && job.spec.schedule.is_none() && !lasts;
+    let long_running = job.spec.steps.iter().any(|step| step.long_running);
+    // Urgent work may be within its customer's guaranteed share, which the summary excludes.
+    let is_judged = job.queue.priority > 0 && job.spec.schedule.is_none() && !long_running;
     if !policy.refuses_too_late || !is_known || !is_judged {
         return None;
     }
@@ -156,28 +161,27 @@
         return None;
     }
     let margin = policy.margin.max(late_bound * policy.margin_percent / 100);
-    first_steps(job).find_map(|(step, chain)| {
-        let typical = load.summary.typical_run_time(&job.queue.name, chain);
-        // Where the work alone takes longer than that, coming back would not help.
-        let start_by = late_bound.checked_sub(typical)?;
+    first_steps(job).find_map(|(step, path)| {
+        let typical = load.summary.typical_run_time(&job.queue.name, path);
+        // If the work alone takes longer than that, submitting it again later would not help.
+        let latest_start = late_bound.checked_sub(typical)?;
         let forecast = load
             .summary
             .forecast(&ResourceRequest::for_step(step, job))?;
-        let is_hopeless = forecast.earliest.saturating_sub(load.age) > start_by + margin;
-        is_hopeless.then_some(AdmissionRefusal {
+        let is_too_late = forecast.earliest.saturating_sub(load.age) > latest_start + margin;
+        is_too_late.then_some(AdmissionRefusal {
             reason: AdmissionRefusalReason::TooLate,
             forecast: Some(forecast),
-            latest_start: start_by,
+            latest_start,
             age: load.age,
         })
     })
 }
 
-/// Returns the steps that wait for no others, each with the longest chain of estimates that begins
-/// with it.
+/// Returns the steps without dependencies, each with the critical path that begins with it.
 fn first_steps(job: &AcceptedJob) -> impl Iterator<Item = (&StepSpec, Duration)> {
-    let chains = job.spec.critical_paths_ms(|step| step.estimate_ms);
-    let steps = job.spec.steps.iter().zip(chains);
+    let paths = job.spec.critical_paths_ms(|step| step.estimate_ms);
+    let steps = job.spec.steps.iter().zip(paths);
     let first = steps.filter(|(step, _)| step.depends_on.is_empty());
-    first.map(|(step, chain_ms)| (step, Duration::from_millis(chain_ms)))
+    first.map(|(step, path_ms)| (step, Duration::from_millis(path_ms)))
 }
