--- a/crates/stairstall-core/src/batch/catalog.rs
+++ b/crates/stairstall-core/src/batch/catalog.rs
@@ -4,22 +4,22 @@
 
 use crate::{CustomerId, ServiceId};
 
-/// How the jobs handed in on one route are run.
+/// How jobs submitted on one route are run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// The route's name.
+    /// Name of the route.
     pub name: String,
-    /// Whose workers run the tasks.
+    /// The service whose workers run the tasks.
     pub service: ServiceId,
-    /// 0 comes first and may take the place of others.
+    /// Priority: 0 comes first and may preempt others.
     pub priority: u8,
-    /// How many runs of a task, or of a gang, may fail.
+    /// Number of failed runs of a task, or of a gang, at which its job fails.
     pub attempts: u32,
-    /// The objective as a multiple of the work.
+    /// Objective as a multiple of the work.
     pub stretch: f64,
-    /// Added to the objective, in milliseconds.
+    /// Time added to the objective, in milliseconds.
     pub target_ms: u64,
-    /// How long an adviser's ticket holds, in milliseconds, where starts need one.
+    /// How long an adviser's ticket is valid, in milliseconds, where starts need one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket_valid_ms: Option<u64>,
 }
@@ -27,55 +27,55 @@
 /// Which calls belong to a queue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Host, in lower case.
+    /// Host name in lower case.
     pub host: String,
-    /// Start of the path.
+    /// Prefix of the path.
     pub path_prefix: String,
     /// Whether calls need no key.
     pub public: bool,
-    /// Longest time for an answer, in milliseconds.
+    /// Longest time until a call is answered, in milliseconds.
     pub timeout_ms: u64,
-    /// The queue.
+    /// Queue of the jobs submitted on this route.
     pub queue: Queue,
 }
 
 /// A customer with its keys and its guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerId,
-    /// Keys that its calls may carry.
+    /// Keys that the customer's calls may carry.
     pub keys: BTreeSet<String>,
-    /// Accelerators that are its own for jobs of priority 0 at any time.
+    /// Number of accelerators guaranteed at any time to the customer's jobs of priority 0.
     pub guaranteed: u32,
 }
 
-/// What a key may do on a route.
+/// Who may use a route with a given key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// The call is this customer's.
+    /// The call belongs to this customer.
     Customer(CustomerId),
-    /// The route is public and no known key was given.
+    /// The route is public, and no known key was given.
     Anonymous,
-    /// There is no such key.
+    /// The route is not public, and no known key was given.
     Unknown,
 }
 
-/// The operators' configuration of queues and customers, whole and of one version.
+/// The operators' configuration of routes and customers: complete, and of one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// The routes.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// The customers.
+    /// All customers.
     pub customers: Vec<Customer>,
     /// Longest body of a call, in bytes.
     pub max_body_bytes: usize,
 }
 
 impl Catalog {
-    /// Returns the route with the longest prefix that starts `path` on `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
@@ -85,7 +85,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Returns the queue of that name.
+    /// Returns the queue with this name.
     #[must_use]
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.routes
@@ -94,7 +94,7 @@
             .find(|queue| queue.name == name)
     }
 
-    /// Says whose call it is that carries `key`.
+    /// Returns who may use `route` with `key`.
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         let owner = key.and_then(|key| self.customers.iter().find(|c| c.keys.contains(key)));
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns the accelerators that are a customer's own.
+    /// Returns the number of accelerators guaranteed to a customer; 0 for an unknown one.
     #[must_use]
     pub fn guaranteed(&self, customer: &CustomerId) -> u32 {
         self.customers
--- a/crates/stairstall-core/src/batch/decision.rs
+++ b/crates/stairstall-core/src/batch/decision.rs
@@ -3,14 +3,14 @@
 use super::TaskKey;
 use crate::{JobId, WorkerId, ZoneId};
 
-/// What the planner decided.
+/// Kind of a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DecisionKind {
-    /// A task was given a place.
+    /// A task was placed on a worker.
     Place,
-    /// A task was told to start.
+    /// A task was ordered to start.
     Start,
-    /// The first task of a job began.
+    /// The first task of a job started.
     Begin,
     /// A run is stopped.
     Stop,
@@ -18,18 +18,18 @@
     End,
     /// A run was lost with its worker.
     Loss,
-    /// A run that another planner started was taken over.
+    /// A run that another planner had started was adopted.
     Adopt,
     /// A job ended.
     Outcome,
-    /// A worker gets nothing new for a while, or again.
+    /// A worker gets no new work for a while, or gets it again.
     Worker,
-    /// Nothing starts in an availability zone any more, or again.
+    /// An availability zone gets no new work, or gets it again.
     Zone,
 }
 
 impl DecisionKind {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -47,29 +47,29 @@
     }
 }
 
-/// One decision with what decided it, for the log and for explanations.
+/// A decision of the planner with its reason, for the log and for explanations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
     /// What was decided.
     pub kind: DecisionKind,
-    /// The job, where it touches one.
+    /// The job, where the decision concerns one.
     pub job: Option<JobId>,
-    /// The task, where it touches one.
+    /// The task, where the decision concerns one.
     pub task: Option<TaskKey>,
-    /// The run, where it touches one.
+    /// Number of the run; 0 where the decision concerns none.
     pub run: u32,
-    /// The worker, where it touches one.
+    /// The worker, where the decision concerns one.
     pub worker: Option<WorkerId>,
-    /// The availability zone, where it touches a whole one.
+    /// The availability zone, where the decision concerns a whole one.
     pub zone: Option<ZoneId>,
-    /// Why, in words.
+    /// The reason, in words.
     pub why: String,
-    /// How long the job had waited, where its first task began.
+    /// How long the job had waited when its first task started.
     pub waited: Option<Duration>,
 }
 
 impl Decision {
-    /// Creates a decision that touches nothing yet.
+    /// Creates a decision that concerns nothing yet.
     fn new(kind: DecisionKind, why: impl Into<String>) -> Self {
         Self {
             kind,
@@ -110,12 +110,13 @@
         }
     }
 
-    /// Says that a job's first task began, so long after the planner heard of the job.
+    /// Creates the decision that a job's first task started, `waited` after the planner learned of
+    /// the job.
     #[must_use]
-    pub fn of_first_start(job: &JobId, after: Duration) -> Self {
-        let why = format!("its first task began after {} ms", after.as_millis());
+    pub fn of_first_start(job: &JobId, waited: Duration) -> Self {
+        let why = format!("first task started after {} ms", waited.as_millis());
         Self {
-            waited: Some(after),
+            waited: Some(waited),
             ..Self::of_job(DecisionKind::Begin, job, why)
         }
     }
--- a/crates/stairstall-core/src/batch/resources.rs
+++ b/crates/stairstall-core/src/batch/resources.rs
@@ -1,27 +1,27 @@
 use serde::{Deserialize, Serialize};
 
-/// How many processor cores an accelerator weighs when lost work is compared.
+/// Weight of an accelerator, in CPU cores, where lost work is compared.
 const CORES_PER_ACCELERATOR: u64 = 8;
 const MILLIS_PER_CORE: u64 = 1000;
 
-/// What a task takes of a worker, or what a worker has.
+/// A quantity of resources: what a task needs or what a worker has.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Resources {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     #[serde(default)]
     pub cpu_millis: u32,
     /// Memory, in megabytes.
     #[serde(default)]
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Creates an amount.
+    /// Creates a quantity from CPU in thousandths of a core, memory in megabytes and accelerators.
     #[must_use]
     pub const fn new(cpu_millis: u32, memory_mb: u32, accelerators: u32) -> Self {
         Self {
@@ -31,25 +31,25 @@
         }
     }
 
-    /// Tells whether this fits into `room`.
+    /// Tells whether these resources fit into `capacity`.
     #[must_use]
-    pub const fn fits_in(&self, room: &Self) -> bool {
-        self.cpu_millis <= room.cpu_millis
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    pub const fn fits_in(&self, capacity: &Self) -> bool {
+        self.cpu_millis <= capacity.cpu_millis
+            && self.memory_mb <= capacity.memory_mb
+            && self.accelerators <= capacity.accelerators
     }
 
-    /// Returns how many of this fit into `room` side by side, at most `most`.
+    /// Returns how many copies of these resources fit into `capacity` at a time, at most `limit`.
     #[must_use]
-    pub fn copies_in(&self, room: &Self, most: u32) -> u32 {
-        let share = |need: u32, has: u32| has.checked_div(need).unwrap_or(most);
-        share(self.cpu_millis, room.cpu_millis)
-            .min(share(self.memory_mb, room.memory_mb))
-            .min(share(self.accelerators, room.accelerators))
-            .min(most)
+    pub fn copies_in(&self, capacity: &Self, limit: u32) -> u32 {
+        let copies = |need: u32, has: u32| has.checked_div(need).unwrap_or(limit);
+        copies(self.cpu_millis, capacity.cpu_millis)
+            .min(copies(self.memory_mb, capacity.memory_mb))
+            .min(copies(self.accelerators, capacity.accelerators))
+            .min(limit)
     }
 
-    /// Returns the sum.
+    /// Returns the sum of each resource, saturating at the maximum value.
     #[must_use]
     pub const fn saturating_add(&self, other: &Self) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the difference, with nothing below zero.
+    /// Returns the difference of each resource, saturating at zero.
     #[must_use]
     pub const fn saturating_sub(&self, other: &Self) -> Self {
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the larger amount of each resource.
+    /// Returns the maximum of each resource.
     #[must_use]
     pub fn component_max(&self, other: &Self) -> Self {
         Self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the weight of holding this for a time, in thousandths of a core.
+    /// Returns the weight of holding these resources for some time, in thousandths of a core.
     #[must_use]
     pub const fn weight(&self) -> u64 {
         self.cpu_millis as u64 + self.accelerators as u64 * CORES_PER_ACCELERATOR * MILLIS_PER_CORE
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -3,83 +3,83 @@
 
 use super::Resources;
 
-/// Longest payload, in bytes.
+/// Maximum length of a payload, in bytes.
 const MAX_PAYLOAD_BYTES: usize = 4_000;
-/// Most steps of a job.
+/// Maximum number of steps of a job.
 const MAX_STEPS: usize = 100;
-/// Most tasks of a job over all its steps and times.
+/// Maximum number of tasks of a job over all its steps and occurrences.
 const MAX_TASKS: u64 = 100_000;
 
 quick_error! {
-    /// A job that can't be accepted.
+    /// Why a job specification is invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SpecError {
         /// The payload is too long.
-        Payload(bytes: usize) {
+        PayloadTooLong(bytes: usize) {
             display("the payload has at most {MAX_PAYLOAD_BYTES} bytes, this one has {bytes}")
         }
-        /// There are no steps, or too many.
-        Steps(count: usize) {
+        /// The job has no steps, or too many.
+        StepCount(count: usize) {
             display("a job has 1 to {MAX_STEPS} steps, this one has {count}")
         }
         /// A step has no tasks.
-        Empty(step: usize) {
+        EmptyStep(step: usize) {
             display("step {step} has no tasks")
         }
-        /// There are too many tasks.
-        Tasks(count: u64) {
-            display("a job has at most {MAX_TASKS} tasks over all its times, this one has {count}")
+        /// The job has too many tasks.
+        TooManyTasks(count: u64) {
+            display("a job has at most {MAX_TASKS} tasks in all occurrences, this one has {count}")
         }
-        /// A step depends on one that is not before it.
-        Dependence(step: usize, on: u32) {
+        /// A step depends on itself or on a later one.
+        InvalidDependency(step: usize, on: u32) {
             display("step {step} depends on {on}, which is not an earlier step")
         }
-        /// A schedule has no times or no interval.
-        Schedule {
-            display("a schedule has one or more times, and an interval over 0 where more than one")
+        /// A schedule has no occurrences, or several without an interval.
+        InvalidSchedule {
+            display("a schedule has one or more occurrences, and an interval above 0 if several")
         }
     }
 }
 
-/// Like tasks that run side by side.
+/// A step of a job: a number of similar tasks that can run concurrently.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What each task takes.
+    /// Resources that each task needs.
     pub needs: Resources,
-    /// Rough guess of how long a task takes, in milliseconds; 0 where there is none.
+    /// Rough estimate of a task's run time, in milliseconds; 0 where there is none.
     #[serde(default)]
     pub estimate_ms: u64,
-    /// Earlier steps, from 0, whose tasks must all be done first.
+    /// Indices, from 0, of earlier steps whose tasks must all be done first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<u32>,
-    /// Whether the tasks work only together.
+    /// Whether the tasks are a gang, which makes progress only while all of them run.
     #[serde(default, skip_serializing_if = "is_false")]
     pub gang: bool,
-    /// Whether they are much slower on more than one rack.
+    /// Whether the tasks are much slower if they are spread over several racks.
     #[serde(default, skip_serializing_if = "is_false")]
     pub same_rack: bool,
-    /// Whether the tasks keep checkpoints.
+    /// Whether the tasks write checkpoints.
     #[serde(default, skip_serializing_if = "is_false")]
     pub checkpoints: bool,
-    /// A label that the worker must have.
+    /// Label that a worker must have.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub required_label: Option<String>,
-    /// The rack where the data lies; the tasks are much slower elsewhere.
+    /// Rack where the data is; the tasks are much slower elsewhere.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub near_rack: Option<String>,
-    /// Most tasks of the step on one worker.
+    /// Maximum number of the step's tasks on one worker.
     #[serde(rename = "spread", default, skip_serializing_if = "Option::is_none")]
     pub max_per_worker: Option<u32>,
     /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasts", default, skip_serializing_if = "is_false")]
     pub long_running: bool,
-    /// What the tail of its answers is to stay under, in milliseconds, where it serves users of
-    /// its own; 0 where it does not.
+    /// Target for the tail latency of the tasks' answers, in milliseconds, where they serve users;
+    /// 0 where they do not.
     #[serde(rename = "target_ms", default, skip_serializing_if = "is_zero")]
     pub latency_target_ms: u64,
-    /// Whether the processor it asks for is not counted against a worker's room.
+    /// Whether the CPU that the tasks need is left unreserved on their workers.
     #[serde(rename = "fills", default, skip_serializing_if = "is_false")]
     pub uses_spare_cpu: bool,
 }
@@ -101,13 +101,13 @@
 }
 
 impl StepSpec {
-    /// Tells whether its tasks serve users of their own.
+    /// Tells whether the tasks serve users.
     #[must_use]
     pub const fn has_latency_target(&self) -> bool {
         self.latency_target_ms > 0
     }
 
-    /// Returns what a task takes of a worker's room.
+    /// Returns the resources that a task reserves on its worker.
     #[must_use]
     pub const fn reserved_resources(&self) -> Resources {
         let cpu_millis = if self.uses_spare_cpu {
@@ -119,20 +119,20 @@
     }
 }
 
-/// When a job runs several times.
+/// Occurrences of a job that runs several times, or at a set time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// When the first time is due, in milliseconds since the Unix epoch.
+    /// When the first occurrence may start, in milliseconds since the Unix epoch.
     pub first_unix_ms: u64,
-    /// Between two times, in milliseconds.
+    /// Time between two occurrences, in milliseconds.
     pub interval_ms: u64,
-    /// How many times.
+    /// Number of occurrences.
     #[serde(rename = "times")]
     pub occurrences: u32,
 }
 
 impl Schedule {
-    /// Returns when time `occurrence` is due, in milliseconds since the Unix epoch.
+    /// Returns when an occurrence may start, in milliseconds since the Unix epoch.
     #[must_use]
     pub const fn due_unix_ms(&self, occurrence: u32) -> u64 {
         self.first_unix_ms
@@ -140,14 +140,14 @@
     }
 }
 
-/// A job as its caller describes it.
+/// A job as its caller specifies it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchSpec {
-    /// What to run; the workers' business.
+    /// What to run; interpreted only by the workers.
     pub payload: String,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// When it runs, if more than once or at a set time.
+    /// When the job runs, if several times or at a set time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub schedule: Option<Schedule>,
 }
@@ -157,38 +157,38 @@
     ///
     /// # Errors
     ///
-    /// Names the first field that is out of bounds.
+    /// Returns the first violation.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.payload.len() > MAX_PAYLOAD_BYTES {
-            return Err(SpecError::Payload(self.payload.len()));
+            return Err(SpecError::PayloadTooLong(self.payload.len()));
         }
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
-            return Err(SpecError::Steps(self.steps.len()));
+            return Err(SpecError::StepCount(self.steps.len()));
         }
-        for (number, step) in self.steps.iter().enumerate() {
-            Self::check_step(number, step)?;
+        for (index, step) in self.steps.iter().enumerate() {
+            Self::check_step(index, step)?;
         }
         if self
             .schedule
             .is_some_and(|s| s.occurrences == 0 || (s.occurrences > 1 && s.interval_ms == 0))
         {
-            return Err(SpecError::Schedule);
+            return Err(SpecError::InvalidSchedule);
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
-        let all = tasks.saturating_mul(u64::from(self.occurrences()));
-        if all > MAX_TASKS {
-            return Err(SpecError::Tasks(all));
+        let total = tasks.saturating_mul(u64::from(self.occurrences()));
+        if total > MAX_TASKS {
+            return Err(SpecError::TooManyTasks(total));
         }
         Ok(())
     }
 
-    fn check_step(number: usize, step: &StepSpec) -> Result<(), SpecError> {
+    fn check_step(index: usize, step: &StepSpec) -> Result<(), SpecError> {
         if step.count == 0 {
-            return Err(SpecError::Empty(number));
+            return Err(SpecError::EmptyStep(index));
         }
-        let later = step.depends_on.iter().find(|on| **on as usize >= number);
-        match later {
-            Some(on) => Err(SpecError::Dependence(number, *on)),
+        let invalid = step.depends_on.iter().find(|on| **on as usize >= index);
+        match invalid {
+            Some(on) => Err(SpecError::InvalidDependency(index, *on)),
             None => Ok(()),
         }
     }
@@ -199,36 +199,37 @@
         self.schedule.map_or(1, |schedule| schedule.occurrences)
     }
 
-    /// Returns the longest chain of estimates that follows a step, in milliseconds.
+    /// Returns the critical path after a step, in milliseconds.
     #[must_use]
     pub fn downstream_path_ms(&self, step: u32) -> u64 {
         let index = step as usize;
-        let chains = self.critical_paths_ms(|step| step.estimate_ms);
+        let paths = self.critical_paths_ms(|step| step.estimate_ms);
         let own_ms = self.steps.get(index).map_or(0, |step| step.estimate_ms);
-        chains.get(index).map_or(0, |chain_ms| chain_ms - own_ms)
+        paths.get(index).map_or(0, |path_ms| path_ms - own_ms)
     }
 
-    /// Returns the longest chain of estimates, in milliseconds.
+    /// Returns the critical path, the longest chain of estimates, in milliseconds.
     #[must_use]
     pub fn critical_path_ms(&self) -> u64 {
-        let chains = self.critical_paths_ms(|step| step.estimate_ms);
-        chains.into_iter().max().unwrap_or(0)
+        let paths = self.critical_paths_ms(|step| step.estimate_ms);
+        paths.into_iter().max().unwrap_or(0)
     }
 
-    /// Returns for each step the longest chain that begins with it, in milliseconds.
+    /// Returns for each step the critical path that begins with it, in milliseconds, where
+    /// `duration_ms` gives the run time of a step.
     #[must_use]
-    pub fn critical_paths_ms(&self, takes_ms: impl Fn(&StepSpec) -> u64) -> Vec<u64> {
-        let mut chains = vec![0; self.steps.len()];
-        for (number, step) in self.steps.iter().enumerate().rev() {
-            // What depends on it comes later in the list and has added itself already.
-            chains[number] += takes_ms(step);
-            let chain = chains[number];
+    pub fn critical_paths_ms(&self, duration_ms: impl Fn(&StepSpec) -> u64) -> Vec<u64> {
+        let mut paths = vec![0; self.steps.len()];
+        for (index, step) in self.steps.iter().enumerate().rev() {
+            // Steps that depend on this one come later in the list and are already included.
+            paths[index] += duration_ms(step);
+            let path = paths[index];
             for on in &step.depends_on {
-                if let Some(before) = chains.get_mut(*on as usize) {
-                    *before = chain.max(*before);
+                if let Some(earlier) = paths.get_mut(*on as usize) {
+                    *earlier = path.max(*earlier);
                 }
             }
         }
-        chains
+        paths
     }
 }
--- a/crates/stairstall-core/src/batch/task.rs
+++ b/crates/stairstall-core/src/batch/task.rs
@@ -2,19 +2,19 @@
 
 use crate::JobId;
 
-/// Names the tasks of one step of one time a job runs.
+/// Identifies a group: the tasks of one step in one occurrence of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupKey {
     /// The job.
     pub job: JobId,
-    /// Which time of a scheduled job, from 0; 0 for others.
+    /// Index of the occurrence, from 0; 0 for a job without a schedule.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// Index of the step, from 0.
     pub step: u32,
 }
 
 impl GroupKey {
-    /// Returns the key of one of its tasks.
+    /// Returns the key of the task with this index.
     #[must_use]
     pub fn task(&self, index: u32) -> TaskKey {
         TaskKey {
@@ -30,17 +30,17 @@
     }
 }
 
-/// Names one task.
+/// Identifies a task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// Its step and time.
+    /// Its group.
     pub group: GroupKey,
-    /// Which task of the step, from 0.
+    /// Index of the task within its group, from 0.
     pub index: u32,
 }
 
 impl TaskKey {
-    /// Creates the key of a task.
+    /// Creates a key from the job and the indices of the occurrence, the step and the task.
     #[must_use]
     pub const fn new(job: JobId, occurrence: u32, step: u32, index: u32) -> Self {
         Self {
--- a/crates/stairstall-core/src/batch/worker.rs
+++ b/crates/stairstall-core/src/batch/worker.rs
@@ -6,17 +6,17 @@
 use super::{Resources, TaskKey};
 use crate::{RackId, ServiceId, WorkerId, ZoneId};
 
-/// Tells the lives of one worker apart: when a life began, in milliseconds since the Unix epoch by
-/// the worker's own time of day.
+/// Identifies one process lifetime of a worker by its start, in milliseconds since the Unix epoch
+/// by the worker's own clock.
 ///
-/// A worker that crashes may start again under the id that it had. It then knows nothing of before,
-/// and its clock and the numbers of its ends begin anew.
+/// A worker that crashes may restart under the same id. It then has no state from before, and both
+/// its clock and the numbers of its run ends start again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Creates it from the time at which the life began, in milliseconds since the Unix epoch.
+    /// Creates an incarnation from its start, in milliseconds since the Unix epoch.
     #[must_use]
     pub const fn from_unix_ms(unix_ms: u64) -> Self {
         Self(unix_ms)
@@ -26,13 +26,13 @@
 /// A worker as the platform's directory lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedWorker {
-    /// Its name, which all its lives may share.
+    /// Its id, which several incarnations may share.
     pub id: WorkerId,
-    /// Which of its lives this is; none where it does not say.
+    /// Its incarnation; none where the directory does not say.
     pub incarnation: Option<Incarnation>,
     /// Where it listens, as `IP:PORT`.
     pub address: String,
-    /// Whose tasks it runs.
+    /// The service whose tasks it runs.
     pub service: ServiceId,
     /// Its availability zone.
     pub zone: ZoneId,
@@ -40,11 +40,11 @@
     pub rack: RackId,
     /// All its labels.
     pub labels: BTreeSet<String>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Resources,
     /// Whether it is leaving.
     pub draining: bool,
-    /// How much longer it stays at least, in milliseconds, where it is leaving and says so.
+    /// How much longer it stays at least, in milliseconds, where it is leaving and this is known.
     pub remaining_ms: Option<u64>,
 }
 
@@ -57,16 +57,16 @@
     Failed,
     /// It was stopped.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of its gang did not arrive in time.
     GangIncomplete,
 }
 
 impl RunEndKind {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -80,110 +80,110 @@
     }
 }
 
-/// One run at a worker.
+/// A run that a worker reports as running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningTask {
     /// The task.
     pub task: TaskKey,
-    /// Which of its runs.
+    /// Number of the run.
     pub run: u32,
-    /// Its last checkpoint, if any.
+    /// Last checkpoint, if any.
     pub checkpoint: Option<String>,
-    /// How much of its work is done, in percent.
+    /// Progress in percent of the work.
     pub percent: u8,
 }
 
-/// One end at a worker, which lists it until it may forget it.
+/// A run that has ended, which its worker reports until the end is acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEnd {
-    /// Number in the life of the worker, rising from 1.
+    /// Number of the end, counting from 1 in each incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// Which of its runs.
+    /// Number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub kind: RunEndKind,
-    /// Its last checkpoint, if any.
+    /// Last checkpoint, if any.
     pub checkpoint: Option<String>,
 }
 
-/// What a worker says it runs and what has ended.
+/// A worker's report of its current runs and run ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// Which of the worker's lives answers; none where it does not say.
+    /// Incarnation that reports; none where the worker does not say.
     pub incarnation: Option<Incarnation>,
     /// The worker's own clock, in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// Current runs.
     pub running: Vec<RunningTask>,
-    /// What ended since what it may forget; `truncated` where not all were listed.
+    /// Run ends that are not yet acknowledged; some may be missing if `truncated` is set.
     pub ended: Vec<RunEnd>,
-    /// Whether ends were left out for length.
+    /// Whether run ends were omitted to limit the length.
     pub truncated: bool,
-    /// Length of the answer as it came, in bytes.
+    /// Length of the response, in bytes.
     pub bytes: u32,
 }
 
-/// What to ask of a worker: renew, forget ends, report.
+/// A request to a worker to report, which also renews leases and acknowledges run ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportRequest {
     /// Fencing token.
     pub token: u64,
-    /// Until when everything may run, on the worker's clock, where it is renewed.
+    /// New end of the leases of all runs, on the worker's clock; none does not renew them.
     pub deadline_ms: Option<u64>,
-    /// Highest end that it may forget.
+    /// Highest number of a run end that the worker may forget.
     pub acknowledged_end: u64,
-    /// How long it may wait for an end before it answers.
+    /// How long the worker may wait for a run to end before it reports.
     pub max_wait: Duration,
 }
 
 /// Why a worker refused a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// It has seen a higher fencing token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// The run is not above one that was stopped or ended there.
+    /// The run's number is not above one that was stopped or has ended there.
     OldRun,
-    /// The deadline is over on its clock.
+    /// The deadline has passed on the worker's clock.
     Late,
-    /// There is no room.
+    /// There is not enough free capacity.
     NoRoom,
-    /// It brings no ticket that holds.
+    /// The order carries no valid ticket.
     NoTicket,
-    /// Anything else.
+    /// Any other reason.
     Other,
 }
 
-/// What became of a start.
+/// Result of a start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartOutcome {
-    /// It runs.
+    /// The worker has confirmed the start.
     Started {
         /// The worker's own clock, in milliseconds.
         clock_ms: u64,
     },
-    /// It was refused and nothing was done.
+    /// The worker refused the start and did nothing.
     Refused(RefusalReason),
     /// The worker is unhealthy and did nothing.
     Unhealthy,
-    /// Another life of the worker answered: this one is over.
+    /// Another incarnation of the worker answered: the intended one has ended.
     OtherLife,
-    /// It never left.
+    /// The order was not sent.
     NotSent,
-    /// It may have been done, or may be done later.
+    /// The order may have been carried out, or may be later.
     Unknown,
 }
 
-/// What became of a stop.
+/// Result of a stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// The worker took it.
+    /// The worker accepted the order.
     Taken,
     /// The worker has seen a higher fencing token.
     Fenced,
-    /// Another life of the worker answered: this one is over.
+    /// Another incarnation of the worker answered: the intended one has ended.
     OtherLife,
-    /// It may have been done, or may be done later.
+    /// The order may have been carried out, or may be later.
     Unknown,
 }
