--- a/crates/stairstall-core/src/batch/peers.rs
+++ b/crates/stairstall-core/src/batch/peers.rs
@@ -17,13 +17,13 @@
 /// Address and location of another daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAddress {
-    /// The VM that it runs on.
+    /// VM that the daemon runs on.
     pub vm: VmId,
-    /// Its availability zone.
+    /// Availability zone of the daemon.
     pub zone: ZoneId,
-    /// Where it serves calls of other daemons, as `IP:PORT`.
+    /// Where the daemon serves calls of other daemons, as `IP:PORT`.
     pub rpc: String,
-    /// How much its CPU and link fall short of planning for many workers, in percent.
+    /// How much the VM's CPU and link fall short of planning for many workers, in percent.
     #[serde(rename = "weakness")]
     pub capacity_shortfall_percent: u32,
 }
--- a/crates/stairstall-core/src/batch/policy/health.rs
+++ b/crates/stairstall-core/src/batch/policy/health.rs
@@ -23,8 +23,8 @@
     /// How long a worker stays suspect after a run there stalled or was a straggler.
     #[serde(with = "super::millis")]
     pub suspect_after_stall: Duration,
-    /// Number of silent workers in a zone from which all its workers count as unresponsive until
-    /// they answer.
+    /// Number of silent workers in a zone from which every worker of the zone counts as
+    /// unresponsive until it answers.
     #[serde(rename = "doubtful_zone")]
     pub suspect_zone_workers: u16,
     /// Whether a worker that reports stays responsive although an order to it got no answer.
@@ -36,9 +36,9 @@
     /// Number of crashes of workers running a task at which the task is given up. Two crashes may
     /// be chance: in incidents on the first sites, each crash affects a seventh of the fleet.
     pub max_crashes: u32,
-    /// Same limit including workers that crashed before they answered the task's start. It stops
-    /// work that crashes its workers before they can answer, while a start that was sent after a
-    /// crash leaves four more attempts.
+    /// Number of crashes of workers at which a task is given up, including workers that had not
+    /// answered its start. It stops work that crashes its workers before they can answer, while a
+    /// start that was sent after a crash leaves four more attempts.
     pub max_losses: u32,
     /// The loss of a worker is attributed to runs that began within this time before its last
     /// answer, rather than to runs that had worked for longer.
--- a/crates/stairstall-core/src/batch/policy/load.rs
+++ b/crates/stairstall-core/src/batch/policy/load.rs
@@ -258,14 +258,14 @@
     /// Maximum age of the planner's load summary for refusing a job as too late.
     #[serde(rename = "hopeless_fresh_for", with = "super::millis")]
     pub too_late_max_age: Duration,
-    /// How long a planner must have observed the workers before any job is impossible. Longer than
-    /// a worker that crashed or is moved stays away.
+    /// How long a planner must have observed the workers before any job is refused as impossible.
+    /// Longer than a worker that crashed or is moved stays away.
     #[serde(rename = "impossible_after", with = "super::millis")]
     pub impossible_min_observed: Duration,
-    /// How long a planner must have known its load before any job is too late.
+    /// How long a planner must have known its load before any job is refused as too late.
     #[serde(rename = "hopeless_after", with = "super::millis")]
     pub too_late_min_observed: Duration,
-    /// How long absent workers and their labels still count.
+    /// How long absent workers and their labels still count as present.
     #[serde(rename = "remembers_workers_for", with = "super::millis")]
     pub worker_retention: Duration,
     /// A result is of no use after this many times the span of its objective.
@@ -274,11 +274,11 @@
     /// that far, and no caller waits on a connection for them.
     #[serde(rename = "waits_from", with = "super::millis")]
     pub max_judged_span: Duration,
-    /// Minimum by which the earliest start must be too late.
+    /// Minimum by which a job's earliest start must be too late for the job to be refused.
     #[serde(with = "super::millis")]
     pub margin: Duration,
-    /// The same minimum in percent of the time for which the result is of use; the longer one
-    /// applies.
+    /// Minimum by which a job's earliest start must be too late, in percent of the time for which
+    /// its result is of use. The longer of this and `margin` applies.
     pub margin_percent: u32,
     /// Shortest interval at which the planner summarizes its load.
     #[serde(rename = "sums_up_every", with = "super::millis")]
@@ -301,12 +301,12 @@
     /// Longest lifetime of the mark that records a refusal in the store.
     #[serde(rename = "mark_lease", with = "super::millis")]
     pub max_mark_lifetime: Duration,
-    /// Shortest lifetime of that mark. Longer than `max_retry_after`, and than a write may be
-    /// delayed.
+    /// Shortest lifetime of the mark that records a refusal in the store. Longer than
+    /// `max_retry_after`, and than a write may be delayed.
     #[serde(rename = "mark_lasts", with = "super::millis")]
     pub min_mark_lifetime: Duration,
-    /// How long after its start a call may replace a mark by the accepted job. Its caller is still
-    /// waiting then.
+    /// How long after its start a call may replace the mark of a refusal by the accepted job. Its
+    /// caller is still waiting then.
     #[serde(with = "super::millis")]
     pub replaces_within: Duration,
 }
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -133,11 +133,12 @@
     /// Final fraction of the time for which a gang may wait, over which the headroom withheld from
     /// it shrinks to zero. A wide gang would never start otherwise. 0 disables this.
     pub yields_from: f64,
-    /// Additional seconds of urgent demand for each second that a stop takes.
+    /// Additional seconds of urgent demand for which accelerators are kept free, for each second
+    /// that a stop takes.
     pub kept_per_stop: f64,
     /// Whether headroom follows rising or falling demand.
     pub follows_change: bool,
-    /// Arrivals within this time are compared with earlier ones.
+    /// Arrivals within this time are compared with earlier ones to detect a change of demand.
     #[serde(with = "super::millis")]
     pub recent: Duration,
     /// Standard deviations of a random count from which a difference counts as a change.
@@ -185,7 +186,8 @@
     /// gang works.
     #[serde(rename = "unsure_still", with = "super::millis")]
     pub unconfirmed_stall: Duration,
-    /// Fraction of the expected run time that counts as a stall there, as a divisor.
+    /// Fraction of the expected run time that counts as a stall where it is unknown whether the
+    /// whole gang works, as a divisor.
     #[serde(rename = "unsure_still_divisor")]
     pub unconfirmed_stall_divisor: u64,
     /// Shortest working time from which a run's pace is judged.
@@ -328,7 +330,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeavingPolicy {
-    /// Share of its work, in percent, from which a run stays to the end.
+    /// Share of its work, in percent, from which a run stays on a leaving worker to the end.
     pub nearly_done: u8,
     /// Time that must be left on the worker after a run's expected end, at most the time of a stop.
     /// A run that ends needs no stop, and the notice may hardly be longer than one. 0.1 s instead
@@ -359,7 +361,8 @@
     /// Longest time to wait for reports; 0 disables the wait.
     #[serde(rename = "reports_patience", with = "super::millis")]
     pub reports_wait: Duration,
-    /// The wait ends once no further worker has reported for the first time within this time.
+    /// The wait for reports ends once no further worker has reported for the first time within this
+    /// time.
     #[serde(with = "super::millis")]
     pub reports_quiet: Duration,
 }
@@ -377,12 +380,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdvicePolicy {
-    /// Number of workers named in one request.
+    /// Number of workers named in one request to the adviser.
     pub workers_at_once: u16,
     /// A ticket that expires within this time is not used.
     #[serde(with = "super::millis")]
     pub ticket_margin: Duration,
-    /// Timeout of a request.
+    /// Timeout of a request to the adviser.
     #[serde(rename = "answer_patience", with = "super::millis")]
     pub answer_timeout: Duration,
     /// Pause after a failure before the adviser is asked again.
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -151,7 +151,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(WorkerId, u32, Option<Incarnation>, bool)")]
 pub struct RunPlacement {
-    /// The worker.
+    /// Worker that the run was placed on.
     pub worker: WorkerId,
     /// Number of the run.
     pub run: u32,
@@ -193,12 +193,12 @@
 /// A worker that is silent beyond its lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SilentWorker {
-    /// The worker.
+    /// The silent worker.
     pub worker: WorkerId,
-    /// Its incarnation, where it was known.
+    /// Incarnation of the worker, where it was known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
-    /// Whether it had confirmed the start of the run.
+    /// Whether the worker had confirmed the start of the run.
     #[serde(rename = "answered")]
     pub start_confirmed: bool,
 }
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -145,7 +145,7 @@
 pub struct BatchSpec {
     /// What to run; interpreted only by the workers.
     pub payload: String,
-    /// The steps.
+    /// Steps of the job.
     pub steps: Vec<StepSpec>,
     /// When the job runs, if several times or at a set time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/stairstall-core/src/batch/task.rs
+++ b/crates/stairstall-core/src/batch/task.rs
@@ -5,7 +5,7 @@
 /// Identifies a group: the tasks of one step in one occurrence of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupKey {
-    /// The job.
+    /// The job that the group belongs to.
     pub job: JobId,
     /// Index of the occurrence, from 0; 0 for a job without a schedule.
     pub occurrence: u32,
@@ -33,7 +33,7 @@
 /// Identifies a task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// Its group.
+    /// Group that the task belongs to.
     pub group: GroupKey,
     /// Index of the task within its group, from 0.
     pub index: u32,
--- a/crates/stairstall-core/src/batch/worker.rs
+++ b/crates/stairstall-core/src/batch/worker.rs
@@ -26,42 +26,42 @@
 /// A worker as the platform's directory lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedWorker {
-    /// Its id, which several incarnations may share.
+    /// Id of the worker, which several incarnations may share.
     pub id: WorkerId,
-    /// Its incarnation; none where the directory does not say.
+    /// Incarnation of the worker; none where the directory does not say.
     pub incarnation: Option<Incarnation>,
-    /// Where it listens, as `IP:PORT`.
+    /// Where the worker listens, as `IP:PORT`.
     pub address: String,
-    /// The service whose tasks it runs.
+    /// Service whose tasks the worker runs.
     pub service: ServiceId,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: ZoneId,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: RackId,
-    /// All its labels.
+    /// All labels of the worker.
     pub labels: BTreeSet<String>,
-    /// Its total resources.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving.
     pub draining: bool,
-    /// How much longer it stays at least, in milliseconds, where it is leaving and this is known.
+    /// How much longer a leaving worker stays at least, in milliseconds, where that is known.
     pub remaining_ms: Option<u64>,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RunEndKind {
-    /// Its work is done.
+    /// The work is done.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped.
+    /// The run was stopped.
     Stopped,
-    /// Its lease expired.
+    /// The lease of the run expired.
     LeaseExpired,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     GangBroken,
-    /// The other members of its gang did not arrive in time.
+    /// The other members of the run's gang did not arrive in time.
     GangIncomplete,
 }
 
@@ -83,7 +83,7 @@
 /// A run that a worker reports as running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningTask {
-    /// The task.
+    /// Task of the run.
     pub task: TaskKey,
     /// Number of the run.
     pub run: u32,
@@ -98,7 +98,7 @@
 pub struct RunEnd {
     /// Number of the end, counting from 1 in each incarnation.
     pub number: u64,
-    /// The task.
+    /// Task of the run.
     pub task: TaskKey,
     /// Number of the run.
     pub run: u32,
