--- a/crates/stairstall-core/src/batch/planner/bounds.rs
+++ b/crates/stairstall-core/src/batch/planner/bounds.rs
@@ -2,34 +2,34 @@
 
 use crate::Timestamp;
 
-/// Both clocks at one moment.
+/// The current time on both clocks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Now {
-    /// The process's monotonic clock.
+    /// Time on the process's monotonic clock.
     pub at: Timestamp,
-    /// The time of day, in milliseconds since the Unix epoch.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
 impl Now {
-    /// Creates a moment.
+    /// Creates a `Now` from both clock readings.
     #[must_use]
     pub const fn new(at: Timestamp, unix_ms: u64) -> Self {
         Self { at, unix_ms }
     }
 }
 
-/// What the VM that plans can carry.
+/// Network and CPU capacity of the VM that the planner runs on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VmLimits {
-    /// Bytes a second in each direction of its link.
+    /// Link capacity in each direction, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// Processor, in percent of a core.
+    /// CPU capacity, in percent of one core.
     pub cpu_percent: u32,
 }
 
 impl Default for VmLimits {
-    /// A whole core and a link of a gigabit a second.
+    /// One full core and a link of 1 Gbit/s.
     fn default() -> Self {
         Self {
             link_bytes_per_s: 125_000_000,
@@ -38,19 +38,19 @@
     }
 }
 
-/// Times that the workers keep to.
+/// Operating limits that the planner relies on, most of them times that workers keep to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Longest time that a worker runs on without being renewed.
+    /// Longest time that a worker keeps running without a lease renewal.
     pub hold_max: Duration,
     /// Longest time that a stop takes.
     pub stop_max: Duration,
-    /// Within what time of its acceptance a customer's claim on its own share has to begin.
+    /// Time after acceptance within which a guaranteed job must start.
     pub reclaim: Duration,
-    /// Within what time of an operator's word nothing starts any more in an evacuated zone.
+    /// Longest time from an operator's evacuation of a zone until nothing starts there any more.
     pub evacuate: Duration,
-    /// How many times as long a task takes away from its rack.
+    /// Factor by which a task takes longer on a worker that is not near its rack.
     pub far_factor: u32,
-    /// How long an ended job is answered for.
+    /// How long the planner still answers requests about a job that has ended.
     pub keep_ended: Duration,
 }
--- a/crates/stairstall-core/src/batch/planner/candidate.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate.rs
@@ -1,13 +1,13 @@
-//! A step that may start, and whose turn it is.
+//! Steps that may start, in scheduling order.
 
 use crate::batch::{GroupKey, SchedulingKey};
 
-/// Rank of a customer's claim on its own share: nothing comes before it.
+/// Rank of guaranteed jobs, within their customer's guaranteed share. It is the highest rank.
 pub(super) const GUARANTEED_RANK: u8 = 0;
-/// Rank of urgent work beyond its customer's own share.
+/// Rank of urgent work beyond the customer's guaranteed share.
 pub(super) const URGENT_RANK: u8 = 1;
 
-/// A step whose tasks may start.
+/// A step with tasks that may start. Candidates sort by rank, then by scheduling key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Candidate {
     pub(super) rank: u8,
--- a/crates/stairstall-core/src/batch/planner/directory.rs
+++ b/crates/stairstall-core/src/batch/planner/directory.rs
@@ -1,4 +1,4 @@
-//! Workers as the directory lists them.
+//! Updates from the worker directory.
 
 use super::pool::Worker;
 use super::{Now, Planner};
@@ -6,23 +6,23 @@
 use crate::batch::{Decision, ListedWorker};
 
 impl Planner {
-    /// Takes a worker from the directory.
+    /// Handles a worker's entry in the directory.
     ///
-    /// An entry that is as it was, as most are at a heartbeat, changes nothing.
+    /// An unchanged entry, as in most heartbeats, has no effect.
     pub fn handle_listed_worker(&mut self, listed: ListedWorker, now: Now) {
         let known = self.workers.get(&listed.id);
         if known.is_some_and(|known| known.is_listed && known.listed == listed) {
             return;
         }
         if known.is_some_and(|known| known.incarnation_state.is_newer_than(listed.incarnation)) {
-            // It was written by a life that is over.
+            // An ended incarnation wrote this entry.
             return;
         }
         if known.is_some_and(|known| known.incarnation_state.differs_from(listed.incarnation)) {
             self.begin_incarnation(&listed.id, listed.incarnation, now);
         }
         self.replan = true;
-        self.retire_earlier_lives(&listed, now);
+        self.end_replaced_incarnations(&listed, now);
         let id = listed.id.clone();
         let known = self.workers.get(&id);
         if known.is_none_or(|known| known.listed.address != listed.address) {
@@ -48,21 +48,22 @@
         }
     }
 
-    /// Another life at the same address says that earlier ones are over.
-    fn retire_earlier_lives(&mut self, listed: &ListedWorker, now: Now) {
-        let over: Vec<WorkerId> = self
+    /// Ends unlisted workers whose address is now used by a newly listed worker: the new worker
+    /// replaces them.
+    fn end_replaced_incarnations(&mut self, listed: &ListedWorker, now: Now) {
+        let replaced: Vec<WorkerId> = self
             .workers
             .values()
             .filter(|w| w.listed.address == listed.address && w.listed.id != listed.id)
             .filter(|w| !w.is_listed)
             .map(|w| w.listed.id.clone())
             .collect();
-        for id in over {
-            self.end_incarnation(&id, "another life listens at its address", now);
+        for id in replaced {
+            self.end_incarnation(&id, "another worker is listed at its address", now);
         }
     }
 
-    /// Takes word that the directory lists a worker no longer.
+    /// Handles the removal of a worker from the directory.
     pub fn handle_unlisted_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -71,7 +72,7 @@
         let address = worker.listed.address.clone();
         let is_replaced = |other: &Worker| other.is_listed && other.listed.address == address;
         if !address.is_empty() && self.workers.values().any(is_replaced) {
-            self.end_incarnation(id, "another life listens at its address", now);
+            self.end_incarnation(id, "another worker is listed at its address", now);
             return;
         }
         let Some(worker) = self.workers.get(id) else {
@@ -85,18 +86,18 @@
         self.replan = true;
     }
 
-    /// Takes the workers that should be asked now rather than in their turn.
+    /// Drains the workers that should be polled immediately instead of at their next interval.
     pub fn take_workers_to_poll(&mut self) -> Vec<WorkerId> {
         std::mem::take(&mut self.workers_to_poll)
     }
 
-    /// Tells whether a worker is known.
+    /// Returns whether the planner knows a worker.
     #[must_use]
     pub fn knows_worker(&self, id: &WorkerId) -> bool {
         self.workers.contains_key(id)
     }
 
-    /// Counts changes of the set of workers.
+    /// Returns a version that increases whenever the set of workers or their addresses changes.
     #[must_use]
     pub const fn worker_set_version(&self) -> u64 {
         self.worker_set_version
--- a/crates/stairstall-core/src/batch/planner/evacuation.rs
+++ b/crates/stairstall-core/src/batch/planner/evacuation.rs
@@ -1,6 +1,8 @@
-//! Availability zones that operators have evacuated: nothing starts there until they are restored.
+//! Availability zones that operators have evacuated. Nothing starts in them until they are
+//! restored.
 //!
-//! What runs there runs on, is renewed and may end; only starts keep out.
+//! Runs that are already there continue, keep their leases renewed and may finish; only starts are
+//! refused.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,12 +12,12 @@
 use crate::batch::{Decision, TaskKey};
 use crate::{Timestamp, WorkerId, ZoneId};
 
-/// The evacuated zones as they were last read.
+/// The list of evacuated zones as last read.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EvacuatedZones {
     zones: BTreeSet<ZoneId>,
-    /// When the call that read them left; none before the first one.
-    read_at: Option<Timestamp>,
+    /// When the request that read the list was sent; `None` before the first read.
+    read_sent_at: Option<Timestamp>,
 }
 
 impl EvacuatedZones {
@@ -24,42 +26,51 @@
     }
 
     fn age(&self, at: Timestamp) -> Option<Duration> {
-        self.read_at.map(|read_at| at - read_at)
+        self.read_sent_at.map(|read_sent_at| at - read_sent_at)
     }
 }
 
 impl Bounds {
-    /// Returns the age from which the list of evacuated zones is not relied on any more.
+    /// Returns the age above which the list of evacuated zones is no longer relied on.
     ///
-    /// What is left of the bound is for a start on its way to its worker.
-    pub(super) fn oldest_evacuations(&self) -> Duration {
+    /// The rest of the evacuation limit is left for a start on its way to its worker.
+    pub(super) fn max_evacuated_zones_age(&self) -> Duration {
         self.evacuate * 3 / 5
     }
 }
 
 impl Planner {
-    /// Takes the evacuated zones as a call that left at `asked_at` read them.
-    pub fn set_evacuated_zones(&mut self, zones: BTreeSet<ZoneId>, asked_at: Timestamp, now: Now) {
-        let is_older = self.evacuation.read_at.is_some_and(|at| at > asked_at);
+    /// Updates the evacuated zones with a list that was requested at `requested_at`. A list older
+    /// than the current one is ignored.
+    pub fn set_evacuated_zones(
+        &mut self,
+        zones: BTreeSet<ZoneId>,
+        requested_at: Timestamp,
+        now: Now,
+    ) {
+        let is_older = self
+            .evacuation
+            .read_sent_at
+            .is_some_and(|at| at > requested_at);
         if is_older {
             return;
         }
-        // Starts that waited for this knowledge can go out again.
+        // Starts that waited for a fresh list can be sent again.
         self.starts_due |= !self.has_fresh_evacuated_zones(now);
-        self.evacuation.read_at = Some(asked_at);
+        self.evacuation.read_sent_at = Some(requested_at);
         if zones == self.evacuation.zones {
             return;
         }
         let before = std::mem::replace(&mut self.evacuation.zones, zones);
-        self.note_changed_zones(&before);
+        self.log_zone_changes(&before);
         for worker in self.workers.values_mut() {
             worker.in_evacuated_zone = self.evacuation.includes(&worker.listed.zone);
         }
-        self.give_up_places_in_evacuated_zones(now);
+        self.cancel_planned_in_evacuated_zones(now);
         self.replan = true;
     }
 
-    fn note_changed_zones(&mut self, before: &BTreeSet<ZoneId>) {
+    fn log_zone_changes(&mut self, before: &BTreeSet<ZoneId>) {
         let zones = &self.evacuation.zones;
         let evacuated = zones.difference(before);
         let evacuated = evacuated.map(|zone| Decision::of_zone(zone, "evacuated"));
@@ -68,43 +79,44 @@
         self.decisions.extend(evacuated.chain(restored));
     }
 
-    /// Gives up places whose starts were not sent yet, those of a gang together.
-    fn give_up_places_in_evacuated_zones(&mut self, now: Now) {
-        let places: Vec<(WorkerId, TaskKey)> = self
+    /// Cancels placements in evacuated zones whose starts were not sent yet; members of a gang are
+    /// cancelled together.
+    fn cancel_planned_in_evacuated_zones(&mut self, now: Now) {
+        let planned: Vec<(WorkerId, TaskKey)> = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.in_evacuated_zone)
             .flat_map(|(id, worker)| {
-                let planned = worker.runs.iter();
-                let planned = planned.filter(|(_, run)| run.state == RunState::Planned);
-                planned.map(move |(task, _)| (id.clone(), task.clone()))
+                let runs = worker.runs.iter();
+                let runs = runs.filter(|(_, run)| run.state == RunState::Planned);
+                runs.map(move |(task, _)| (id.clone(), task.clone()))
             })
             .collect();
-        for (id, task) in places {
+        for (id, task) in planned {
             self.cancel_planned(&id, &task, "its zone is evacuated", now);
         }
     }
 
-    /// Returns how long ago the evacuated zones were read; none before the first time.
+    /// Returns the age of the list of evacuated zones, or `None` before it was first read.
     #[must_use]
     pub fn evacuated_zones_age(&self, now: Now) -> Option<Duration> {
         self.evacuation.age(now.at)
     }
 
-    /// Counts the evacuated zones.
+    /// Returns the number of evacuated zones.
     #[must_use]
     pub fn evacuated_zone_count(&self) -> usize {
         self.evacuation.zones.len()
     }
 
-    /// Tells whether the list of evacuated zones is young enough to start anything by it: an
-    /// operator's word that did not come through holds every start back, not only some.
+    /// Returns whether the list of evacuated zones is fresh enough to start anything. If the list
+    /// could not be read in time, any zone may have been evacuated, so all starts wait.
     pub(super) fn has_fresh_evacuated_zones(&self, now: Now) -> bool {
         let age = self.evacuation.age(now.at);
-        age.is_some_and(|age| age <= self.bounds.oldest_evacuations())
+        age.is_some_and(|age| age <= self.bounds.max_evacuated_zones_age())
     }
 
-    /// Tells whether a start, or a further try of one, may leave for a worker.
+    /// Returns whether a start order, or another attempt of one, may be sent to a worker.
     pub(super) fn may_start_at(&self, id: &WorkerId, now: Now) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|worker| !worker.in_evacuated_zone)
--- a/crates/stairstall-core/src/batch/planner/explain.rs
+++ b/crates/stairstall-core/src/batch/planner/explain.rs
@@ -1,4 +1,4 @@
-//! Says where a job stands and what it waits for.
+//! Explanations of a job's state and of what it waits for.
 
 use super::job::{Job, Task, TaskGroup};
 use super::{Now, Planner};
@@ -7,12 +7,13 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Explains where a job stands; none where it is not known.
+    /// Explains the state of a job and of its unfinished steps, or returns `None` for an unknown
+    /// job.
     #[must_use]
     pub fn explain(&self, id: &JobId, now: Now) -> Option<JobExplanation> {
         let job = self.jobs.get(id)?;
         let accepted = &job.accepted;
-        let story = job.timeline.to_stored(now);
+        let timeline = job.timeline.to_stored(now);
         Some(JobExplanation {
             job: id.clone(),
             queue: accepted.queue.name.clone(),
@@ -21,8 +22,8 @@
             zone: accepted.zone.clone(),
             state: self.caller_state(id)?,
             age_ms: now.unix_ms.saturating_sub(accepted.accepted_unix_ms),
-            spent_ms: story.phases_ms,
-            setbacks: story.setbacks,
+            spent_ms: timeline.phases_ms,
+            setbacks: timeline.setbacks,
             wait: self.wait_status(id, now).map(Into::into),
             steps: self.explain_steps(id, job, now),
         })
@@ -46,33 +47,33 @@
         job: &Job,
         now: Now,
     ) -> Option<StepExplanation> {
-        let on = self.span_of_group(key, group, job)?;
-        let waiting = count(group, Task::is_waiting);
-        let behind = if waiting > 0 {
-            self.count_before(key, now)
+        let phase = self.span_of_group(key, group, job)?;
+        let waiting = count_tasks(group, Task::is_waiting);
+        let steps_ahead = if waiting > 0 {
+            self.count_steps_ahead(key, now)
         } else {
             0
         };
         Some(StepExplanation {
-            tasks: count(group, |_| true),
+            tasks: count_tasks(group, |_| true),
             waiting,
-            done: count(group, |task| task.done),
+            done: count_tasks(group, |task| task.done),
             waited_ms: group.ready_since.map_or(0, |since| millis(now.at - since)),
-            steps_ahead: behind,
-            ..StepExplanation::new(key, on)
+            steps_ahead,
+            ..StepExplanation::new(key, phase)
         })
     }
 
-    /// Counts the waiting steps whose turn comes before that of a step.
-    fn count_before(&self, key: &GroupKey, now: Now) -> u32 {
-        let claims = self.guaranteed_jobs();
-        let candidates = self.list_candidates(&claims, now);
+    /// Counts the candidates before a step in scheduling order.
+    fn count_steps_ahead(&self, key: &GroupKey, now: Now) -> u32 {
+        let guaranteed_jobs = self.guaranteed_jobs();
+        let candidates = self.list_candidates(&guaranteed_jobs, now);
         let before = candidates.iter().position(|other| other.key == *key);
         u32::try_from(before.unwrap_or(0)).unwrap_or(u32::MAX)
     }
 }
 
-fn count(group: &TaskGroup, test: impl Fn(&Task) -> bool) -> u32 {
+fn count_tasks(group: &TaskGroup, test: impl Fn(&Task) -> bool) -> u32 {
     let tasks = group.tasks.iter().filter(|task| test(task)).count();
     u32::try_from(tasks).unwrap_or(u32::MAX)
 }
--- a/crates/stairstall-core/src/batch/planner/fencing.rs
+++ b/crates/stairstall-core/src/batch/planner/fencing.rs
@@ -1,40 +1,45 @@
-//! Fencing tokens that tell the lives of a worker apart.
+//! Fencing tokens that distinguish the incarnations of a worker.
 //!
-//! A call names its worker by an id that several lives share, and may be carried out seconds later: a start
-//! by a life that knows nothing of the task's end, a request to forget ends by one whose ends nobody has
-//! read. A worker refuses whatever brings a lower token than it has seen. So what is sent to each life brings a
-//! higher token than anything that was sent before it began: once a life has answered that, nothing
-//! that was meant for an earlier one is carried out there.
+//! A call addresses a worker by an ID that several incarnations share, and it may be carried out
+//! seconds later. A delayed start could reach an incarnation that does not know that the task has
+//! ended. A delayed acknowledgement could make an incarnation forget run ends that the planner has
+//! not read.
+//!
+//! Workers refuse calls with a lower token than the highest they have seen. Calls to an incarnation
+//! therefore carry a higher token than everything sent before it began. Once an incarnation has
+//! answered such a call, it carries out nothing that was sent to an earlier one.
 
 use super::Planner;
 use crate::WorkerId;
 
-/// Lives that can begin under one planner before its tokens would be the next planner's.
-const LIVES_PER_TENURE: u64 = 1 << 20;
+/// Number of incarnations that can begin in one tenure before its tokens would reach those of the
+/// next.
+const INCARNATIONS_PER_TENURE: u64 = 1 << 20;
 
 impl Planner {
-    /// Returns a token above all that were sent so far.
+    /// Returns a token above all tokens used so far.
     ///
-    /// Once there are none left the role is given up: the next planner has as many again.
+    /// When the tokens of this tenure are used up, the planner gives up its role. The next tenure
+    /// has as many again.
     pub(super) const fn next_fencing_token(&mut self) -> u64 {
-        if self.incarnations_started + 1 == LIVES_PER_TENURE {
+        if self.incarnations_started + 1 == INCARNATIONS_PER_TENURE {
             self.superseded = true;
         } else {
             self.incarnations_started += 1;
         }
-        self.token * LIVES_PER_TENURE + self.incarnations_started
+        self.token * INCARNATIONS_PER_TENURE + self.incarnations_started
     }
 
-    /// Takes word that a worker has seen a higher token than a call brought: another planner has taken over,
-    /// unless the call was meant for an earlier life.
+    /// Handles a call that a worker refused because it has seen a higher token. Another planner has
+    /// taken over, unless the call was sent to an earlier incarnation.
     pub fn handle_fenced(&mut self, id: &WorkerId, token: u64) {
-        if self.is_present_fence(id, token) {
+        if self.is_current_token(id, token) {
             self.superseded = true;
         }
     }
 
-    /// Tells whether a call brought the token of a worker's present life.
-    pub(super) fn is_present_fence(&self, id: &WorkerId, token: u64) -> bool {
+    /// Returns whether `token` is the one of the worker's current incarnation.
+    pub(super) fn is_current_token(&self, id: &WorkerId, token: u64) -> bool {
         self.workers.get(id).is_some_and(|w| w.fence == token)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -1,4 +1,4 @@
-//! Room that is kept free for urgent work, so that it need not make others give way.
+//! Headroom: accelerators kept free for urgent work, so that it need not preempt other work.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::batch::{AcceptedJob, DemandHorizon, GroupKey, Timeliness, UrgentWork};
 
 impl Planner {
-    /// Notes what a job asks for that has arrived, if it is urgent.
+    /// Records the demand of a job that has arrived, if the job is urgent.
     pub(super) fn note_demand(&mut self, id: &JobId, now: Now) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -22,14 +22,15 @@
             zone: accepted.zone.as_ref(),
             queue: &accepted.queue.name,
             accelerators: accelerators_at_once(accepted),
-            hold_time: self.holds_room_for(id, accepted, now),
+            hold_time: self.expected_hold_time(id, accepted, now),
         };
         self.demand
             .record(&work, self.policy.headroom.window, now.at);
     }
 
-    /// Returns how long the longest step of a job should hold its room; none while that is a guess.
-    fn holds_room_for(&self, id: &JobId, accepted: &AcceptedJob, now: Now) -> Option<Duration> {
+    /// Returns how long the longest step of a job is expected to hold its resources, or `None` if
+    /// the run time of a step is not known yet.
+    fn expected_hold_time(&self, id: &JobId, accepted: &AcceptedJob, now: Now) -> Option<Duration> {
         let steps = (0..).zip(&accepted.spec.steps);
         let times = steps.map(|(index, step)| {
             let key = GroupKey {
@@ -46,9 +47,9 @@
 
     /// Returns how many more accelerators a step may take.
     ///
-    /// What is kept free grows with the time that a stop takes: that is what
-    /// urgent work loses where others have to give way to it. It shrinks as
-    /// a gang's own time runs out, or a wide one would never start.
+    /// The headroom grows with the time that a stop takes, because urgent work loses that time when
+    /// it has to preempt. It shrinks as the remaining wait time of a gang runs out; otherwise a
+    /// wide gang would never start.
     pub(super) fn accelerator_allowance(
         &self,
         candidate: &Candidate,
@@ -59,36 +60,37 @@
             return u32::MAX;
         }
         let free = self.free_accelerators(pass);
-        let room = self.urgent_headroom(pass, now);
+        let headroom = self.urgent_headroom(pass, now);
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a count of accelerators"
         )]
-        let kept = (room * self.part_kept(candidate, now)) as u32;
-        free.saturating_sub(kept)
+        let kept_free = (headroom * self.headroom_fraction(candidate, now)) as u32;
+        free.saturating_sub(kept_free)
     }
 
-    /// Returns how many accelerators are to be kept free, worked out once in a pass.
+    /// Returns the number of accelerators to keep free, computed once per pass.
     fn urgent_headroom(&self, pass: &mut Pass, now: Now) -> f64 {
         let policy = &self.policy.headroom;
         let stop = self.bounds.stop_max;
         let seconds = policy.kept_seconds + policy.kept_per_stop * stop.as_secs_f64();
-        let outlook = DemandHorizon {
+        let horizon = DemandHorizon {
             span: Duration::from_secs_f64(seconds.max(0.0)),
             stop_time: stop,
             observed: self.first_tick_at.map_or(Duration::ZERO, |at| now.at - at),
         };
         *pass
             .urgent_headroom
-            .get_or_insert_with(|| self.demand.headroom(&outlook, policy, now.at))
+            .get_or_insert_with(|| self.demand.headroom(&horizon, policy, now.at))
     }
 
-    /// Returns which part of the room to be kept free is kept from a step: less from a gang whose
-    /// time to wait, if it is still to end in time, runs out.
-    fn part_kept(&self, candidate: &Candidate, now: Now) -> f64 {
-        let turn = &candidate.turn;
-        if turn.is_aged() {
+    /// Returns the fraction of the headroom that a step must leave free. It drops for a gang as the
+    /// time left until its latest start runs out, and is `f64::MAX` in its back-off after a
+    /// preemption.
+    fn headroom_fraction(&self, candidate: &Candidate, now: Now) -> f64 {
+        let scheduling_key = &candidate.turn;
+        if scheduling_key.is_aged() {
             return 0.0;
         }
         let job = self.jobs.get(&candidate.key.job);
@@ -100,12 +102,12 @@
         if self.in_preemption_backoff(&candidate.key, now) {
             return f64::MAX;
         }
-        if turn.timeliness != Timeliness::InTime || self.was_preempted(&candidate.key) {
-            // What urgent work takes back a moment later is lost to both.
+        if scheduling_key.timeliness != Timeliness::InTime || self.was_preempted(&candidate.key) {
+            // If urgent work preempts the gang a moment later, both lose.
             return 1.0;
         }
         let due_unix_ms = job.due_unix_ms(candidate.key.occurrence);
-        let latest_start = turn.start_by_unix_ms;
+        let latest_start = scheduling_key.start_by_unix_ms;
         let whole = Duration::from_millis(latest_start.saturating_sub(due_unix_ms));
         let left = Duration::from_millis(latest_start.saturating_sub(now.unix_ms));
         if whole.is_zero() {
@@ -115,7 +117,7 @@
     }
 }
 
-/// Returns how many accelerators the widest step of a job takes.
+/// Returns the number of accelerators that the widest step of a job takes.
 fn accelerators_at_once(job: &AcceptedJob) -> u32 {
     let steps = job.spec.steps.iter();
     let accelerators = steps.map(|step| step.needs.accelerators.saturating_mul(step.count));
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -10,37 +10,38 @@
 use super::Now;
 use super::advice::Advice;
 
-/// Where one task stands.
+/// State of one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Task {
-    /// Whether a run of it ended done.
+    /// Whether a run of it has finished successfully.
     pub(super) done: bool,
-    /// The worker that has its current run.
+    /// The worker of its current run.
     pub(super) place: Option<WorkerId>,
-    /// The number of its current run.
+    /// Number of its current run.
     pub(super) run: u32,
-    /// Which life of that worker its place was kept at.
+    /// Incarnation of that worker when the run was placed there.
     pub(super) incarnation: Option<Incarnation>,
-    /// Whether that worker is known to have taken it.
+    /// Whether the worker has confirmed the start of the run.
     pub(super) start_confirmed: bool,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub(super) failures: u32,
-    /// Its last checkpoint.
+    /// Its latest checkpoint.
     pub(super) checkpoint: Option<String>,
     /// Last run whose failure was counted.
     pub(super) last_failed_run: u32,
-    /// Where its last failed run was.
+    /// Worker of its last failed run.
     pub(super) failed_at: Option<WorkerId>,
-    /// How often it was moved because it stood still or was slow; of a gang its first task counts.
+    /// How often it was moved because it stalled or was a straggler. For a gang, only the first
+    /// task counts.
     pub(super) moves: u8,
     /// The run that was moved last.
     pub(super) moved_run: u32,
-    /// Workers that were lost under it.
+    /// Workers that were lost while running it.
     pub(super) losses: TaskLosses,
 }
 
 impl Task {
-    /// Returns its current run's place as it is written down.
+    /// Returns the placement of the current run in its stored form.
     pub(super) fn stored_placement(&self) -> Option<RunPlacement> {
         Some(RunPlacement {
             worker: self.place.clone()?,
@@ -55,28 +56,28 @@
     }
 }
 
-/// The tasks of one step of one time.
+/// The tasks of one step in one occurrence of a job.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TaskGroup {
     pub(super) tasks: Vec<Task>,
-    /// Highest run number given out.
+    /// Highest run number used so far.
     pub(super) last_run: u32,
-    /// Runs of the gang that failed.
+    /// Number of failed runs of the gang.
     pub(super) gang_failures: u32,
     /// Last run of the gang whose failure was counted.
     pub(super) last_failed_gang_run: u32,
-    /// Since when it could start.
+    /// When it became ready to start.
     pub(super) ready_since: Option<Timestamp>,
-    /// How much of the work was done when a run last told, in percent.
+    /// Highest progress that a run has reported, in percent.
     pub(super) percent: u8,
-    /// What an adviser has said of it, where it is asked.
+    /// The adviser's answers, if the queue requires tickets.
     pub(super) advice: Advice,
-    /// Whether a run of it failed so early that its worker is to blame.
+    /// Whether a run failed so early that its worker is the likely cause.
     pub(super) failed_early: bool,
-    /// How often runs of it gave way to other work, and when they last did.
+    /// How often its runs were preempted, and when that last happened.
     pub(super) preemptions: u8,
     pub(super) preempted_at: Option<Timestamp>,
-    /// How long the whole work took tasks that are done, near their data, in milliseconds.
+    /// Full durations of finished tasks, as if they ran near their data, in milliseconds.
     pub(super) durations_ms: Vec<u64>,
 }
 
@@ -92,7 +93,7 @@
         self.tasks.iter().all(|task| task.done)
     }
 
-    /// Returns the tasks that wait for a place.
+    /// Returns the indices of the tasks that wait for placement.
     pub(super) fn waiting(&self) -> Vec<u32> {
         (0..)
             .zip(&self.tasks)
@@ -101,7 +102,8 @@
             .collect()
     }
 
-    /// Counts the failure of a run once; returns how many there are, where it is a new one.
+    /// Counts the failure of a run once. Returns the number of failures, or `None` if this one was
+    /// counted before.
     pub(super) fn count_failure(
         &mut self,
         worker: &WorkerId,
@@ -128,41 +130,42 @@
         Some(task.failures)
     }
 
-    /// Returns how often it may still fail before the last allowed failure, over its open tasks.
+    /// Returns the highest number of failures among the unfinished tasks and of the gang.
     pub(super) fn max_failures(&self) -> u32 {
         let tasks = self.tasks.iter().filter(|t| !t.done).map(|t| t.failures);
         tasks.max().unwrap_or(0).max(self.gang_failures)
     }
 }
 
-/// Whether an ended job's record is being made shorter.
+/// Progress of trimming the stored record of an ended job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum TrimState {
-    /// It should be, once its end is written down.
+    /// To be trimmed once the end of the job is stored.
     #[default]
     Due,
-    /// It is being written.
+    /// The trimmed record is being stored.
     InProgress,
 }
 
-/// One job in memory.
+/// A job as the planner keeps it in memory.
 #[derive(Debug, Clone)]
 pub(super) struct Job {
     pub(super) accepted: Arc<AcceptedJob>,
-    /// By time of a schedule, then by step; later times are added when they are due.
+    /// Task groups by occurrence, then by step. Later occurrences are added when they become
+    /// eligible.
     pub(super) occurrences: Vec<Vec<TaskGroup>>,
     pub(super) outcome: Option<Outcome>,
     pub(super) ended_at: Option<Timestamp>,
     pub(super) ended_unix_ms: u64,
     pub(super) has_started: bool,
-    /// When the planner heard of it.
+    /// When this planner first received the job.
     pub(super) arrived_at: Timestamp,
-    /// Counts changes that must last, and how many of them do.
+    /// Number of changes that must be stored, and how many of them are.
     pub(super) change_count: u64,
     pub(super) stored_changes: u64,
-    /// Whether its record is being made shorter.
+    /// Progress of trimming the stored record.
     pub(super) trim_state: TrimState,
-    /// Where its time went.
+    /// Where the job's time went.
     pub(super) timeline: JobTimeline,
 }
 
@@ -188,7 +191,7 @@
         job
     }
 
-    /// Returns the next time that is due later, in milliseconds since the Unix epoch.
+    /// Returns when the next occurrence becomes eligible, in milliseconds since the Unix epoch.
     pub(super) fn next_due_unix_ms(&self) -> Option<u64> {
         if self.outcome.is_some()
             || self.occurrences.len() >= self.accepted.spec.occurrences() as usize
@@ -199,12 +202,12 @@
         self.accepted.spec.schedule.map(|s| s.due_unix_ms(next))
     }
 
-    /// Adds the times that are due; true where there were any.
+    /// Adds the occurrences that are eligible now. Returns whether there were any.
     pub(super) fn add_due_occurrences(&mut self, now: Now) -> bool {
         let before = self.occurrences.len();
         while self.occurrences.len() < self.accepted.spec.occurrences() as usize {
-            let is_due = self.next_due_unix_ms().is_none_or(|due| due <= now.unix_ms);
-            if !is_due || self.outcome.is_some() {
+            let is_eligible = self.next_due_unix_ms().is_none_or(|due| due <= now.unix_ms);
+            if !is_eligible || self.outcome.is_some() {
                 break;
             }
             self.add_occurrence();
@@ -239,7 +242,7 @@
         self.accepted.spec.steps.get(key.step as usize)
     }
 
-    /// Tells whether every step that `step` depends on is done at that time.
+    /// Returns whether every step that `step` depends on is done in this occurrence.
     pub(super) fn is_ready(&self, occurrence: u32, step: usize) -> bool {
         let groups = &self.occurrences[occurrence as usize];
         self.accepted.spec.steps[step]
@@ -248,10 +251,10 @@
             .all(|on| groups[*on as usize].is_done())
     }
 
-    /// Returns the steps whose earlier steps are done, of every time that is due.
+    /// Returns the steps whose dependencies are done, over all eligible occurrences.
     pub(super) fn ready_keys(&self, id: &JobId) -> impl Iterator<Item = GroupKey> {
-        let times = (0..).zip(&self.occurrences);
-        times.flat_map(move |(occurrence, groups)| {
+        let occurrences = (0..).zip(&self.occurrences);
+        occurrences.flat_map(move |(occurrence, groups)| {
             let steps = (0_u32..).zip(groups).map(|(step, _)| step);
             let ready = steps.filter(move |step| self.is_ready(occurrence, *step as usize));
             ready.map(move |step| GroupKey {
@@ -262,7 +265,7 @@
         })
     }
 
-    /// Tells whether every task of every time is done.
+    /// Returns whether every task of every occurrence is done.
     pub(super) fn is_complete(&self) -> bool {
         self.occurrences.len() >= self.accepted.spec.occurrences() as usize
             && self.occurrences.iter().flatten().all(TaskGroup::is_done)
@@ -272,7 +275,7 @@
         self.stored_changes >= self.change_count
     }
 
-    /// Notes a change that must last and returns its number.
+    /// Counts a change that must be stored and returns its number.
     pub(super) const fn record_change(&mut self) -> u64 {
         self.change_count += 1;
         self.change_count
@@ -285,7 +288,7 @@
         self.record_change();
     }
 
-    /// Returns since when a time could be worked on, in milliseconds since the Unix epoch.
+    /// Returns when an occurrence becomes eligible, in milliseconds since the Unix epoch.
     pub(super) fn due_unix_ms(&self, occurrence: u32) -> u64 {
         let schedule = self.accepted.spec.schedule;
         schedule.map_or(self.accepted.accepted_unix_ms, |schedule| {
@@ -293,14 +296,16 @@
         })
     }
 
-    /// Returns until when a time should be done, in milliseconds since the Unix epoch.
+    /// Returns the objective of an occurrence: when its result should be there, in milliseconds
+    /// since the Unix epoch.
     pub(super) fn objective_unix_ms(&self, occurrence: u32) -> u64 {
         let span_ms = self.objective_span_ms(self.accepted.spec.critical_path_ms());
         self.due_unix_ms(occurrence).saturating_add(span_ms)
     }
 
-    /// Returns from when a time is due to its objective, where its longest chain takes so long.
-    pub(super) fn objective_span_ms(&self, chain_ms: u64) -> u64 {
-        crate::time::millis(self.accepted.objective_span_for(chain_ms))
+    /// Returns the time from eligibility to the objective, in milliseconds, for a job with this
+    /// critical path.
+    pub(super) fn objective_span_ms(&self, critical_path_ms: u64) -> u64 {
+        crate::time::millis(self.accepted.objective_span_for(critical_path_ms))
     }
 }
