--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -1,4 +1,4 @@
-//! Runs that an earlier planner started.
+//! Adoption of runs that an earlier planner started.
 
 use super::pool::{Run, RunState, Worker};
 use super::{Now, Planner};
@@ -6,10 +6,11 @@
 use crate::{JobId, WorkerId};
 
 impl Planner {
-    /// Takes over a run that another planner started, or stops one that should not be.
+    /// Adopts a run that a worker reports and an earlier planner started, or stops it if no task
+    /// needs it.
     pub(super) fn adopt(&mut self, id: &WorkerId, running: &RunningTask, now: Now) {
         let key = &running.task.group;
-        let wanted = self.jobs.get(&key.job).is_some_and(|job| {
+        let is_needed = self.jobs.get(&key.job).is_some_and(|job| {
             let task = job
                 .group(key)
                 .and_then(|group| group.tasks.get(running.task.index as usize));
@@ -21,12 +22,12 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        // The earlier planner's largest lease counts from before this one began.
+        // The earlier planner may have granted its longest lease before this tenure began.
         worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
-        let why = if wanted {
-            "it runs"
+        let why = if is_needed {
+            "still running"
         } else {
-            "it should not run"
+            "not needed"
         };
         self.decisions.push(Decision::of_run(
             DecisionKind::Adopt,
@@ -35,8 +36,8 @@
             id,
             why,
         ));
-        if !wanted {
-            self.stop_run(id, &running.task, "it is not wanted", now);
+        if !is_needed {
+            self.stop_run(id, &running.task, "no task waits for this run", now);
             return;
         }
         let incarnation = self.incarnation_of(id);
@@ -51,70 +52,76 @@
                 task.start_confirmed = true;
             }
         }
-        self.note_progress(running);
+        self.record_progress(running);
         self.mark_timeline_changed(&key.job);
     }
 
-    /// Takes the places that were written down for what may run there.
+    /// Restores the stored placements of a job's unfinished tasks, so that their resources stay
+    /// occupied.
     ///
-    /// What is done or ended holds no room: if anything of it still runs, the
-    /// worker's first report says so, and nothing is placed there before.
+    /// Tasks that are done, and jobs that have ended, take no resources. If one of their runs is
+    /// still active, the worker's first report says so, and nothing is placed on the worker before
+    /// that report.
     pub(super) fn restore_runs(&mut self, job: &JobId, progress: &Progress, now: Now) {
         for (key, group) in progress.unfinished_groups(job) {
-            for (index, place) in &group.places {
+            for (index, placement) in &group.places {
                 let task = key.task(*index);
                 let is_done = self.task(&task).is_some_and(|task| task.done);
                 if !is_done {
-                    self.restore_run(place, &task, now);
+                    self.restore_run(placement, &task, now);
                 }
             }
         }
     }
 
-    /// Returns a worker that was written down, whether the directory lists it or not.
-    pub(super) fn recorded_worker(&mut self, id: &WorkerId, now: Now) -> &mut Worker {
+    /// Returns a worker that stored data names; adds it as unlisted if the directory has not listed
+    /// it.
+    pub(super) fn get_or_insert_worker(&mut self, id: &WorkerId, now: Now) -> &mut Worker {
         if !self.workers.contains_key(id) {
             let fence = self.next_fencing_token();
             let worker = Worker::unlisted(id, fence, now.at);
             self.workers.insert(id.clone(), worker);
         }
-        self.workers.get_mut(id).expect("it is known")
+        self.workers
+            .get_mut(id)
+            .expect("the worker was inserted above")
     }
 
-    fn restore_run(&mut self, place: &RunPlacement, task: &TaskKey, now: Now) {
-        let id = &place.worker;
+    fn restore_run(&mut self, placement: &RunPlacement, task: &TaskKey, now: Now) {
+        let id = &placement.worker;
         let running = RunningTask {
             task: task.clone(),
-            run: place.run,
+            run: placement.run,
             checkpoint: None,
             percent: 0,
         };
         let mut run = self.adopted_run(id, &running, now);
         run.restored = true;
         run.resumes = true;
-        run.incarnation = place.incarnation;
-        run.start_confirmed = place.start_confirmed;
+        run.incarnation = placement.incarnation;
+        run.start_confirmed = placement.start_confirmed;
         run.is_listed = false;
         let lease_until = now.at + Self::max_lease_duration(self.bounds.hold_max);
-        self.recorded_worker(id, now).extend_lease(lease_until);
+        self.get_or_insert_worker(id, now).extend_lease(lease_until);
         self.insert_run(id, task, run);
         self.ranked_guaranteed_jobs = None;
     }
 
-    /// Takes the first report of a run that an earlier planner wrote down.
-    pub(super) fn confirm_restored(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    /// Handles the first report of a run that was restored from its stored placement. Stops the run
+    /// if its job has ended or its gang is incomplete.
+    pub(super) fn check_restored_run(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let key = &task.group;
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
-        let is_broken = job.step(key).is_some_and(|step| step.gang)
+        let is_gang_incomplete = job.step(key).is_some_and(|step| step.gang)
             && job
                 .group(key)
                 .is_some_and(|group| group.tasks.iter().any(super::job::Task::is_waiting));
         if job.outcome.is_some() {
-            self.stop_run(id, task, "its job has ended", now);
-        } else if is_broken {
-            self.stop_run(id, task, "another member of its gang is over", now);
+            self.stop_run(id, task, "the job has ended", now);
+        } else if is_gang_incomplete {
+            self.stop_run(id, task, "another member of its gang has ended", now);
         }
     }
 
@@ -157,7 +164,7 @@
             restored: false,
             suspicion: self.suspicion(&running.task),
         };
-        run.note_running(running, self.incarnation_of(id), now.at);
+        run.record_running(running, self.incarnation_of(id), now.at);
         run
     }
 }
--- a/crates/stairstall-core/src/batch/planner/advice.rs
+++ b/crates/stairstall-core/src/batch/planner/advice.rs
@@ -1,4 +1,4 @@
-//! Steps that an outside adviser lets only some workers run.
+//! Requests to the external adviser, which decides which workers may run a step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,85 +8,87 @@
 use crate::batch::{AdvicePolicy, GroupKey};
 use crate::{Timestamp, WorkerId};
 
-/// A question to the adviser.
+/// A request to the adviser: which of these workers may run this step?
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdviceRequest {
-    /// The step and its time.
+    /// The step and its occurrence.
     pub group: GroupKey,
-    /// The workers that are asked about.
+    /// The workers that the adviser is asked about.
     pub workers: Vec<WorkerId>,
 }
 
-/// What the adviser has said of one step.
+/// The adviser's answers about one step.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Advice {
     tickets: BTreeMap<WorkerId, (String, Timestamp)>,
-    /// Workers that may not run it; that does not change.
+    /// Workers that may not run the step. Only a new incarnation of the worker clears this.
     denied: BTreeSet<WorkerId>,
-    asked_at: Option<Timestamp>,
-    is_asking: bool,
+    requested_at: Option<Timestamp>,
+    request_pending: bool,
 }
 
 impl Advice {
-    /// Returns the ticket for a worker that holds long enough for a start.
+    /// Returns the ticket for a worker if it stays valid for longer than `margin`.
     pub(super) fn ticket(&self, id: &WorkerId, at: Timestamp, margin: Duration) -> Option<&str> {
         let (ticket, until) = self.tickets.get(id)?;
         (at + margin < *until).then_some(ticket.as_str())
     }
 
-    fn may_ask(&self, at: Timestamp, policy: &AdvicePolicy) -> bool {
-        let pause = if self.is_asking {
+    fn may_request(&self, at: Timestamp, policy: &AdvicePolicy) -> bool {
+        let delay = if self.request_pending {
             policy.answer_timeout
         } else {
             policy.retry_pause
         };
-        self.asked_at.is_none_or(|asked| at - asked >= pause)
+        self.requested_at.is_none_or(|asked| at - asked >= delay)
     }
 }
 
 impl Planner {
-    /// Takes the questions that are to be put to the adviser.
+    /// Drains the requests that are to be sent to the adviser.
     pub fn take_advice_requests(&mut self) -> Vec<AdviceRequest> {
         std::mem::take(&mut self.advice_requests)
     }
 
-    /// Takes the adviser's answer to a question.
+    /// Handles the adviser's answer: `granted` holds the workers that may run the step, with their
+    /// tickets. The other workers of the request are denied.
     pub fn handle_advice(
         &mut self,
         request: &AdviceRequest,
-        good: Vec<(WorkerId, String)>,
+        granted: Vec<(WorkerId, String)>,
         now: Now,
     ) {
         let valid = self.ticket_validity(&request.group).unwrap_or_default();
         let Some(advice) = self.advice_mut(&request.group) else {
             return;
         };
-        advice.is_asking = false;
-        // The ticket holds from the answer on, which came before now.
-        let asked_at = advice.asked_at.unwrap_or(now.at);
+        advice.request_pending = false;
+        // A ticket is valid from the answer on, which came before now. Counting from the request
+        // makes sure that no ticket is used for too long.
+        let requested_at = advice.requested_at.unwrap_or(now.at);
         advice.denied.extend(request.workers.iter().cloned());
-        for (id, ticket) in good {
+        for (id, ticket) in granted {
             advice.denied.remove(&id);
-            advice.tickets.insert(id, (ticket, asked_at + valid));
+            advice.tickets.insert(id, (ticket, requested_at + valid));
         }
         self.replan = true;
     }
 
-    /// Takes word that a question got no answer.
+    /// Handles a request that the adviser did not answer.
     pub fn handle_advice_failure(&mut self, request: &AdviceRequest) {
         if let Some(advice) = self.advice_mut(&request.group) {
-            advice.is_asking = false;
+            advice.request_pending = false;
         }
     }
 
-    /// Takes word that a worker did not take a step's ticket.
+    /// Discards a ticket that the worker refused.
     pub(super) fn drop_ticket(&mut self, key: &GroupKey, id: &WorkerId) {
         if let Some(advice) = self.advice_mut(key) {
             advice.tickets.remove(id);
         }
     }
 
-    /// Forgets what the adviser said of a worker: it holds for one of its lives.
+    /// Discards the adviser's answers about a worker. They apply to one incarnation only.
     pub(super) fn clear_worker_advice(&mut self, id: &WorkerId) {
         let jobs = self.jobs.values_mut().filter(|job| job.outcome.is_none());
         for group in jobs.flat_map(|job| job.occurrences.iter_mut().flatten()) {
@@ -100,14 +102,15 @@
         Some(&mut group.advice)
     }
 
-    /// Returns how long tickets for a step hold; none where it needs none.
+    /// Returns how long tickets for a step stay valid, or `None` if its queue needs no tickets.
     pub(super) fn ticket_validity(&self, key: &GroupKey) -> Option<Duration> {
         let queue = &self.jobs.get(&key.job)?.accepted.queue;
         let newest = self.catalog.queue(&queue.name).unwrap_or(queue);
         newest.ticket_valid_ms.map(Duration::from_millis)
     }
 
-    /// Tells whether a start there would be refused for want of a ticket that holds.
+    /// Returns whether the worker would refuse a start of this step because no valid ticket is
+    /// available.
     pub(super) fn lacks_ticket(&self, id: &WorkerId, key: &GroupKey, now: Now) -> bool {
         let margin = self.policy.advice.ticket_margin;
         let group = self.jobs.get(&key.job).and_then(|job| job.group(key));
@@ -115,45 +118,54 @@
             && group.is_some_and(|group| group.advice.ticket(id, now.at, margin).is_none())
     }
 
-    /// Keeps the sites that have a ticket, and asks about others where there are too few.
-    pub(super) fn advised(
+    /// Keeps the workers that have a valid ticket. Requests advice about further workers if fewer
+    /// than `tasks` have one.
+    pub(super) fn filter_by_ticket(
         &mut self,
         key: &GroupKey,
-        mut sites: Vec<CandidateWorker>,
+        mut candidates: Vec<CandidateWorker>,
         tasks: usize,
         now: Now,
     ) -> Vec<CandidateWorker> {
         if self.ticket_validity(key).is_none() {
-            return sites;
+            return candidates;
         }
         let policy = self.policy.advice;
         let margin = policy.ticket_margin;
         let Some(advice) = self.advice_mut(key) else {
             return Vec::new();
         };
-        let has_ticket =
-            |site: &CandidateWorker| advice.ticket(&site.worker, now.at, margin).is_some();
-        let enough = sites.iter().filter(|site| has_ticket(site)).count() >= tasks;
-        let mut unknown: Vec<&CandidateWorker> = sites
+        let has_ticket = |candidate: &CandidateWorker| {
+            advice.ticket(&candidate.worker, now.at, margin).is_some()
+        };
+        let has_enough = candidates
+            .iter()
+            .filter(|candidate| has_ticket(candidate))
+            .count()
+            >= tasks;
+        let mut unasked: Vec<&CandidateWorker> = candidates
             .iter()
-            .filter(|site| !has_ticket(site) && !advice.denied.contains(&site.worker))
+            .filter(|candidate| {
+                !has_ticket(candidate) && !advice.denied.contains(&candidate.worker)
+            })
             .collect();
-        unknown.sort_by_key(|site| (site.penalty, u32::MAX - site.room.accelerators));
-        let workers: Vec<WorkerId> = unknown
+        unasked
+            .sort_by_key(|candidate| (candidate.penalty, u32::MAX - candidate.room.accelerators));
+        let workers: Vec<WorkerId> = unasked
             .iter()
             .take(usize::from(policy.workers_at_once))
-            .map(|site| site.worker.clone())
+            .map(|candidate| candidate.worker.clone())
             .collect();
-        if !enough && !workers.is_empty() && advice.may_ask(now.at, &policy) {
-            advice.asked_at = Some(now.at);
-            advice.is_asking = true;
+        if !has_enough && !workers.is_empty() && advice.may_request(now.at, &policy) {
+            advice.requested_at = Some(now.at);
+            advice.request_pending = true;
             let group = key.clone();
             self.advice_requests.push(AdviceRequest { group, workers });
         }
         let Some(advice) = self.advice_mut(key) else {
             return Vec::new();
         };
-        sites.retain(|site| advice.ticket(&site.worker, now.at, margin).is_some());
-        sites
+        candidates.retain(|candidate| advice.ticket(&candidate.worker, now.at, margin).is_some());
+        candidates
     }
 }
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -1,4 +1,5 @@
-//! What workers are asked, and what their answers and silence say.
+//! Report requests to workers, the handling of their reports, and what happens when they stay
+//! silent.
 
 use crate::time::millis;
 
@@ -10,22 +11,24 @@
 use crate::{Timestamp, WorkerId, ZoneId};
 
 impl Planner {
-    /// Returns what to ask of a worker now; none where there is nothing to ask.
+    /// Returns the next report request for a worker, or `None` if it need not be polled.
     ///
-    /// A deadline counts as sent from this moment on.
+    /// A lease deadline in the request counts as sent from this moment on.
     pub fn hold_request(&mut self, id: &WorkerId, now: Now) -> Option<ReportRequest> {
-        let longest_wait = self.report_wait();
+        let report_wait = self.report_wait();
         let jobs = &self.jobs;
         let worker = self.workers.get_mut(id)?;
-        let forgettable = worker.incarnation_state.acknowledgeable(|job, change| {
+        let acknowledgeable = worker.incarnation_state.acknowledgeable(|job, change| {
             jobs.get(job).is_none_or(|job| job.stored_changes >= change)
         });
         let deadline_ms = worker
             .incarnation_state
             .clock_at(now.at)
             .map(|clock| clock.saturating_add(millis(self.bounds.hold_max)));
-        let last_seen = worker.incarnation_state.next_acknowledgement(forgettable);
-        let request = worker.hold_request(last_seen, deadline_ms, longest_wait)?;
+        let acknowledged_end = worker
+            .incarnation_state
+            .next_acknowledgement(acknowledgeable);
+        let request = worker.hold_request(acknowledged_end, deadline_ms, report_wait)?;
         worker.set_report_pending(true);
         if request.deadline_ms.is_some() {
             worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
@@ -33,7 +36,7 @@
         Some(request)
     }
 
-    /// Returns the workers, and where each listens.
+    /// Returns the IDs and addresses of all workers that have an address.
     pub fn workers(&self) -> impl Iterator<Item = (&WorkerId, &str)> {
         self.workers
             .iter()
@@ -41,7 +44,7 @@
             .map(|(id, w)| (id, w.listed.address.as_str()))
     }
 
-    /// Takes the answer to a request that left at `sent_at`.
+    /// Handles a worker's report: the answer to `request`, which was sent at `sent_at`.
     pub fn handle_worker_report(
         &mut self,
         id: &WorkerId,
@@ -51,13 +54,13 @@
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(id) else {
-            self.take_late_ends(id, &report.ended, now);
+            self.handle_late_run_ends(id, &report.ended, now);
             return;
         };
         if request.token == worker.fence {
             worker.set_report_pending(false);
         }
-        let told = match worker
+        let acknowledged = match worker
             .incarnation_state
             .answer_source(report.incarnation, sent_at)
         {
@@ -71,48 +74,51 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        self.flow.note_report(report.bytes);
+        self.flow.record_report_size(report.bytes);
         worker.incarnation_state.read_clock(report.clock_ms, now.at);
-        worker.incarnation_state.record_acknowledged(told);
+        worker.incarnation_state.record_acknowledged(acknowledged);
         if !worker.is_in_contact() || !worker.incarnation_state.fenced {
             self.replan = true;
         }
         let is_fenced = request.token == worker.fence;
-        let life = &mut worker.incarnation_state;
-        if life.note_report(report.incarnation, is_fenced, now.at) {
+        let incarnation = &mut worker.incarnation_state;
+        if incarnation.note_report(report.incarnation, is_fenced, now.at) {
             self.last_new_report_at = Some(now.at);
         }
-        let was_silent = !worker.is_in_contact();
-        if was_silent {
+        let was_unresponsive = !worker.is_in_contact();
+        if was_unresponsive {
             worker.contact_restored_at = Some(now.at);
         }
         worker.set_contact(true);
         worker.incarnation_state.left_unannounced = !worker.is_listed;
-        let silent_under = std::mem::take(&mut worker.lost_tasks);
-        let seen = worker.incarnation_state.last_end_seen;
-        let mut absent = worker.expected_in(is_fenced, sent_at);
+        let lost_tasks = std::mem::take(&mut worker.lost_tasks);
+        let last_end_seen = worker.incarnation_state.last_end_seen;
+        let mut absent = worker.tasks_expected_in_report(is_fenced, sent_at);
         for running in &report.running {
             absent.retain(|task| *task != running.task);
-            self.take_running(id, running, now);
+            self.handle_running_task(id, running, now);
         }
-        let news = report.ended.into_iter().filter(|end| end.number > seen);
-        for end in news {
+        let new_ends = report
+            .ended
+            .into_iter()
+            .filter(|end| end.number > last_end_seen);
+        for end in new_ends {
             absent.retain(|task| *task != end.task);
-            self.take_end(id, &end, now);
+            self.handle_run_end(id, &end, now);
         }
-        if was_silent {
+        if was_unresponsive {
             self.mark_timelines_changed_at(id);
         }
-        self.settle_silence(id, &silent_under, now);
+        self.resolve_silence(id, &lost_tasks, now);
         if !report.truncated {
-            self.take_absent(id, absent, now);
+            self.handle_missing_runs(id, absent, now);
         }
         self.update_timelines(now);
         self.remove_if_gone(id, now);
     }
 
-    /// Takes runs for over that a report should have named.
-    fn take_absent(&mut self, id: &WorkerId, mut absent: Vec<TaskKey>, now: Now) {
+    /// Ends runs that a complete report should have listed but did not.
+    fn handle_missing_runs(&mut self, id: &WorkerId, mut absent: Vec<TaskKey>, now: Now) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -131,7 +137,7 @@
             self.handle_unconfirmed_start(id, &task, now);
         }
         for task in absent {
-            let why = "the worker does not know it";
+            let why = "the worker's report does not list it";
             self.end_unreported_run(id, &task, RunEndKind::LeaseExpired, why, now);
         }
     }
@@ -149,8 +155,8 @@
 
     /// Handles a run that its worker does not confirm while its start may still be carried out.
     ///
-    /// Releases the room of a run that is being stopped; otherwise stops the run's gang, if it has
-    /// one.
+    /// Releases the resources of a run that is being stopped; otherwise stops the run's gang, if it
+    /// has one.
     fn handle_unconfirmed_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -166,7 +172,7 @@
         }
     }
 
-    /// Takes word that a worker did not answer.
+    /// Handles a report request that the worker did not answer.
     pub fn handle_report_failure(&mut self, id: &WorkerId, now: Now) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.set_report_pending(false);
@@ -188,7 +194,8 @@
         })
     }
 
-    /// Gives a worker nothing new until it answers; with several of a zone, the whole zone.
+    /// Marks a worker as unresponsive: it gets no new work until it answers. If enough workers of
+    /// its zone are unresponsive, the whole zone is polled before it gets new work.
     pub(super) fn mark_unresponsive(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -200,21 +207,21 @@
         let zone = worker.listed.zone.clone();
         self.workers_to_poll.push(id.clone());
         self.mark_timelines_changed_at(id);
-        self.decisions
-            .push(Decision::of_worker(id, "it does not answer"));
+        self.decisions.push(Decision::of_worker(id, "unresponsive"));
         let of_zone = |w: &&Worker| w.is_listed && w.listed.zone == zone;
-        let silent = self.workers.values().filter(of_zone);
-        let silent = silent.filter(|w| !w.is_in_contact()).count();
-        if silent >= usize::from(self.policy.health.suspect_zone_workers) {
-            self.doubt_zone(&zone, now);
+        let unresponsive = self.workers.values().filter(of_zone);
+        let unresponsive = unresponsive.filter(|w| !w.is_in_contact()).count();
+        if unresponsive >= usize::from(self.policy.health.suspect_zone_workers) {
+            self.mark_zone_unresponsive(&zone, now);
         }
     }
 
-    /// Doubts a worker that left an order about a run without an answer, unless it has answered
-    /// anything since the order left: then that order is late, and the worker is not cut off.
+    /// Marks a worker as unresponsive because an order about a run got no answer. If the worker has
+    /// answered anything since the order was sent, only the order is late and the worker can be
+    /// reached, so it is left as it is.
     ///
-    /// Each doubt takes a worker out for a report's time, and three at once a whole zone with all
-    /// places that wait for room there.
+    /// An unresponsive worker gets no work until its next report. Three of them at once do the same
+    /// to the whole zone, with all placements there that wait for free capacity.
     pub(super) fn mark_unresponsive_unless_heard(
         &mut self,
         id: &WorkerId,
@@ -232,54 +239,56 @@
         }
     }
 
-    /// Asks every worker of a zone that has not answered lately before it gets anything new.
-    fn doubt_zone(&mut self, zone: &ZoneId, now: Now) {
-        self.doubt_unheard_where(|worker| worker.listed.zone == *zone, now);
+    /// Polls every worker of a zone that has not answered recently before it gets new work.
+    fn mark_zone_unresponsive(&mut self, zone: &ZoneId, now: Now) {
+        self.mark_unheard_unresponsive_where(|worker| worker.listed.zone == *zone, now);
     }
 
-    /// Asks every idle worker that has not answered lately before it gets anything new, since a start
-    /// has shown that the directory is behind; the others are asked all the time.
+    /// Polls every idle worker that has not answered recently before it gets new work. Called when
+    /// a start outcome shows that the directory is outdated. Workers with runs are polled all the
+    /// time anyway.
     ///
-    /// Otherwise the task goes to one worker after the other whose life is over: four in 45 ms.
+    /// Without this, the task is sent to one worker after another whose incarnation has ended: four
+    /// were seen within 45 ms.
     pub(super) fn mark_unheard_unresponsive(&mut self, now: Now) {
-        self.doubt_unheard_where(|worker| !worker.is_busy(), now);
+        self.mark_unheard_unresponsive_where(|worker| !worker.is_busy(), now);
     }
 
-    fn doubt_unheard_where(&mut self, test: impl Fn(&Worker) -> bool, now: Now) {
-        let heard_lately = self.policy.health.recent_contact;
-        let doubtful = self
+    fn mark_unheard_unresponsive_where(&mut self, test: impl Fn(&Worker) -> bool, now: Now) {
+        let recent_contact = self.policy.health.recent_contact;
+        let unheard = self
             .workers
             .values_mut()
             .filter(|w| w.is_in_contact() && test(w))
             .filter(|w| {
                 w.incarnation_state
                     .last_answer_at
-                    .is_none_or(|at| now.at - at > heard_lately)
+                    .is_none_or(|at| now.at - at > recent_contact)
             });
-        for worker in doubtful {
+        for worker in unheard {
             worker.set_contact(false);
             self.workers_to_poll.push(worker.listed.id.clone());
         }
     }
 
-    /// Takes what runs on silent workers for over once their leases are.
+    /// Ends the runs of unresponsive workers whose leases have expired.
     pub(super) fn expire_leases(&mut self, now: Now) {
-        let over: Vec<(WorkerId, Vec<(TaskKey, Run)>)> = self
+        let expired: Vec<(WorkerId, Vec<(TaskKey, Run)>)> = self
             .workers
             .iter()
             .filter(|(_, w)| !w.is_in_contact() && !w.runs.is_empty())
             .filter(|(_, w)| w.lease_until.is_none_or(|until| now.at > until))
-            .map(|(id, w)| (id.clone(), self.lapsed_runs(w, now)))
+            .map(|(id, w)| (id.clone(), self.expired_runs(w, now)))
             .filter(|(_, runs)| !runs.is_empty())
             .collect();
-        for (id, runs) in over {
+        for (id, runs) in expired {
             self.count_silence(&id, &runs);
             for (task, _) in runs {
                 self.end_unreported_run(
                     &id,
                     &task,
                     RunEndKind::LeaseExpired,
-                    "its lease is over",
+                    "its lease has expired",
                     now,
                 );
             }
@@ -289,34 +298,34 @@
 
     /// Returns the runs that end with the worker's lease: all but those whose start may still be
     /// carried out.
-    fn lapsed_runs(&self, worker: &Worker, now: Now) -> Vec<(TaskKey, Run)> {
+    fn expired_runs(&self, worker: &Worker, now: Now) -> Vec<(TaskKey, Run)> {
         let runs = worker.runs.iter();
         let runs = runs.filter(|(task, run)| !self.waits_for_late_start(task, run, now));
         runs.map(|(task, run)| (task.clone(), run.clone()))
             .collect()
     }
 
-    fn take_running(&mut self, id: &WorkerId, running: &RunningTask, now: Now) {
+    fn handle_running_task(&mut self, id: &WorkerId, running: &RunningTask, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         match worker.runs.get_mut(&running.task) {
             Some(run) if run.number == running.run => {
                 let before = run.state;
-                run.note_running(running, worker.incarnation_state.incarnation, now.at);
-                let has_begun = run.state != before;
+                run.record_running(running, worker.incarnation_state.incarnation, now.at);
+                let has_started = run.state != before;
                 let was_restored = std::mem::take(&mut run.restored);
-                let lasts = run.lasts;
-                self.note_progress(running);
-                if has_begun {
+                let long_running = run.lasts;
+                self.record_progress(running);
+                if has_started {
                     self.mark_timeline_changed(&running.task.group.job);
-                    self.note_taken(&running.task, running.run);
+                    self.record_start_confirmed(&running.task, running.run);
                 }
-                if lasts {
-                    self.note_at_work(id, &running.task, now);
+                if long_running {
+                    self.clear_losses_once_proven(id, &running.task, now);
                 }
                 if was_restored {
-                    self.confirm_restored(id, &running.task, now);
+                    self.check_restored_run(id, &running.task, now);
                 }
             }
             Some(run) if run.number > running.run => {}
@@ -324,7 +333,7 @@
         }
     }
 
-    pub(super) fn note_progress(&mut self, running: &RunningTask) {
+    pub(super) fn record_progress(&mut self, running: &RunningTask) {
         let key = &running.task.group;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -345,10 +354,13 @@
 }
 
 impl Worker {
-    /// Names runs that the answer to a request sent at `sent_at` must list if they are there: those for which
-    /// this life had answered, and those meant for an earlier one, which it starts no more once it has
-    /// seen its own token.
-    fn expected_in(&self, is_fenced: bool, sent_at: Timestamp) -> Vec<TaskKey> {
+    /// Returns the tasks whose runs must be listed in the answer to a request sent at `sent_at`, if
+    /// the worker has them.
+    ///
+    /// These are the runs about which this incarnation had answered before the request, and, if the
+    /// report is fenced, the runs that were sent to an earlier incarnation: once a worker has seen
+    /// its own token, it no longer starts those.
+    fn tasks_expected_in_report(&self, is_fenced: bool, sent_at: Timestamp) -> Vec<TaskKey> {
         self.tasks_where(|run| {
             if run.fence == self.fence {
                 run.answered_at.is_some_and(|at| at < sent_at)
@@ -360,7 +372,7 @@
 }
 
 impl Run {
-    pub(super) fn note_running(
+    pub(super) fn record_running(
         &mut self,
         running: &RunningTask,
         by: Option<Incarnation>,
--- a/crates/stairstall-core/src/batch/planner/crashes.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes.rs
@@ -1,9 +1,10 @@
-//! Which tasks workers have crashed under, and when such a task is given up.
+//! Counts worker crashes per task and fails jobs whose tasks keep crashing workers.
 //!
-//! A worker that crashes lists no end of what ran there: only the loss itself tells of work that
-//! crashes its workers. So each loss is counted before the task starts again, and the count lasts
-//! with the job's progress. A worker that is silent beyond its lease may be cut off only: what it had is
-//! counted at once, and taken back when that life of the worker answers.
+//! A crashed worker reports no ends for its runs, so the loss of the worker is the only sign that a
+//! task crashes its workers. Each loss is counted before the task starts again, and the counts are
+//! stored with the job's progress. A worker that is silent beyond its lease may only have
+//! lost its connection: its tasks are counted at once, and the counts are retracted when the same
+//! incarnation answers again.
 
 use super::job::Task;
 use super::pool::{Run, RunState};
@@ -15,59 +16,58 @@
 mod isolation;
 
 impl Planner {
-    /// Counts a crash against the tasks that a worker whose life is over may have crashed under;
-    /// returns them.
+    /// Counts a crash against the tasks that may have crashed a worker whose incarnation has ended.
+    /// Returns these tasks.
     pub(super) fn count_crash(
         &mut self,
         id: &WorkerId,
-        heard_at: Option<Timestamp>,
+        last_answer_at: Option<Timestamp>,
         runs: &[(TaskKey, Run)],
     ) -> Vec<TaskKey> {
-        let blamed = self.blamed(heard_at, runs);
-        for (task, answered) in &blamed {
-            self.change_losses(task, |losses| losses.record_crash(*answered));
+        let crash_suspects = self.crash_suspects(last_answer_at, runs);
+        for (task, was_running) in &crash_suspects {
+            self.update_losses(task, |losses| losses.record_crash(*was_running));
         }
-        self.tell_losses(id, runs);
-        blamed.into_iter().map(|(task, _)| task).collect()
+        self.log_losses(id, runs);
+        crash_suspects.into_iter().map(|(task, _)| task).collect()
     }
 
-    /// Counts the silence of a worker beyond its lease against the tasks that it may have crashed
-    /// under.
+    /// Counts the silence of a worker beyond its lease against the tasks that may have crashed it.
     pub(super) fn count_silence(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)]) {
         let Some(worker) = self.workers.get(id).filter(|worker| !worker.is_leaving()) else {
             return;
         };
-        let blamed = self.blamed(worker.incarnation_state.last_answer_at, runs);
-        for (task, answered) in &blamed {
+        let crash_suspects = self.crash_suspects(worker.incarnation_state.last_answer_at, runs);
+        for (task, was_running) in &crash_suspects {
             let silent = SilentWorker {
                 worker: id.clone(),
                 incarnation: self.run_at(id, task).and_then(|run| run.incarnation),
-                start_confirmed: *answered,
+                start_confirmed: *was_running,
             };
-            self.change_losses(task, |losses| losses.silent.push(silent));
+            self.update_losses(task, |losses| losses.silent.push(silent));
         }
-        self.tell_losses(id, runs);
+        self.log_losses(id, runs);
         if let Some(worker) = self.workers.get_mut(id) {
             worker
                 .lost_tasks
-                .extend(blamed.into_iter().map(|(task, _)| task));
+                .extend(crash_suspects.into_iter().map(|(task, _)| task));
         }
     }
 
-    /// Takes back what was counted against tasks because of a worker that did not crash.
+    /// Retracts the counts against tasks that were caused by a worker that did not crash.
     pub(super) fn retract_losses(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
-            self.change_losses(task, |losses| {
+            self.update_losses(task, |losses| {
                 losses.take_silent(id);
             });
         }
         self.replan |= !tasks.is_empty();
     }
 
-    /// Takes a silent worker for crashed.
+    /// Counts a silent worker as crashed.
     pub(super) fn confirm_crashes(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
-            self.change_losses(task, |losses| {
+            self.update_losses(task, |losses| {
                 for silent in losses.take_silent(id) {
                     losses.record_crash(silent.start_confirmed);
                 }
@@ -75,19 +75,19 @@
         }
     }
 
-    /// Settles what was counted because of a worker's silence, now that a life of it is heard: that
-    /// life did not crash, one before it did.
-    pub(super) fn settle_silence(&mut self, id: &WorkerId, tasks: &[TaskKey], now: Now) {
+    /// Resolves the counts from a worker's silence when an incarnation of it answers: the answering
+    /// incarnation did not crash, an earlier one did.
+    pub(super) fn resolve_silence(&mut self, id: &WorkerId, tasks: &[TaskKey], now: Now) {
         let Some(worker) = self.workers.get(id).filter(|_| !tasks.is_empty()) else {
             return;
         };
-        let life = worker.incarnation_state.clone();
+        let incarnation = worker.incarnation_state.clone();
         for task in tasks {
-            self.change_losses(task, |losses| {
+            self.update_losses(task, |losses| {
                 let settled = losses.take_silent(id);
                 let crashed = settled
                     .iter()
-                    .filter(|silent| life.differs_from(silent.incarnation));
+                    .filter(|silent| incarnation.differs_from(silent.incarnation));
                 crashed.for_each(|silent| losses.record_crash(silent.start_confirmed));
             });
         }
@@ -95,14 +95,15 @@
         self.fail_crashing_jobs(tasks, now);
     }
 
-    /// Fails the jobs of those tasks that workers crash under again and again: each further start
-    /// would take another worker down, with all that runs there.
+    /// Fails the jobs of tasks that keep crashing workers. Each further start would take down
+    /// another worker with everything that runs on it.
     pub(super) fn fail_crashing_jobs(&mut self, tasks: &[TaskKey], now: Now) {
         for task in tasks {
             let job = &task.group.job;
             let is_open = self.jobs.get(job).is_some_and(|job| job.outcome.is_none());
             let losses = self.task(task).map(|task| &task.losses);
-            if let Some(losses) = losses.filter(|losses| is_open && self.is_too_much(losses)) {
+            if let Some(losses) = losses.filter(|losses| is_open && self.reaches_loss_limit(losses))
+            {
                 let TaskLosses {
                     crashes,
                     unanswered,
@@ -116,33 +117,33 @@
         }
     }
 
-    /// Forgets the losses of a task that is to last and has now been at work for long: workers crash
-    /// by themselves now and then.
-    pub(super) fn note_at_work(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    /// Clears the losses of a long-running task whose run has worked for long enough, because
+    /// workers also crash now and then without a fault of the task.
+    pub(super) fn clear_losses_once_proven(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let forgiven_after = self.policy.health.crashes_forgiven_after;
-        let has_lasted = self.run_at(id, task).is_some_and(|run| {
+        let has_run_long = self.run_at(id, task).is_some_and(|run| {
             run.began
                 .is_some_and(|(at, _)| now.at - at >= forgiven_after)
         });
         let has_losses = |task: &Task| !task.losses.is_empty();
-        if has_lasted && self.task(task).is_some_and(has_losses) {
-            self.change_losses(task, |losses| *losses = TaskLosses::default());
+        if has_run_long && self.task(task).is_some_and(has_losses) {
+            self.update_losses(task, |losses| *losses = TaskLosses::default());
         }
     }
 
-    /// Takes the losses that an earlier planner could not settle.
+    /// Restores the losses that an earlier planner could not resolve.
     pub(super) fn restore_losses(&mut self, job: &JobId, progress: &Progress, now: Now) {
         for (key, group) in progress.unfinished_groups(job) {
             for (index, losses) in &group.losses {
                 for silent in &losses.silent {
-                    let worker = self.recorded_worker(&silent.worker, now);
+                    let worker = self.get_or_insert_worker(&silent.worker, now);
                     worker.lost_tasks.push(key.task(*index));
                 }
             }
         }
     }
 
-    fn change_losses(&mut self, task: &TaskKey, change: impl FnOnce(&mut TaskLosses)) {
+    fn update_losses(&mut self, task: &TaskKey, change: impl FnOnce(&mut TaskLosses)) {
         let key = &task.group;
         let job = self.jobs.get_mut(&key.job);
         let Some(job) = job.filter(|job| job.outcome.is_none()) else {
@@ -156,10 +157,10 @@
         self.changed.insert(key.job.clone());
     }
 
-    /// Says which runs were lost with their worker, and how much their tasks have used up of what they
-    /// may.
-    fn tell_losses(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)]) {
-        let most = self.policy.health.max_crashes;
+    /// Logs a decision for each run that was lost with its worker, with the failures and crashes of
+    /// its task so far and their limits.
+    fn log_losses(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)]) {
+        let max_crashes = self.policy.health.max_crashes;
         for (task, run) in runs.iter().filter(|(_, run)| run.was_started()) {
             let failures = self.failures(task);
             let attempts = self.attempts(&task.group.job).unwrap_or(0);
@@ -173,7 +174,7 @@
             let percent = run.percent;
             let why = format!(
                 "lost with its worker at {percent} percent; {failures} of {attempts} failures, \
-                 {crashes} of {most} crashes so far, {unanswered} without an answer, {silent} workers silent"
+                 {crashes} of {max_crashes} crashes so far, {unanswered} without an answer, {silent} workers silent"
             );
             let loss = Decision::of_run(DecisionKind::Loss, task, run.number, id, why);
             self.decisions.push(loss);
@@ -185,21 +186,21 @@
         group.tasks.get(task.index as usize)
     }
 
-    /// Tells whether a task with such losses is given up.
-    const fn is_too_much(&self, losses: &TaskLosses) -> bool {
+    /// Returns whether a task with these losses has reached a limit, so that its job fails.
+    const fn reaches_loss_limit(&self, losses: &TaskLosses) -> bool {
         let health = &self.policy.health;
         let all = losses.crashes.saturating_add(losses.unanswered);
         losses.crashes >= health.max_crashes || all >= health.max_losses
     }
 
-    /// Tells whether a task must not start until it is known whether workers have crashed under it.
+    /// Returns whether a task must not start until it is known whether it has crashed workers.
     pub(super) fn is_blocked_by_losses(&self, task: &Task) -> bool {
-        self.is_too_much(&task.losses.assuming_crashed())
+        self.reaches_loss_limit(&task.losses.assuming_crashed())
     }
 }
 
 impl Run {
-    /// Tells whether a start of it was sent.
+    /// Returns whether a start order for this run was sent.
     pub(super) fn was_started(&self) -> bool {
         self.state != RunState::Planned
     }
--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -1,7 +1,7 @@
-//! How much the planner says to workers and hears from them, so that its own VM keeps up.
+//! Flow control between the planner and its workers, so that the planner's own VM keeps up.
 //!
-//! A link that is full delays every answer: starts count as unanswered and are sent again,
-//! reports come too late and leases lapse, all of which fills the link further.
+//! A saturated link delays every answer: starts count as unanswered and are resent, reports arrive
+//! late and leases expire. All of this adds load to the link.
 
 use std::time::Duration;
 
@@ -11,30 +11,30 @@
 use super::{Now, Planner, VmLimits};
 use crate::batch::FlowPolicy;
 
-/// Weight of the newest report in the mean length, as a divisor.
-const REPORT_WEIGHT: u32 = 16;
+/// Divisor for the weight of the newest report in the running mean of report sizes.
+const MEAN_WEIGHT_DIVISOR: u32 = 16;
 
-/// How far the planner keeps up with its workers at one moment.
+/// How well the planner keeps up with its workers at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ContactLag {
-    /// Workers that do not answer.
+    /// Listed workers that do not answer.
     pub silent: usize,
-    /// How long ago the answering worker with runs that was heard longest ago was heard.
+    /// Age of the oldest last report among the responsive workers that have runs.
     pub oldest_report: Duration,
-    /// How long workers are told to wait for an end before they report.
+    /// How long workers are told to wait for a run to end before they report.
     pub report_wait: Duration,
-    /// Starts that wait for an answer or for their places' record.
+    /// Starts that wait for an answer, or for their placement to be stored.
     pub starts_under_way: usize,
 }
 
-/// What this VM can carry, and what a report has been seen to take of it.
+/// Capacity of this VM, and the measured size of reports.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FlowControl {
     limits: VmLimits,
-    /// Mean length of the reports' bodies so far, in bytes.
+    /// Running mean of the sizes of report bodies, in bytes.
     report_bytes: u32,
-    /// Whether something that has room waits until starts are answered.
-    holds_back_starts: bool,
+    /// Whether tasks that have free capacity wait until earlier starts are answered.
+    starts_limited: bool,
 }
 
 impl FlowControl {
@@ -42,28 +42,28 @@
         self.limits = limits;
     }
 
-    pub(super) const fn note_report(&mut self, bytes: u32) {
-        let kept = self.report_bytes - self.report_bytes / REPORT_WEIGHT;
-        self.report_bytes = kept.saturating_add(bytes / REPORT_WEIGHT);
+    pub(super) const fn record_report_size(&mut self, bytes: u32) {
+        let older = self.report_bytes - self.report_bytes / MEAN_WEIGHT_DIVISOR;
+        self.report_bytes = older.saturating_add(bytes / MEAN_WEIGHT_DIVISOR);
     }
 
-    /// Returns how many reports a second this VM may take.
+    /// Returns how many reports per second this VM can take.
     fn reports_per_s(&self, policy: &FlowPolicy) -> u64 {
         let bytes = u64::from(policy.message_bytes) + u64::from(self.report_bytes);
-        let by_link =
+        let link_reports_per_s =
             self.limits.link_bytes_per_s * u64::from(policy.reports_percent) / 100 / bytes;
-        by_link.min(self.by_processor(policy)).max(1)
+        link_reports_per_s.min(self.messages_per_s(policy)).max(1)
     }
 
-    /// Returns how many starts may be without an answer.
+    /// Returns how many starts may be unanswered at the same time.
     fn start_window(&self, policy: &FlowPolicy) -> u64 {
         let per_s = self.limits.link_bytes_per_s / u64::from(policy.start_bytes);
-        let per_s = per_s.min(self.by_processor(policy));
+        let per_s = per_s.min(self.messages_per_s(policy));
         per_s * u64::try_from(policy.start_window.as_millis()).unwrap_or(u64::MAX) / 1000
     }
 
-    /// Returns how many messages a second the processor takes in the part that is theirs.
-    fn by_processor(&self, policy: &FlowPolicy) -> u64 {
+    /// Returns how many messages per second fit into the share of the CPU that is meant for them.
+    fn messages_per_s(&self, policy: &FlowPolicy) -> u64 {
         let percent = u64::from(self.limits.cpu_percent) * u64::from(policy.processor_percent);
         let us_per_s = percent * 1_000_000 / 10_000;
         us_per_s / u64::from(policy.message_us)
@@ -71,24 +71,26 @@
 }
 
 impl Planner {
-    /// Returns how long a worker may wait for an end before it reports: the more often it
-    /// reports, the sooner trouble shows there, and the longer its leases outlast a cut.
+    /// Returns how long a worker may wait for a run to end before it reports. The more often
+    /// workers report, the sooner problems become visible, and the longer their leases outlast a
+    /// network partition.
     pub(super) fn report_wait(&self) -> Duration {
         let policy = &self.policy.reports;
         let workers = u32::try_from(self.workers.len()).unwrap_or(u32::MAX);
-        let carried = self.flow.reports_per_s(&self.policy.flow);
-        let per_s = u32::try_from(carried)
+        let affordable = self.flow.reports_per_s(&self.policy.flow);
+        let per_s = u32::try_from(affordable)
             .unwrap_or(u32::MAX)
             .min(policy.reports_per_s);
         (Duration::from_secs(1) * workers / per_s).clamp(policy.shortest_wait, policy.longest_wait)
     }
 
-    /// Returns how many of `count` tasks may be placed now, of a gang all or none: work that is
+    /// Returns how many of `count` tasks may be placed now; for a gang all or none. Work that is
     /// not urgent is placed no faster than its starts are answered.
     ///
-    /// A gang that the window is too full for is not passed by what comes after it, or a wide one
-    /// would never start; one wider than the window goes out when nothing else is under way.
-    pub(super) fn startable(
+    /// A gang that does not fit into the rest of the window blocks later candidates, since a wide
+    /// gang would otherwise never start. A gang wider than the whole window starts once no other
+    /// start is in flight.
+    pub(super) fn startable_count(
         &mut self,
         candidate: &Candidate,
         gang: bool,
@@ -105,7 +107,7 @@
             .get_or_insert_with(|| self.starts_under_way());
         let left = window.saturating_sub(under_way);
         let fits = count <= left || under_way == 0;
-        let startable = match (gang, fits) {
+        let startable_count = match (gang, fits) {
             (true, true) => count,
             (true, false) => {
                 pass.starts_in_flight = Some(under_way.max(window));
@@ -113,19 +115,19 @@
             }
             (false, _) => count.min(left),
         };
-        self.flow.holds_back_starts |= startable < count;
-        startable
+        self.flow.starts_limited |= startable_count < count;
+        startable_count
     }
 
-    /// Notes that a start got its answer, or none in time: others may go out.
-    pub(super) const fn note_start_answered(&mut self) {
-        if self.flow.holds_back_starts {
-            self.flow.holds_back_starts = false;
+    /// Records that a start was answered or timed out, so that further starts may be sent.
+    pub(super) const fn record_start_answered(&mut self) {
+        if self.flow.starts_limited {
+            self.flow.starts_limited = false;
             self.replan = true;
         }
     }
 
-    /// Returns how far it keeps up with its workers.
+    /// Returns how well the planner keeps up with its workers.
     #[must_use]
     pub fn contact_lag(&self, now: Now) -> ContactLag {
         let listed = self.workers.values().filter(|w| w.is_listed);
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Counts the runs that wait for the answer to their start, or for their place to be written
-    /// down; not those that wait for others to give way.
+    /// Counts the runs that wait for an answer to their start, or for their placement to be stored.
+    /// Runs that wait for preempted work to stop do not count.
     fn starts_under_way(&self) -> usize {
         let runs = self
             .workers
--- a/crates/stairstall-core/src/batch/planner/placement.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a step are put.
+//! Placement of a step's waiting tasks on workers.
 
 use std::time::Duration;
 
@@ -17,12 +17,13 @@
 mod scope;
 
 pub(super) use choose::PlacementChoice;
-use choose::{allowed, search};
+use choose::{allowed_count, search};
 use cost::PaceCosts;
 pub(super) use reservations::Reservation;
 
 impl Planner {
-    /// Gives places to the waiting tasks of a step, as far as there are any.
+    /// Places the waiting tasks of a step as far as workers are found, and reserves workers for a
+    /// gang that has waited too long.
     pub(super) fn place_step(&mut self, candidate: &Candidate, pass: &mut Pass, now: Now) {
         let key = &candidate.key;
         let Some((step, group)) = self
@@ -44,28 +45,28 @@
             if waiting.is_empty() {
                 break;
             }
-            let count = allowed(&step, waiting.len(), allowance);
-            let count = self.startable(candidate, step.gang, count, pass);
+            let count = allowed_count(&step, waiting.len(), allowance);
+            let count = self.startable_count(candidate, step.gang, count, pass);
             if !self.may_fit(candidate, &step, scope, count, pass, now) {
                 continue;
             }
-            let sites = self.sites(candidate, &step, scope, pass, now);
-            let sites = self.advised(key, sites, waiting.len(), now);
-            let choice = search(&step, count, scope, sites, paces.as_ref());
+            let workers = self.candidate_workers(candidate, &step, scope, pass, now);
+            let workers = self.filter_by_ticket(key, workers, waiting.len(), now);
+            let choice = search(&step, count, scope, workers, paces.as_ref());
             let choice = choice.filter(|choice| {
                 self.is_preemption_worthwhile(candidate, &step, choice, pass, now)
             });
             let choice = choice.map(|choice| {
                 let paces = paces.as_ref();
-                let sooner =
-                    self.sooner_by_stops(candidate, &step, scope, &choice, paces, pass, now);
-                sooner.unwrap_or(choice)
+                let with_preemption =
+                    self.search_with_preemption(candidate, &step, scope, &choice, paces, pass, now);
+                with_preemption.unwrap_or(choice)
             });
             if let Some(choice) = choice {
                 let accelerators = step.needs.accelerators * as_u32(choice.places.len());
                 allowance = allowance.saturating_sub(accelerators);
-                let taken: Vec<u32> = waiting.drain(..choice.places.len()).collect();
-                self.settle(candidate, &step, &taken, &choice, scope, now);
+                let placed: Vec<u32> = waiting.drain(..choice.places.len()).collect();
+                self.commit_placement(candidate, &step, &placed, &choice, scope, now);
                 pass.note_placed(choice.places.len(), accelerators);
                 if !choice.victims.is_empty() {
                     pass.invalidate_capacity();
@@ -74,14 +75,14 @@
         }
         let waited = now.at - ready_since;
         if step.gang && !waiting.is_empty() && waited >= self.policy.places.reserve_after {
-            self.hold_back(candidate, &step, &mut pass.reserved, now);
+            self.reserve_workers(candidate, &step, &mut pass.reserved, now);
         }
     }
 
-    /// Finds places for urgent work that would end late at the workers that are free: at faster ones
-    /// where others give way, if what these lose is less than the lateness costs.
-    #[allow(clippy::too_many_arguments, reason = "all that a search needs")]
-    fn sooner_by_stops(
+    /// Searches for faster workers, with preemption, for urgent work that would end late on the
+    /// free workers. Returns them if the preempted work costs less than the lateness.
+    #[allow(clippy::too_many_arguments, reason = "all are inputs of the search")]
+    fn search_with_preemption(
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
@@ -103,9 +104,9 @@
         if !self.may_fit(candidate, step, scope, count, pass, now) {
             return None;
         }
-        let sites = self.sites(candidate, step, scope, pass, now);
-        let sites = self.advised(&candidate.key, sites, count, now);
-        let choice = search(step, count, scope, sites, Some(paces))?;
+        let workers = self.candidate_workers(candidate, step, scope, pass, now);
+        let workers = self.filter_by_ticket(&candidate.key, workers, count, now);
+        let choice = search(step, count, scope, workers, Some(paces))?;
         let is_better = choice.places.len() == count && choice.cost < free.cost;
         let is_in_time = paces.ends_in_time(choice.slowest_factor, self.bounds.stop_max);
         (is_better && is_in_time)
@@ -113,8 +114,8 @@
             .filter(|choice| self.is_preemption_worthwhile(candidate, step, choice, pass, now))
     }
 
-    /// Tells whether looking for places can lead to anything: there must be room, or an adviser
-    /// that is asked before there is.
+    /// Returns whether a search for workers can succeed: there must be capacity, or an adviser,
+    /// which is asked before there is capacity.
     fn may_fit(
         &self,
         candidate: &Candidate,
@@ -129,7 +130,7 @@
             return true;
         }
         let kind = if scope.preempts {
-            CapacityKind::Above(self.spared_for(candidate, now))
+            CapacityKind::Above(self.protected_rank_for(candidate, now))
         } else {
             CapacityKind::Free
         };
@@ -137,8 +138,8 @@
         count > 0 && ceiling.allows(step, as_u32(count), scope)
     }
 
-    /// Returns the rank up to which nothing gives way to a step at this moment.
-    fn spared_for(&self, candidate: &Candidate, now: Now) -> u8 {
+    /// Returns the rank up to which runs are protected from preemption by this step now.
+    fn protected_rank_for(&self, candidate: &Candidate, now: Now) -> u8 {
         let since_accepted = self.since_accepted(&candidate.key, now);
         let waited = self.waiting_time(&candidate.key, now).max(since_accepted);
         self.protected_rank(candidate.rank, waited)
@@ -154,7 +155,7 @@
             .max(crate::time::millis(self.policy.places.min_run_time))
     }
 
-    /// Returns how long a task should take at a worker, in milliseconds.
+    /// Returns the expected run time of a task on a worker, in milliseconds.
     pub(super) fn expected_ms(
         &self,
         key: &GroupKey,
@@ -162,19 +163,19 @@
         id: &WorkerId,
         now: Now,
     ) -> u64 {
-        let usual_ms = crate::time::millis(self.run_time(key, step, now).typical);
-        let here_ms = self.pace_of(id, now).scale_ms(usual_ms);
+        let typical_ms = crate::time::millis(self.run_time(key, step, now).typical);
+        let here_ms = self.pace_of(id, now).scale_ms(typical_ms);
         here_ms * u64::from(self.slowdown(step, id))
     }
 
-    /// Returns how many times as long a step's tasks take at a worker because of its rack.
+    /// Returns the factor by which a step's tasks take longer on a worker because of its rack.
     pub(super) fn slowdown(&self, step: &StepSpec, id: &WorkerId) -> u32 {
         let is_anywhere = step.near_rack.is_none();
         let near = is_anywhere || self.workers.get(id).is_none_or(|w| w.is_near(step));
         if near { 1 } else { self.bounds.far_factor }
     }
 
-    fn sites(
+    fn candidate_workers(
         &self,
         candidate: &Candidate,
         step: &StepSpec,
@@ -184,26 +185,26 @@
     ) -> Vec<CandidateWorker> {
         let key = &candidate.key;
         let urgent = candidate.rank <= URGENT_RANK;
-        let demand = self.demanded_health(key, urgent, self.waiting_time(key, now));
+        let required_health = self.required_health(key, urgent, self.waiting_time(key, now));
         let service = self.service_of(key);
         let job = self.jobs.get(&key.job);
-        let home = job
+        let caller_zone = job
             .and_then(|job| job.accepted.zone.clone())
             .filter(|_| self.policy.places.prefers_callers_zone);
-        let spares = self.spared_for(candidate, now);
+        let protected_rank = self.protected_rank_for(candidate, now);
         let needs = step.reserved_resources();
         let is_advised = self.ticket_validity(key).is_some();
-        let costs = self.place_costs(step, key);
+        let costs = self.placement_costs(step, key);
         if scope.preempts {
             pass.gang_preemption_costs
                 .get_or_insert_with(|| self.gang_preemption_costs(now));
         }
-        let losses = pass
+        let gang_costs = pass
             .gang_preemption_costs
             .as_ref()
             .filter(|_| scope.preempts);
-        let held_back = &pass.reserved;
-        let apart = self.isolation(key, urgent, now);
+        let reserved = &pass.reserved;
+        let isolation = self.isolation(key, urgent, now);
         let knows_paces = self.paces.is_heterogeneous();
         self.workers
             .iter()
@@ -211,10 +212,10 @@
             .filter(|(_, w)| w.takes_tasks() && w.suits(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
             .filter(|(_, w)| w.can_colocate(step))
-            .filter(|(_, w)| apart.allows(w, now.at))
+            .filter(|(_, w)| isolation.allows(w, now.at))
             .filter(|(_, w)| !scope.near || w.is_near(step))
-            .filter(|(id, _)| urgent || self.may_use(candidate, step, id, held_back, now))
-            .filter(|(_, w)| w.is_healthy(demand, now.at))
+            .filter(|(id, _)| urgent || self.may_use_worker(candidate, step, id, reserved, now))
+            .filter(|(_, w)| w.is_healthy(required_health, now.at))
             .map(|(id, w)| CandidateWorker {
                 worker: id.clone(),
                 rack: w.listed.rack.clone(),
@@ -224,7 +225,7 @@
                     w.free()
                 },
                 shortage: w.shortage(),
-                spread_left: spread_left(w, step, key),
+                spread_left: free_task_slots(w, step, key),
                 penalty: costs.of(w, step, now.at),
                 pace: if knows_paces {
                     self.pace_of(id, now)
@@ -232,21 +233,23 @@
                     WorkerPace::UNKNOWN
                 },
                 pace_pending: knows_paces && w.runs.values().any(|run| !run.gang),
-                in_other_zone: home.as_ref().is_some_and(|home| *home != w.listed.zone),
-                victims: losses.map_or_else(Victims::default, |losses| {
-                    Victims::of(w, spares, losses, now.at, &self.policy.victims)
+                in_other_zone: caller_zone
+                    .as_ref()
+                    .is_some_and(|caller_zone| *caller_zone != w.listed.zone),
+                victims: gang_costs.map_or_else(Victims::default, |gang_costs| {
+                    Victims::of(w, protected_rank, gang_costs, now.at, &self.policy.victims)
                 }),
             })
-            .filter(|site| site.spread_left > 0)
+            .filter(|worker| worker.spread_left > 0)
             .collect()
     }
 
-    /// Returns what a worker must have shown before it gets a task of the step.
-    fn demanded_health(&self, key: &GroupKey, urgent: bool, waited: Duration) -> RequiredHealth {
+    /// Returns the health that a worker must have shown to get a task of this step.
+    fn required_health(&self, key: &GroupKey, urgent: bool, waited: Duration) -> RequiredHealth {
         let failures = self.group_of(key).map_or(0, TaskGroup::max_failures);
         let failed_early = self.group_of(key).is_some_and(|group| group.failed_early);
         let attempts = self.attempts(&key.job).unwrap_or(1);
-        if waited > self.suspect_patience(urgent) {
+        if waited > self.suspect_wait_limit(urgent) {
             RequiredHealth::Any
         } else if failed_early && failures + 1 >= attempts {
             RequiredHealth::Proven
@@ -255,8 +258,8 @@
         }
     }
 
-    /// Returns how long work waits for the workers that suit it best after what has gone wrong.
-    pub(super) const fn suspect_patience(&self, urgent: bool) -> Duration {
+    /// Returns how long work waits for the most suitable workers after failures or crashes.
+    pub(super) const fn suspect_wait_limit(&self, urgent: bool) -> Duration {
         if urgent {
             self.policy.places.suspect_wait_urgent
         } else {
@@ -274,8 +277,8 @@
         Some(newest.unwrap_or(queue).service.clone())
     }
 
-    /// Stops the victims and keeps the places.
-    fn settle(
+    /// Stops the preemption victims and records the placement of each task.
+    fn commit_placement(
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
@@ -288,10 +291,10 @@
         for (id, task) in &choice.victims {
             self.record_setback(&task.group.job, Setback::Preempted);
             self.record_preemption(&task.group, now);
-            self.stop_run(id, task, &format!("gives way to {key}"), now);
+            self.stop_run(id, task, &format!("preempted by {key}"), now);
             if let Some(run) = self.run_at(id, task) {
                 let number = run.number;
-                self.stop_gang(task, number, "its gang gives way", now);
+                self.stop_gang(task, number, "its gang is preempted", now);
             }
         }
         let Some(group) = self
@@ -308,7 +311,7 @@
             group.ready_since = None;
         }
         let waited = crate::time::millis(now.at - ready_since);
-        let Some(recorded_by) = self.jobs.get_mut(&key.job).map(Job::record_change) else {
+        let Some(placement_change) = self.jobs.get_mut(&key.job).map(Job::record_change) else {
             return;
         };
         self.changed.insert(key.job.clone());
@@ -316,7 +319,7 @@
         for (index, id) in tasks.iter().zip(&choice.places) {
             let task = key.task(*index);
             let mut run = self.planned_run(candidate, step, id, number, now);
-            run.placement_change = recorded_by;
+            run.placement_change = placement_change;
             run.suspicion = self.suspicion(&task);
             if let Some(job) = self.jobs.get_mut(&key.job)
                 && let Some(group) = job.group_mut(key)
@@ -335,9 +338,9 @@
                 if choice.victims.is_empty() {
                     ""
                 } else {
-                    ", others give way"
+                    ", with preemption"
                 },
-                self.pace_in_words(id, now)
+                self.describe_pace(id, now)
             );
             self.decisions.push(Decision::of_run(
                 DecisionKind::Place,
@@ -351,8 +354,8 @@
         self.commit_usage(candidate, step, tasks.len(), now);
     }
 
-    /// Says the pace that is counted on at a worker, where it is known to differ.
-    fn pace_in_words(&self, id: &WorkerId, now: Now) -> String {
+    /// Describes a worker's pace for the decision log if it differs from the typical one.
+    fn describe_pace(&self, id: &WorkerId, now: Now) -> String {
         let pace = self.pace_of(id, now);
         if pace.differs_from_typical() {
             format!(", pace {:.2}", pace.factor)
@@ -408,23 +411,23 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-fn spread_left(worker: &Worker, step: &StepSpec, key: &GroupKey) -> u32 {
-    let Some(most) = step.max_per_worker else {
+fn free_task_slots(worker: &Worker, step: &StepSpec, key: &GroupKey) -> u32 {
+    let Some(limit) = step.max_per_worker else {
         return u32::MAX;
     };
-    let there = worker.runs.keys().filter(|task| task.group == *key).count();
-    most.saturating_sub(u32::try_from(there).unwrap_or(u32::MAX))
+    let placed = worker.runs.keys().filter(|task| task.group == *key).count();
+    limit.saturating_sub(u32::try_from(placed).unwrap_or(u32::MAX))
 }
 
 impl Run {
-    /// Returns how much longer it should take, in milliseconds: at the pace that it has shown,
-    /// or else by the estimate.
-    pub(super) fn remaining_ms(&self, shown_percent: u8) -> u64 {
+    /// Returns the estimated remaining time in milliseconds: from the run's own progress once it
+    /// has made `min_progress_percent`, otherwise from the estimate.
+    pub(super) fn remaining_ms(&self, min_progress_percent: u8) -> u64 {
         let left = u64::from(100_u8.saturating_sub(self.percent));
         let shown = self.began.and_then(|(began, from)| {
             let gained = self.percent.saturating_sub(from);
             let worked_ms = crate::time::millis(self.reported_at - began);
-            (gained >= shown_percent).then(|| worked_ms * left / u64::from(gained))
+            (gained >= min_progress_percent).then(|| worked_ms * left / u64::from(gained))
         });
         shown.unwrap_or(self.expected_ms * left / 100)
     }
--- a/crates/stairstall-core/src/batch/planner/placement/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -1,4 +1,4 @@
-//! Which of the suitable places tasks are given.
+//! Choice of workers for tasks among the suitable candidates.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,30 @@
 use crate::batch::{Resources, StepSpec, TaskKey};
 use crate::{RackId, WorkerId};
 
-/// Places found for tasks, and who has to give way.
+/// The workers chosen for tasks, and the runs that have to be preempted for them.
 #[derive(Debug, Clone, Default)]
 pub(in crate::batch::planner) struct PlacementChoice {
     pub(in crate::batch::planner) cost: u64,
-    /// How many of the places are in another zone than the job's caller.
+    /// How many of the chosen workers are in another zone than the job's caller.
     pub(in crate::batch::planner) in_other_zones: usize,
     pub(in crate::batch::planner) places: Vec<WorkerId>,
     pub(in crate::batch::planner) victims: Vec<(WorkerId, TaskKey)>,
-    /// Factor of the slowest worker among them.
+    /// Pace factor of the slowest chosen worker.
     pub(in crate::batch::planner) slowest_factor: f64,
 }
 
-/// From how many times as slow on workers are of another pace.
-const OTHER_PACE: f64 = 1.25;
-/// Most sets of workers by pace that are tried for a gang.
-const MOST_SETS: usize = 4;
+/// Ratio of pace factors from which on two workers count as differently fast.
+const PACE_GROUP_RATIO: f64 = 1.25;
+/// Maximum number of worker sets, grouped by pace, that are tried for a gang.
+const MAX_PACE_SETS: usize = 4;
 
-/// Finds places for `count` tasks; for a gang all or none. `paces` tells what the pace of workers
-/// costs, where they are not alike.
+/// Chooses workers for up to `count` tasks, or for exactly `count` if the step is a gang. `paces`
+/// is the cost of worker pace; `None` if all workers are equally fast.
 pub(super) fn search(
     step: &StepSpec,
     count: usize,
     scope: SearchScope,
-    sites: Vec<CandidateWorker>,
+    workers: Vec<CandidateWorker>,
     paces: Option<&PaceCosts>,
 ) -> Option<PlacementChoice> {
     if count == 0 {
@@ -38,124 +38,125 @@
     }
     let needs = step.reserved_resources();
     if step.gang && step.same_rack && scope.near {
-        return by_rack(sites)
+        return group_by_rack(workers)
             .into_values()
-            .filter(|sites| might_hold(sites, &needs, count))
-            .filter_map(|sites| choose_by_pace(sites, &needs, count, true, paces))
+            .filter(|workers| may_fit_all(workers, &needs, count))
+            .filter_map(|workers| choose_by_pace(workers, &needs, count, true, paces))
             .min_by_key(|choice| (choice.cost, choice.in_other_zones));
     }
-    choose_by_pace(sites, &needs, count, step.gang, paces)
+    choose_by_pace(workers, &needs, count, step.gang, paces)
 }
 
-/// Chooses places by what the pace of workers costs beside all else.
+/// Chooses workers with the cost of their pace added to all other costs.
 fn choose_by_pace(
-    sites: Vec<CandidateWorker>,
+    workers: Vec<CandidateWorker>,
     needs: &Resources,
     count: usize,
-    whole: bool,
+    all_or_none: bool,
     paces: Option<&PaceCosts>,
 ) -> Option<PlacementChoice> {
     let Some(paces) = paces else {
-        return choose(sites, needs, count, whole, None);
+        return choose(workers, needs, count, all_or_none, None);
     };
-    if whole {
-        return choose_of_one_pace(&sites, needs, count, paces);
+    if all_or_none {
+        return choose_for_gang(&workers, needs, count, paces);
     }
-    let mut sites = sites;
-    for site in &mut sites {
-        site.penalty += paces.of(site, site.pace.factor);
+    let mut workers = workers;
+    for worker in &mut workers {
+        worker.penalty += paces.of(worker, worker.pace.factor);
     }
-    choose(sites, needs, count, false, Some(paces))
+    choose(workers, needs, count, false, Some(paces))
 }
 
-/// Chooses places for a gang, which goes at the pace of its slowest member: the fastest workers are
-/// tried first, then slower ones with them; the cheapest is taken.
-fn choose_of_one_pace(
-    sites: &[CandidateWorker],
+/// Chooses workers for a gang, which runs at the pace of its slowest member. Tries the fastest
+/// workers first, then adds slower ones, and returns the cheapest choice.
+fn choose_for_gang(
+    workers: &[CandidateWorker],
     needs: &Resources,
     count: usize,
     paces: &PaceCosts,
 ) -> Option<PlacementChoice> {
-    let choices = slowest_of_sets(sites).into_iter().filter_map(|slowest| {
-        let mut set: Vec<CandidateWorker> = sites
+    let choices = slowest_factors(workers).into_iter().filter_map(|slowest| {
+        let mut set: Vec<CandidateWorker> = workers
             .iter()
-            .filter(|site| site.pace.factor <= slowest)
+            .filter(|worker| worker.pace.factor <= slowest)
             .cloned()
             .collect();
-        if !might_hold(&set, needs, count) {
+        if !may_fit_all(&set, needs, count) {
             return None;
         }
-        for site in &mut set {
-            site.penalty += paces.of(site, slowest);
+        for worker in &mut set {
+            worker.penalty += paces.of(worker, slowest);
         }
         choose(set, needs, count, true, None)
     });
     choices.min_by_key(|choice| (choice.cost, choice.in_other_zones))
 }
 
-/// Returns the factors of the slowest workers of each set that may be tried, fastest first; the last
-/// has all workers.
-fn slowest_of_sets(sites: &[CandidateWorker]) -> Vec<f64> {
-    let mut factors: Vec<f64> = sites.iter().map(|site| site.pace.factor).collect();
+/// Returns the slowest pace factor of each worker set to try, fastest set first. The last set
+/// contains all workers.
+fn slowest_factors(workers: &[CandidateWorker]) -> Vec<f64> {
+    let mut factors: Vec<f64> = workers.iter().map(|worker| worker.pace.factor).collect();
     factors.sort_by(f64::total_cmp);
     factors.dedup();
     let mut slowest: Vec<f64> = Vec::new();
     let mut first = 0.0;
     for factor in factors {
         match slowest.last_mut() {
-            Some(last) if factor < first * OTHER_PACE => *last = factor,
+            Some(last) if factor < first * PACE_GROUP_RATIO => *last = factor,
             _ => {
                 first = factor;
                 slowest.push(factor);
             }
         }
     }
-    if slowest.len() > MOST_SETS {
-        slowest.drain(MOST_SETS - 1..slowest.len() - 1);
+    if slowest.len() > MAX_PACE_SETS {
+        slowest.drain(MAX_PACE_SETS - 1..slowest.len() - 1);
     }
     slowest
 }
 
-fn by_rack(sites: Vec<CandidateWorker>) -> BTreeMap<RackId, Vec<CandidateWorker>> {
+fn group_by_rack(workers: Vec<CandidateWorker>) -> BTreeMap<RackId, Vec<CandidateWorker>> {
     let mut racks = BTreeMap::<RackId, Vec<CandidateWorker>>::new();
-    for site in sites {
-        racks.entry(site.rack.clone()).or_default().push(site);
+    for worker in workers {
+        racks.entry(worker.rack.clone()).or_default().push(worker);
     }
     racks
 }
 
-/// Tells whether `count` tasks would have room if all that may gave way.
-fn might_hold(sites: &[CandidateWorker], needs: &Resources, count: usize) -> bool {
-    let most = u32::try_from(count).unwrap_or(u32::MAX);
-    let times = sites.iter().map(|site| {
-        let room = site.room.saturating_add(&site.victims.room());
-        needs.copies_in(&room, most.min(site.spread_left))
+/// Returns whether `count` tasks would fit if every possible victim were preempted.
+fn may_fit_all(workers: &[CandidateWorker], needs: &Resources, count: usize) -> bool {
+    let limit = u32::try_from(count).unwrap_or(u32::MAX);
+    let fitting = workers.iter().map(|worker| {
+        let capacity = worker.room.saturating_add(&worker.victims.room());
+        needs.copies_in(&capacity, limit.min(worker.spread_left))
     });
-    times.fold(0_u32, u32::saturating_add) >= most
+    fitting.fold(0_u32, u32::saturating_add) >= limit
 }
 
-/// Returns how many of `count` tasks an allowance of accelerators covers; of a gang all or none.
-pub(super) fn allowed(step: &StepSpec, count: usize, allowance: u32) -> usize {
-    let most = allowance.checked_div(step.needs.accelerators);
-    let most = most.map_or(count, |most| most as usize);
-    if step.gang && most < count {
+/// Returns how many of `count` tasks an accelerator allowance covers; for a gang all or none.
+pub(super) fn allowed_count(step: &StepSpec, count: usize, allowance: u32) -> usize {
+    let limit = allowance.checked_div(step.needs.accelerators);
+    let limit = limit.map_or(count, |limit| limit as usize);
+    if step.gang && limit < count {
         return 0;
     }
-    count.min(most)
+    count.min(limit)
 }
 
-/// What a place for one more task would cost.
+/// The cost of placing one more task on a worker.
 struct Offer {
-    /// Cheaper ones come first: cost, another zone than the caller's, accelerators and processor left.
+    /// Sort key, cheapest first: cost, whether the zone differs from the caller's, then the
+    /// accelerators and CPU that stay free.
     rank: (u64, bool, u32, u32),
-    /// Cost of those that have to give way.
+    /// Cost of the preempted runs.
     cost: u64,
     victims: Vec<TaskKey>,
 }
 
 impl CandidateWorker {
-    /// Notes that a task there will tell the worker's pace.
-    fn explore(&mut self, paces: &PaceCosts) {
+    /// Marks that a task placed on the worker will reveal its pace, and updates the penalty.
+    fn mark_pace_pending(&mut self, paces: &PaceCosts) {
         let factor = self.pace.factor;
         let before = paces.of(self, factor);
         self.pace_pending = true;
@@ -166,8 +167,8 @@
         if self.spread_left == 0 {
             return None;
         }
-        let wanted = needs.saturating_add(&self.shortage);
-        let (cost, victims) = self.victims.select(&wanted, &self.room)?;
+        let required = needs.saturating_add(&self.shortage);
+        let (cost, victims) = self.victims.select(&required, &self.room)?;
         let left = self.room.saturating_sub(needs);
         Some(Offer {
             rank: (
@@ -182,19 +183,20 @@
     }
 }
 
-/// Chooses a place for each of `count` tasks, the cheapest first.
+/// Chooses a worker for each of `count` tasks, cheapest first.
 ///
-/// Only the offers of sites that a choice has changed are made again.
+/// Only the offers of workers that a choice has changed are computed again.
 ///
-/// With `paces` a worker whose pace the first task there will tell is no better than others for the next.
+/// With `paces`, a worker of unknown pace is preferred only for its first task, which already
+/// reveals the pace.
 fn choose(
-    mut sites: Vec<CandidateWorker>,
+    mut workers: Vec<CandidateWorker>,
     needs: &Resources,
     count: usize,
-    whole: bool,
+    all_or_none: bool,
     paces: Option<&PaceCosts>,
 ) -> Option<PlacementChoice> {
-    let mut offers: Vec<Option<Offer>> = sites.iter().map(|site| site.offer(needs)).collect();
+    let mut offers: Vec<Option<Offer>> = workers.iter().map(|worker| worker.offer(needs)).collect();
     let mut choice = PlacementChoice::default();
     for _ in 0..count {
         let ranks = offers.iter().enumerate();
@@ -205,25 +207,25 @@
         let Some(offer) = offers[index].take() else {
             break;
         };
-        choice.cost += offer.cost + sites[index].penalty;
-        choice.in_other_zones += usize::from(sites[index].in_other_zone);
+        choice.cost += offer.cost + workers[index].penalty;
+        choice.in_other_zones += usize::from(workers[index].in_other_zone);
         for victim in offer.victims {
-            for changed in candidate_worker::preempt(&mut sites, index, &victim) {
-                offers[changed] = sites[changed].offer(needs);
+            for changed in candidate_worker::preempt(&mut workers, index, &victim) {
+                offers[changed] = workers[changed].offer(needs);
             }
-            choice.victims.push((sites[index].worker.clone(), victim));
+            choice.victims.push((workers[index].worker.clone(), victim));
         }
-        let site = &mut sites[index];
-        site.room = site.room.saturating_sub(needs);
-        site.spread_left -= 1;
-        choice.slowest_factor = choice.slowest_factor.max(site.pace.factor);
-        choice.places.push(site.worker.clone());
+        let worker = &mut workers[index];
+        worker.room = worker.room.saturating_sub(needs);
+        worker.spread_left -= 1;
+        choice.slowest_factor = choice.slowest_factor.max(worker.pace.factor);
+        choice.places.push(worker.worker.clone());
         if let Some(paces) = paces {
-            site.explore(paces);
+            worker.mark_pace_pending(paces);
         }
-        offers[index] = site.offer(needs);
+        offers[index] = worker.offer(needs);
     }
-    let enough = if whole {
+    let enough = if all_or_none {
         choice.places.len() == count
     } else {
         !choice.places.is_empty()
--- a/crates/stairstall-core/src/batch/planner/placement/reservations.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/reservations.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for gangs that have waited for a while, from a date on.
+//! Reservations: capacity set aside for gangs that have waited for some time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,128 +10,134 @@
 use crate::batch::{GroupKey, Resources, StepSpec, Timeliness};
 use crate::{RackId, Timestamp, WorkerId};
 
-/// How long the workers that were found for a gang are taken for the best ones: what runs there
-/// takes seconds, and to look through 1,100 workers takes 1 ms.
-const FOUND_FOR: Duration = Duration::from_millis(100);
+/// How long a selection of workers for a gang stays valid. Runs take seconds, and searching 1,100
+/// workers takes 1 ms.
+const SELECTION_LIFETIME: Duration = Duration::from_millis(100);
 
-/// How much earlier others must be free to be kept instead: the room must not change hands with each report.
-const WORTH_A_CHANGE: Duration = Duration::from_millis(500);
+/// How much earlier other workers must be free to replace the reserved ones. Otherwise the
+/// reservation would move with each report.
+const MIN_IMPROVEMENT: Duration = Duration::from_millis(500);
 
-/// How long after its date a gang keeps its room although it can't be as timely any more: what runs there
-/// may take a little longer than it should, and to give the room up just then wastes what was kept.
-const KEPT_AFTER_DATE: Duration = Duration::from_secs(1);
+/// How long after its expected start a gang keeps its reservation although it can no longer be as
+/// timely. Runs on the reserved workers may take a little longer than expected, and giving up then
+/// would waste the capacity that was set aside.
+const RESERVATION_GRACE: Duration = Duration::from_secs(1);
 
-/// The workers whose room a waiting gang can have soonest, and from when on.
+/// The workers on which a waiting gang is expected to start earliest, and when.
 #[derive(Debug, Clone)]
 pub(in crate::batch::planner) struct Reservation {
     found_at: Timestamp,
-    /// What the gang was worth to its caller when it was made.
+    /// Timeliness of the gang when the reservation was made.
     timeliness: Timeliness,
     rank: u8,
-    date: Timestamp,
-    /// Until when other work has to end that fills in: the earliest date that it had. What fills in
-    /// until a later one could put it off again and again.
-    filled_until: Timestamp,
+    expected_start: Timestamp,
+    /// Time by which backfill on the workers must end: the earliest expected start so far. With a
+    /// later one, backfill could delay the gang again and again.
+    backfill_until: Timestamp,
     workers: Vec<WorkerId>,
 }
 
-/// Workers for a gang, and when they are free.
-struct Found {
-    free_ms: u64,
+/// Workers for a gang, and the time until they are free.
+struct WorkerSelection {
+    free_in_ms: u64,
     workers: Vec<WorkerId>,
 }
 
 impl Planner {
-    /// Keeps the room that a waiting gang can have soonest from what comes after it.
-    pub(super) fn hold_back(
+    /// Reserves the workers on which a waiting gang can start earliest against work of lower
+    /// precedence.
+    pub(super) fn reserve_workers(
         &mut self,
         candidate: &Candidate,
         step: &StepSpec,
-        held_back: &mut ReservedWorkers,
+        reserved: &mut ReservedWorkers,
         now: Now,
     ) {
         let key = &candidate.key;
         let known = self.reservations.get(key);
-        let most = usize::from(self.policy.places.max_reservations);
-        // What is late already is not worth the work that the room could do while it is kept.
-        let is_timely = candidate.turn.timeliness == Timeliness::InTime;
-        if known.is_none() && (!is_timely || self.reservations.len() >= most) {
+        let limit = usize::from(self.policy.places.max_reservations);
+        // A gang that is already late is not worth the work that the reserved capacity could do.
+        let is_in_time = candidate.turn.timeliness == Timeliness::InTime;
+        if known.is_none() && (!is_in_time || self.reservations.len() >= limit) {
             return;
         }
-        let is_fresh = known.is_some_and(|known| now.at - known.found_at < FOUND_FOR);
+        let is_fresh = known.is_some_and(|known| now.at - known.found_at < SELECTION_LIFETIME);
         if !is_fresh {
-            held_back.workers.retain(|_, holder| holder.gang != *key);
-            let Some(found) = self.soonest_or_kept(candidate, step, held_back) else {
+            reserved.workers.retain(|_, holder| holder.gang != *key);
+            let Some(found) = self.select_workers(candidate, step, reserved) else {
                 self.reservations.remove(key);
                 return;
             };
-            let date = now.at + Duration::from_millis(found.free_ms);
+            let expected_start = now.at + Duration::from_millis(found.free_in_ms);
             let known = self.reservations.get(key);
             let reservation = Reservation {
                 found_at: now.at,
                 timeliness: known.map_or(candidate.turn.timeliness, |known| known.timeliness),
                 rank: candidate.rank,
-                date,
-                filled_until: known.map_or(date, |known| known.filled_until.min(date)),
+                expected_start,
+                backfill_until: known.map_or(expected_start, |known| {
+                    known.backfill_until.min(expected_start)
+                }),
                 workers: found.workers,
             };
             self.reservations.insert(key.clone(), reservation);
         }
         if let Some(reservation) = self.reservations.get(key) {
-            held_back.add(candidate, reservation);
+            reserved.add(candidate, reservation);
         }
     }
 
-    /// Gives up the reservations of gangs that no longer wait, or that have missed their date and can't be
-    /// as timely any more as when it was made, and returns what is kept by the others.
+    /// Drops the reservations of gangs that no longer wait. Also drops those that have missed their
+    /// expected start and can no longer be as timely as when the reservation was made. Returns the
+    /// workers that the others reserve.
     pub(in crate::batch::planner) fn renew_reservations(
         &mut self,
         candidates: &[Candidate],
         now: Now,
     ) -> ReservedWorkers {
-        let mut held_back = ReservedWorkers::default();
-        let keeps_dates = self.policy.places.keeps_reservations;
+        let mut reserved = ReservedWorkers::default();
+        let keeps_reservations = self.policy.places.keeps_reservations;
         self.reservations.retain(|key, reservation| {
             let candidate = candidates.iter().find(|one| one.key == *key);
-            let is_over = now.at > reservation.filled_until + KEPT_AFTER_DATE;
+            let has_passed = now.at > reservation.backfill_until + RESERVATION_GRACE;
             let holds = candidate
-                .is_some_and(|one| one.turn.timeliness <= reservation.timeliness || !is_over);
-            if let Some(candidate) = candidate.filter(|_| holds && keeps_dates) {
-                held_back.add(candidate, reservation);
+                .is_some_and(|one| one.turn.timeliness <= reservation.timeliness || !has_passed);
+            if let Some(candidate) = candidate.filter(|_| holds && keeps_reservations) {
+                reserved.add(candidate, reservation);
             }
             holds
         });
-        held_back
+        reserved
     }
 
-    /// Returns from when on room is kept for a gang.
+    /// Returns when the reserved workers of a gang are expected to be free.
     pub(in crate::batch::planner) fn expected_start(&self, key: &GroupKey) -> Option<Timestamp> {
-        self.reservations.get(key).map(|found| found.date)
+        self.reservations.get(key).map(|found| found.expected_start)
     }
 
-    /// Tells whether a step may have room at a worker: it is not kept for a gang that comes before
-    /// it, or a task surely ends before that gang's date.
-    pub(super) fn may_use(
+    /// Returns whether a step may use a worker: no gang of higher precedence has reserved it, or
+    /// the step's task is certain to end before that gang's expected start.
+    pub(super) fn may_use_worker(
         &self,
         candidate: &Candidate,
         step: &StepSpec,
         id: &WorkerId,
-        held_back: &ReservedWorkers,
+        reserved: &ReservedWorkers,
         now: Now,
     ) -> bool {
-        let Some(holder) = held_back.workers.get(id) else {
+        let Some(holder) = reserved.workers.get(id) else {
             return true;
         };
-        if holder.comes_after(candidate) {
+        if holder.yields_to(candidate) {
             return true;
         }
-        self.ends_before(holder.expected_start, candidate, step, id, now)
+        self.ends_by(holder.expected_start, candidate, step, id, now)
     }
 
-    /// Tells whether a task of a step surely ends at a worker before a date.
-    fn ends_before(
+    /// Returns whether a task of a step is certain to end by a deadline on a worker.
+    fn ends_by(
         &self,
-        date: Timestamp,
+        deadline: Timestamp,
         candidate: &Candidate,
         step: &StepSpec,
         id: &WorkerId,
@@ -140,64 +146,66 @@
         if !self.policy.places.backfills || step.long_running {
             return false;
         }
-        let usual_ms = crate::time::millis(self.run_time(&candidate.key, step, now).p90);
-        let here_ms = self.pace_of(id, now).scale_ms(usual_ms);
-        let takes_ms = here_ms * u64::from(self.slowdown(step, id));
-        now.at + Duration::from_millis(takes_ms) <= date
+        let p90_ms = crate::time::millis(self.run_time(&candidate.key, step, now).p90);
+        let here_ms = self.pace_of(id, now).scale_ms(p90_ms);
+        let expected_ms = here_ms * u64::from(self.slowdown(step, id));
+        now.at + Duration::from_millis(expected_ms) <= deadline
     }
 
-    /// Returns the workers that are free soonest, or those that are kept already if others are not
-    /// free so much sooner.
-    fn soonest_or_kept(
+    /// Returns the workers that are free earliest. Prefers those already reserved unless others are
+    /// free earlier by more than `MIN_IMPROVEMENT`.
+    fn select_workers(
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        held_back: &ReservedWorkers,
-    ) -> Option<Found> {
-        let sites = self.sites_by_date(candidate, step, held_back);
-        let soonest = soonest_of(&sites, step);
-        let kept = self.reservations.get(&candidate.key).and_then(|known| {
-            let kept: BTreeSet<&WorkerId> = known.workers.iter().collect();
-            let mut sites = sites.clone();
-            sites.retain(|site| kept.contains(site.id));
-            soonest_of(&sites, step)
+        reserved: &ReservedWorkers,
+    ) -> Option<WorkerSelection> {
+        let available = self.workers_by_free_time(candidate, step, reserved);
+        let earliest = earliest_selection(&available, step);
+        let current = self.reservations.get(&candidate.key).and_then(|known| {
+            let current: BTreeSet<&WorkerId> = known.workers.iter().collect();
+            let mut available = available.clone();
+            available.retain(|worker| current.contains(worker.id));
+            earliest_selection(&available, step)
         });
-        let change_ms = crate::time::millis(WORTH_A_CHANGE);
-        match (kept, soonest) {
-            (Some(kept), Some(soonest)) if kept.free_ms <= soonest.free_ms + change_ms => {
-                Some(kept)
+        let min_improvement_ms = crate::time::millis(MIN_IMPROVEMENT);
+        match (current, earliest) {
+            (Some(current), Some(earliest))
+                if current.free_in_ms <= earliest.free_in_ms + min_improvement_ms =>
+            {
+                Some(current)
             }
-            (_, soonest) => soonest,
+            (_, earliest) => earliest,
         }
     }
 
-    fn sites_by_date(
+    fn workers_by_free_time(
         &self,
         candidate: &Candidate,
         step: &StepSpec,
-        held_back: &ReservedWorkers,
-    ) -> Vec<DatedSite<'_>> {
+        reserved: &ReservedWorkers,
+    ) -> Vec<WorkerAvailability<'_>> {
         let service = self.service_of(&candidate.key);
-        let shown_percent = self.policy.places.min_progress_percent;
-        let room = step.reserved_resources();
-        let mut sites: Vec<DatedSite<'_>> = self
+        let min_progress_percent = self.policy.places.min_progress_percent;
+        let resources = step.reserved_resources();
+        let mut available: Vec<WorkerAvailability<'_>> = self
             .workers
             .iter()
             .filter(|(_, w)| w.takes_tasks() && w.suits(step) && w.is_near(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
-            .filter(|(id, _)| held_back.is_free_for(id, &candidate.key))
+            .filter(|(id, _)| reserved.is_available_to(id, &candidate.key))
             .filter_map(|(id, w)| {
-                let times = room.copies_in(&w.room_beside_lasting(), step.count);
-                (times > 0).then(|| DatedSite {
-                    busy_ms: w.busy_ms(shown_percent),
+                let task_count = resources.copies_in(&w.capacity_beside_long_running(), step.count);
+                (task_count > 0).then(|| WorkerAvailability {
+                    free_in_ms: w.free_in_ms(min_progress_percent),
                     rack: &w.listed.rack,
                     id,
-                    times: times.min(step.max_per_worker.unwrap_or(u32::MAX)),
+                    task_count: task_count.min(step.max_per_worker.unwrap_or(u32::MAX)),
                 })
             })
             .collect();
-        sites.sort_unstable();
-        sites
+        available.sort_unstable();
+        available
     }
 }
 
@@ -207,14 +215,14 @@
             gang: candidate.key.clone(),
             rank: reservation.rank,
             used: candidate.turn.usage_level,
-            expected_start: reservation.filled_until,
+            expected_start: reservation.backfill_until,
         };
         for id in &reservation.workers {
             self.workers.insert(id.clone(), holder.clone());
         }
     }
 
-    fn is_free_for(&self, id: &WorkerId, key: &GroupKey) -> bool {
+    fn is_available_to(&self, id: &WorkerId, key: &GroupKey) -> bool {
         self.workers
             .get(id)
             .is_none_or(|holder| holder.gang == *key)
@@ -222,9 +230,10 @@
 }
 
 impl ReservationHolder {
-    /// Tells whether a step comes before the gang that room is kept for: it is that gang, of a rank
-    /// before it, the oldest aged one, or of a customer that has had less.
-    fn comes_after(&self, candidate: &Candidate) -> bool {
+    /// Returns whether a step comes before the gang that holds the reservation: it is that gang,
+    /// has a higher rank, is the oldest aged step, or has the same rank and a customer with less
+    /// usage.
+    fn yields_to(&self, candidate: &Candidate) -> bool {
         candidate.key == self.gang
             || candidate.rank < self.rank
             || candidate.turn.is_aged()
@@ -232,42 +241,50 @@
     }
 }
 
-/// A worker, and when all that it has now is over.
+/// A worker, and when all its current runs are expected to have ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct DatedSite<'a> {
-    busy_ms: u64,
+struct WorkerAvailability<'a> {
+    free_in_ms: u64,
     rack: &'a RackId,
     id: &'a WorkerId,
-    /// Tasks that it can hold then.
-    times: u32,
+    /// Number of tasks that fit on it then.
+    task_count: u32,
 }
 
-fn soonest_of(sites: &[DatedSite<'_>], step: &StepSpec) -> Option<Found> {
+fn earliest_selection(
+    available: &[WorkerAvailability<'_>],
+    step: &StepSpec,
+) -> Option<WorkerSelection> {
     let racks: Vec<Option<&RackId>> = if step.same_rack {
-        let racks: BTreeSet<&RackId> = sites.iter().map(|site| site.rack).collect();
+        let racks: BTreeSet<&RackId> = available.iter().map(|worker| worker.rack).collect();
         racks.into_iter().map(Some).collect()
     } else {
         vec![None]
     };
     let found = racks
         .into_iter()
-        .filter_map(|rack| soonest(sites, rack, step.count));
-    found.min_by(|a, b| (a.free_ms, &a.workers).cmp(&(b.free_ms, &b.workers)))
+        .filter_map(|rack| earliest_on_rack(available, rack, step.count));
+    found.min_by(|a, b| (a.free_in_ms, &a.workers).cmp(&(b.free_in_ms, &b.workers)))
 }
 
-/// Returns when `count` tasks could be there, in milliseconds, and the workers for it.
-fn soonest(sites: &[DatedSite<'_>], rack: Option<&RackId>, count: u32) -> Option<Found> {
+/// Returns the workers that can hold `count` tasks earliest, with the time until then in
+/// milliseconds.
+fn earliest_on_rack(
+    available: &[WorkerAvailability<'_>],
+    rack: Option<&RackId>,
+    count: u32,
+) -> Option<WorkerSelection> {
     let mut left = count;
     let mut workers = Vec::new();
-    for site in sites {
-        if rack.is_some_and(|rack| rack != site.rack) {
+    for worker in available {
+        if rack.is_some_and(|rack| rack != worker.rack) {
             continue;
         }
-        workers.push(site.id.clone());
-        left = left.saturating_sub(site.times);
+        workers.push(worker.id.clone());
+        left = left.saturating_sub(worker.task_count);
         if left == 0 {
-            return Some(Found {
-                free_ms: site.busy_ms,
+            return Some(WorkerSelection {
+                free_in_ms: worker.free_in_ms,
                 workers,
             });
         }
@@ -276,19 +293,20 @@
 }
 
 impl Worker {
-    /// Returns how long what it has should still take, in milliseconds, but for what lasts.
-    fn busy_ms(&self, shown_percent: u8) -> u64 {
+    /// Returns the time until all runs except long-running ones are expected to have ended, in
+    /// milliseconds.
+    fn free_in_ms(&self, min_progress_percent: u8) -> u64 {
         let ending = self.runs.values().filter(|run| !run.lasts);
-        let left = ending.map(|run| run.remaining_ms(shown_percent));
+        let left = ending.map(|run| run.remaining_ms(min_progress_percent));
         left.max().unwrap_or(0)
     }
 
-    /// Returns the room that nothing takes once all has ended that will.
-    fn room_beside_lasting(&self) -> Resources {
-        let lasting = self.runs.values().filter(|run| run.lasts);
-        let taken = lasting.fold(Resources::default(), |sum, run| {
+    /// Returns the capacity that is free once all runs except long-running ones have ended.
+    fn capacity_beside_long_running(&self) -> Resources {
+        let long_running = self.runs.values().filter(|run| run.lasts);
+        let occupied = long_running.fold(Resources::default(), |sum, run| {
             sum.saturating_add(&run.room)
         });
-        self.listed.capacity.saturating_sub(&taken)
+        self.listed.capacity.saturating_sub(&occupied)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/placement/scope.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/scope.rs
@@ -1,4 +1,4 @@
-//! Where places for a step are looked for, and when farther away.
+//! Search scopes: near a step's data first, farther away after a wait limit.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::batch::{GroupKey, StepSpec};
 
 impl Planner {
-    /// Returns the scopes to try, in turn.
+    /// Returns the search scopes to try, in this order.
     pub(super) fn scopes(
         &self,
         candidate: &Candidate,
@@ -32,7 +32,7 @@
             });
         }
         let prefers_near = step.near_rack.is_some() || (step.gang && step.same_rack);
-        let patience = if candidate.rank == GUARANTEED_RANK {
+        let wait_limit = if candidate.rank == GUARANTEED_RANK {
             self.policy
                 .places
                 .locality_wait_urgent
@@ -43,7 +43,7 @@
             Duration::from_millis(self.estimate_ms(step))
         };
         let waited = now.at - ready_since;
-        let gives_up = waited >= patience || !self.could_be_near(&candidate.key, step, pass);
+        let gives_up = waited >= wait_limit || !self.could_fit_near(&candidate.key, step, pass);
         if prefers_near && gives_up {
             scopes.push(SearchScope {
                 near: false,
@@ -59,8 +59,9 @@
         scopes
     }
 
-    /// Tells whether the step would fit near its data if nothing else ran.
-    fn could_be_near(&self, key: &GroupKey, step: &StepSpec, pass: &mut Pass) -> bool {
+    /// Returns whether the step would fit near its data if nothing else ran. Only gangs can be too
+    /// large.
+    fn could_fit_near(&self, key: &GroupKey, step: &StepSpec, pass: &mut Pass) -> bool {
         if !step.gang {
             return true;
         }
--- a/crates/stairstall-core/src/batch/planner/run_ends.rs
+++ b/crates/stairstall-core/src/batch/planner/run_ends.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its task, its gang and its job.
+//! Effects of a run's end on its task, its gang and its job.
 
 use std::time::Duration;
 
@@ -9,16 +9,17 @@
 use crate::{JobId, Timestamp, WorkerId};
 
 impl Planner {
-    /// Takes an end that a worker lists; it is told to forget it once the change lasts.
-    pub(super) fn take_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) {
-        let change = self.apply_end(id, end, now);
+    /// Handles a run end that a worker reports. It is acknowledged once the resulting change is
+    /// stored, so that the worker may forget it.
+    pub(super) fn handle_run_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) {
+        let change = self.apply_run_end(id, end, now);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.incarnation_state.note_end(end.number, change);
         }
         self.replan = true;
     }
 
-    fn apply_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) -> Option<(JobId, u64)> {
+    fn apply_run_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) -> Option<(JobId, u64)> {
         self.workers.get(id)?;
         let is_present = self
             .run_at(id, &end.task)
@@ -29,13 +30,13 @@
             None
         };
         let early_failure = self.policy.health.early_failure;
-        let early = run
+        let failed_early = run
             .as_ref()
             .is_some_and(|run| run.failed_early(now.at, early_failure));
-        self.note_health(id, end, early, now);
+        self.record_worker_health(id, end, failed_early, now);
         let detail = run.as_ref().map_or_else(
-            || "it was not expected there".to_owned(),
-            |run| describe(run, now),
+            || "not expected at this worker".to_owned(),
+            |run| describe_progress(run, now),
         );
         self.decisions.push(Decision::of_run(
             DecisionKind::End,
@@ -46,33 +47,33 @@
         ));
         match end.kind {
             RunEndKind::Done => {
-                self.note_span(id, &end.task, run.as_ref(), now);
+                self.record_duration(id, &end.task, run.as_ref(), now);
                 if let Some(run) = &run {
                     self.learn_pace_from_end(id, &end.task, run, now);
                     self.learn_run_time(id, &end.task, run, now);
                 }
-                self.take_done(&end.task, now);
+                self.complete_task(&end.task, now);
             }
             RunEndKind::Failed => {
                 self.record_setback(&end.task.group.job, Setback::Failed);
-                self.take_failure(id, &end.task, end.run, now);
+                self.record_failure(id, &end.task, end.run, now);
             }
             RunEndKind::LeaseExpired => self.record_setback(&end.task.group.job, Setback::Lost),
             _ => {}
         }
-        self.keep_checkpoint(end);
+        self.update_checkpoint(end);
         if let Some(run) = run {
             self.release_task(id, &end.task, &run, end.kind.as_str());
         }
         if end.kind != RunEndKind::Done {
             self.stop_gang(&end.task, end.run, "another member of its gang ended", now);
         }
-        self.last_change(&end.task.group.job)
+        self.latest_change(&end.task.group.job)
     }
 
-    /// Takes the ends that a worker listed which is no longer known: what is done is not started
-    /// again, and what failed counts.
-    pub(super) fn take_late_ends(&mut self, id: &WorkerId, ended: &[RunEnd], now: Now) {
+    /// Handles run ends reported by a worker that is no longer known: finished tasks are not
+    /// started again, and failures count.
+    pub(super) fn handle_late_run_ends(&mut self, id: &WorkerId, ended: &[RunEnd], now: Now) {
         for end in ended {
             if self.task(&end.task).is_none_or(|task| task.done) {
                 continue;
@@ -84,22 +85,23 @@
             let heard = Decision::of_run(DecisionKind::End, &end.task, end.run, id, why);
             self.decisions.push(heard);
             if end.kind == RunEndKind::Done {
-                self.take_done(&end.task, now);
+                self.complete_task(&end.task, now);
             } else {
-                self.take_failure(id, &end.task, end.run, now);
+                self.record_failure(id, &end.task, end.run, now);
             }
             self.replan = true;
         }
     }
 
-    /// Returns the change that must last before an end of the job may be forgotten: also an end
-    /// that changes nothing, as that of another member of a gang, stands for one that did.
-    fn last_change(&self, id: &JobId) -> Option<(JobId, u64)> {
+    /// Returns the change that must be stored before a run end of the job may be acknowledged. An
+    /// end that changes nothing also waits for it, because it may stand for one that did, as with
+    /// another member of a gang.
+    fn latest_change(&self, id: &JobId) -> Option<(JobId, u64)> {
         let job = self.jobs.get(id)?;
         Some((id.clone(), job.change_count))
     }
 
-    fn keep_checkpoint(&mut self, end: &RunEnd) {
+    fn update_checkpoint(&mut self, end: &RunEnd) {
         if end.checkpoint.is_none() {
             return;
         }
@@ -111,11 +113,11 @@
         }
     }
 
-    /// Notes what a run's end says of its worker.
+    /// Records what a run's end says about the health of its worker.
     ///
-    /// Work that fails by its own fault fails at any point; a worker that
-    /// fails all it starts does so at once.
-    fn note_health(&mut self, id: &WorkerId, end: &RunEnd, early: bool, now: Now) {
+    /// A task that fails by its own fault may fail at any point of its work. A worker that fails
+    /// everything it starts does so at once.
+    fn record_worker_health(&mut self, id: &WorkerId, end: &RunEnd, failed_early: bool, now: Now) {
         let policy = self.policy.health;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -131,31 +133,31 @@
                 if !worker.incarnation_state.failed_jobs.contains(job) {
                     worker.incarnation_state.failed_jobs.push(job.clone());
                 }
-                if early
+                if failed_early
                     || worker.incarnation_state.failed_jobs.len() >= usize::from(policy.failed_jobs)
                 {
                     worker.incarnation_state.suspect_until =
                         Some(now.at + policy.suspect_after_failure);
-                    let why = "tasks fail there: nothing new for a while";
+                    let why = "tasks fail on this worker; no new tasks for a while";
                     self.decisions.push(Decision::of_worker(id, why));
                 }
-                if early {
-                    self.note_early_failure(&end.task);
+                if failed_early {
+                    self.record_early_failure(&end.task);
                 }
             }
             _ => {}
         }
     }
 
-    fn note_early_failure(&mut self, task: &TaskKey) {
+    fn record_early_failure(&mut self, task: &TaskKey) {
         let key = &task.group;
         if let Some(group) = self.jobs.get_mut(&key.job).and_then(|j| j.group_mut(key)) {
             group.failed_early = true;
         }
     }
 
-    /// Notes how long a task's whole work took, for the pace of those like it.
-    fn note_span(&mut self, id: &WorkerId, task: &TaskKey, run: Option<&Run>, now: Now) {
+    /// Records how long the whole work of a task took, as a reference for tasks of the same group.
+    fn record_duration(&mut self, id: &WorkerId, task: &TaskKey, run: Option<&Run>, now: Now) {
         let Some((began, from)) = run.and_then(|run| run.began) else {
             return;
         };
@@ -165,30 +167,31 @@
         let Some(slowdown) = step.map(|step| self.slowdown(step, id)) else {
             return;
         };
-        let span = millis(now.at - began) * 100 / done / u64::from(slowdown);
+        let duration_ms = millis(now.at - began) * 100 / done / u64::from(slowdown);
         if let Some(group) = self.jobs.get_mut(&key.job).and_then(|j| j.group_mut(key)) {
-            group.durations_ms.push(span);
+            group.durations_ms.push(duration_ms);
         }
     }
 
-    fn take_done(&mut self, task: &TaskKey, now: Now) {
+    fn complete_task(&mut self, task: &TaskKey, now: Now) {
         let key = &task.group;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        let Some((is_gang, lasts)) = job.step(key).map(|step| (step.gang, step.long_running))
+        let Some((is_gang, long_running)) =
+            job.step(key).map(|step| (step.gang, step.long_running))
         else {
             return;
         };
-        if job.outcome.is_some() || lasts {
+        if job.outcome.is_some() || long_running {
             return;
         }
         let Some(group) = job.group_mut(key) else {
             return;
         };
-        let of_run = |index: usize| is_gang || index == task.index as usize;
+        let is_covered = |index: usize| is_gang || index == task.index as usize;
         let tasks = group.tasks.iter_mut().enumerate();
-        for (_, task) in tasks.filter(|(index, _)| of_run(*index)) {
+        for (_, task) in tasks.filter(|(index, _)| is_covered(*index)) {
             task.done = true;
         }
         job.record_change();
@@ -197,12 +200,12 @@
         if job.is_complete() {
             self.end_job(&key.job, Outcome::Completed, "every task is done", now);
         } else {
-            self.end_other_runs(task, is_gang, now);
+            self.mark_other_runs_redundant(task, is_gang, now);
         }
     }
 
-    /// Marks runs at other workers whose tasks are done with this one.
-    fn end_other_runs(&mut self, task: &TaskKey, is_gang: bool, now: Now) {
+    /// Marks runs on other workers as redundant because their tasks are done with this run.
+    fn mark_other_runs_redundant(&mut self, task: &TaskKey, is_gang: bool, now: Now) {
         let mut others = self.run_index.of_group(&task.group);
         others.retain(|(_, other)| is_gang || other == task);
         for (id, other) in others {
@@ -210,8 +213,9 @@
         }
     }
 
-    /// Notes that a run's task is done: one that was not sent is dropped, members of a gang end by
-    /// themselves soon, others are stopped a little later.
+    /// Handles a run whose task is done by another run. A planned run is dropped. A sent one is
+    /// marked as redundant: members of a gang soon end by themselves, other runs are stopped a
+    /// little later.
     pub(super) fn note_unwanted(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -226,7 +230,7 @@
         }
     }
 
-    fn take_failure(&mut self, id: &WorkerId, task: &TaskKey, run: u32, now: Now) {
+    fn record_failure(&mut self, id: &WorkerId, task: &TaskKey, run: u32, now: Now) {
         let key = &task.group;
         let Some(attempts) = self.attempts(&key.job) else {
             return;
@@ -234,11 +238,12 @@
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
         };
-        let Some((is_gang, lasts)) = job.step(key).map(|step| (step.gang, step.long_running))
+        let Some((is_gang, long_running)) =
+            job.step(key).map(|step| (step.gang, step.long_running))
         else {
             return;
         };
-        if job.outcome.is_some() || lasts {
+        if job.outcome.is_some() || long_running {
             return;
         }
         let Some(group) = job.group_mut(key) else {
@@ -250,7 +255,7 @@
         job.record_change();
         self.changed.insert(key.job.clone());
         if failures >= attempts {
-            let why = format!("{task} failed {failures} of {attempts} times");
+            let why = format!("{task}: {failures} of {attempts} attempts failed");
             self.end_job(&key.job, Outcome::Failed, &why, now);
         }
     }
@@ -266,14 +271,15 @@
         own.map_or(of_gang, |own| own.failures.max(of_gang))
     }
 
-    /// Returns how many runs of a task may fail, by the newest configuration that has its queue.
+    /// Returns how many runs of a task may fail. The newest configuration that has the job's queue
+    /// applies.
     pub(super) fn attempts(&self, id: &JobId) -> Option<u32> {
         let accepted = &self.jobs.get(id)?.accepted;
         let queue = self.catalog.queue(&accepted.queue.name);
         Some(queue.unwrap_or(&accepted.queue).attempts.max(1))
     }
 
-    /// Gives a task whose run is over back to those that wait.
+    /// Returns a task whose run has ended to the waiting state.
     pub(super) fn release_task(&mut self, id: &WorkerId, task: &TaskKey, run: &Run, why: &str) {
         let key = &task.group;
         let Some(group) = self.jobs.get_mut(&key.job).and_then(|j| j.group_mut(key)) else {
@@ -290,7 +296,7 @@
         self.replan = true;
     }
 
-    /// Takes a run for over that its worker does not list.
+    /// Ends a run without a report of its end, because its worker does not list it or is lost.
     pub(super) fn end_unreported_run(
         &mut self,
         id: &WorkerId,
@@ -307,7 +313,7 @@
             task,
             run.number,
             id,
-            format!("{}; {why}; {}", kind.as_str(), describe(&run, now)),
+            format!("{}; {why}; {}", kind.as_str(), describe_progress(&run, now)),
         ));
         if run.state != RunState::Planned {
             let is_lost = kind == RunEndKind::LeaseExpired;
@@ -320,11 +326,16 @@
         }
         self.release_task(id, task, &run, why);
         if run.state != RunState::Planned {
-            self.stop_gang(task, run.number, "another member of its gang is over", now);
+            self.stop_gang(
+                task,
+                run.number,
+                "another member of its gang has ended",
+                now,
+            );
         }
     }
 
-    /// Stops the other members of a gang's run: they can't go on alone.
+    /// Stops the other members of a gang's run, because a gang cannot continue without one of them.
     pub(super) fn stop_gang(&mut self, task: &TaskKey, run: u32, why: &str, now: Now) {
         let key = &task.group;
         let is_gang = self
@@ -347,14 +358,14 @@
 }
 
 impl Run {
-    /// Tells whether a failure now came sooner than the work could have failed by itself.
+    /// Returns whether a run that fails at `at` failed too early for the task to be the cause.
     fn failed_early(&self, at: Timestamp, early_failure: Duration) -> bool {
         self.began
             .is_none_or(|(began, _)| at - began < early_failure)
     }
 }
 
-fn describe(run: &Run, now: Now) -> String {
+fn describe_progress(run: &Run, now: Now) -> String {
     let ran = run.began.map_or(0, |(at, _)| millis(now.at - at));
     format!("{} percent after {ran} ms", run.percent)
 }
--- a/crates/stairstall-core/src/batch/planner/start_outcomes.rs
+++ b/crates/stairstall-core/src/batch/planner/start_outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of starts.
+//! Handling of the outcomes of start orders.
 
 use super::pool::RunState;
 use super::{Now, Order, Planner};
@@ -6,14 +6,14 @@
 use crate::{JobId, Timestamp, WorkerId};
 
 impl Planner {
-    /// Takes what became of a start.
+    /// Handles the outcome of a start order.
     pub fn handle_start_outcome(&mut self, order: &Order, outcome: StartOutcome, now: Now) {
         let id = &order.worker;
         let task = &order.task;
-        self.note_start_answered();
+        self.record_start_answered();
         if outcome == StartOutcome::OtherLife {
             self.drop_unstarted_runs(order, now);
-            self.end_incarnation(id, "another life answered a start", now);
+            self.end_incarnation(id, "another incarnation answered a start", now);
             self.mark_unheard_unresponsive(now);
             return;
         }
@@ -47,36 +47,37 @@
                 run.progressed_at = now.at;
             }
             self.mark_timeline_changed(&task.group.job);
-            self.note_taken(task, order.run);
-            self.note_begun(&task.group.job, now);
+            self.record_start_confirmed(task, order.run);
+            self.record_first_start(&task.group.job, now);
             self.update_timelines(now);
             return;
         }
-        let first_try = run.tries <= 1;
+        let is_first_attempt = run.tries <= 1;
         if run.state == RunState::Starting {
-            self.start_failed(order, outcome, first_try, now);
+            self.handle_failed_start(order, outcome, is_first_attempt, now);
         }
     }
 
-    /// Notes that a task's run was taken; where workers were lost under it before, that is written down.
+    /// Records that the worker confirmed the start of a task's run. The confirmation is stored if
+    /// workers were lost under the task before.
     ///
-    /// A later planner that finds the worker crashed would not know else whether it crashed under the
-    /// task, which would go on to take two more workers down.
-    pub(super) fn note_taken(&mut self, task: &TaskKey, number: u32) {
+    /// Without it, a later planner that finds the worker crashed could not tell whether the crash
+    /// counts against the task. The task would go on to crash two more workers.
+    pub(super) fn record_start_confirmed(&mut self, task: &TaskKey, number: u32) {
         let Some(job) = self.jobs.get_mut(&task.group.job) else {
             return;
         };
         let Some(entry) = job.task_mut(task).filter(|entry| entry.run == number) else {
             return;
         };
-        let is_news = !std::mem::replace(&mut entry.start_confirmed, true);
-        if is_news && !entry.losses.is_empty() {
+        let is_new = !std::mem::replace(&mut entry.start_confirmed, true);
+        if is_new && !entry.losses.is_empty() {
             job.record_change();
             self.changed.insert(task.group.job.clone());
         }
     }
 
-    fn note_begun(&mut self, id: &JobId, now: Now) {
+    fn record_first_start(&mut self, id: &JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.has_started) else {
             return;
         };
@@ -86,7 +87,13 @@
         self.decisions.push(decision);
     }
 
-    fn start_failed(&mut self, order: &Order, outcome: StartOutcome, first_try: bool, now: Now) {
+    fn handle_failed_start(
+        &mut self,
+        order: &Order,
+        outcome: StartOutcome,
+        is_first_attempt: bool,
+        now: Now,
+    ) {
         let (id, task) = (&order.worker, &order.task);
         self.decisions.push(Decision::of_run(
             DecisionKind::Start,
@@ -101,7 +108,7 @@
             worker.incarnation_state.suspect_until =
                 Some(now.at + self.policy.health.suspect_after_refusal);
         }
-        let did_nothing = match outcome {
+        let not_started = match outcome {
             StartOutcome::NotSent | StartOutcome::Unhealthy => true,
             StartOutcome::Refused(reason) => reason != RefusalReason::OldRun,
             _ => false,
@@ -112,34 +119,40 @@
         if outcome == StartOutcome::Refused(RefusalReason::NoTicket) {
             self.drop_ticket(&task.group, id);
         }
-        if did_nothing && first_try {
-            self.end_unreported_run(id, task, RunEndKind::Stopped, "it was not started", now);
+        if not_started && is_first_attempt {
+            self.end_unreported_run(
+                id,
+                task,
+                RunEndKind::Stopped,
+                "the start was not carried out",
+                now,
+            );
         } else if matches!(outcome, StartOutcome::Unknown | StartOutcome::NotSent) {
-            self.try_again(order, now);
+            self.retry_start(order, now);
         } else if outcome == StartOutcome::Refused(RefusalReason::OldRun) {
-            // It ended there, or was barred: the next report tells.
+            // The run has ended on this worker or its start is barred. The next report tells which.
             self.note_answered(id, task, now.at);
         } else {
-            self.stop_run(id, task, "an earlier try may have started it", now);
+            self.stop_run(id, task, "an earlier attempt may have started it", now);
             self.stop_gang(task, order.run, "a member of its gang did not start", now);
         }
     }
 
-    fn try_again(&mut self, order: &Order, now: Now) {
+    fn retry_start(&mut self, order: &Order, now: Now) {
         let (id, task) = (&order.worker, &order.task);
         self.mark_unresponsive_unless_heard(id, task, now);
         let run = self.run_at(id, task);
         let tries = run.map_or(0, |run| run.tries);
         let is_done = run.is_some_and(|run| run.redundant_since.is_some());
         let why = if is_done {
-            // The end of an earlier run may be heard between two tries.
+            // The end of an earlier run may be reported between two attempts.
             "the task is done"
         } else if !self.jobs_are_current() {
-            "no answer to its start, and its job may have been cancelled"
+            "no answer to the start; the job may have been cancelled"
         } else if !self.may_start_at(id, now) {
-            "no answer to its start, and its zone may be evacuated"
+            "no answer to the start; the zone may be evacuated"
         } else if tries >= self.policy.orders.max_tries {
-            "no answer to its starts"
+            "no answer to repeated starts"
         } else if run.is_some_and(|run| run.may_start_late(now.at)) {
             // A resent start could be carried out twice: now, and by the worker's next incarnation.
             // The next report tells whether the run has started.
@@ -154,8 +167,8 @@
         self.stop_gang(task, order.run, "a member of its gang did not start", now);
     }
 
-    /// Notes an answer about a run: a report that is asked for later must name the run, or it is
-    /// over. A later answer doesn't put that off.
+    /// Records when the worker answered about a run. A report requested after this time must list
+    /// the run, otherwise the run has ended. A later answer does not move the time.
     pub(super) fn note_answered(&mut self, id: &WorkerId, task: &TaskKey, at: Timestamp) {
         if let Some(run) = self.workers.get_mut(id).and_then(|w| w.runs.get_mut(task)) {
             run.answered_at.get_or_insert(at);
