--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -57,38 +57,39 @@
 use pool::Worker;
 pub use progress::ProgressWrite;
 
-/// How often everything is looked through for what time alone changes.
-const HOUSEKEEPING: Duration = Duration::from_millis(25);
+/// Interval between checks of time-dependent state, such as leases and due occurrences.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How often it looks whether it may.
-const REPORTS_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a new planner rechecks whether enough workers have reported for it to plan.
+const REPORTS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Decides for one tenure which tasks start, wait and give way.
+/// Decides which tasks start, wait and are preempted during one tenure of the planner role.
 ///
-/// Feed it records, reports and the time; call [`Planner::tick`] after each of
-/// them and carry out the orders it returns.
+/// The planner does no I/O. Pass it job records, worker reports and the current time, call
+/// [`Planner::tick`] after each input, and carry out the orders that it returns.
 #[derive(Debug, Clone)]
 pub struct Planner {
     token: u64,
-    /// Lives of workers that have begun, each of which has a token of its own.
+    /// Number of worker incarnations seen so far; each gets a fencing token of its own.
     incarnations_started: u64,
     bounds: Bounds,
     flow: flow::FlowControl,
     policy: Policy,
     catalog: Arc<Catalog>,
     jobs: BTreeMap<JobId, Job>,
-    /// Until when jobs may have been cancelled without its knowledge; none once that was read.
-    jobs_doubted_at: Option<Timestamp>,
+    /// Latest time up to which jobs may have been submitted or cancelled without the planner being
+    /// told. `None` once the records of that time have been read.
+    jobs_stale_at: Option<Timestamp>,
     workers: BTreeMap<WorkerId, Worker>,
     run_index: runs::RunIndex,
     planned: BTreeSet<GroupKey>,
-    /// Workers whose room is kept for waiting gangs.
+    /// Workers reserved for waiting gangs.
     reservations: BTreeMap<GroupKey, placement::Reservation>,
     orders: Vec<Order>,
     advice_requests: Vec<AdviceRequest>,
     decisions: Vec<Decision>,
     changed: BTreeSet<JobId>,
-    /// Jobs that something happened to since their accounts were brought up to date.
+    /// Jobs that have changed since their timelines were last updated.
     changed_timelines: BTreeSet<JobId>,
     summaries: Vec<JobSummary>,
     demand: UrgentDemand,
@@ -96,46 +97,46 @@
     paces: WorkerPaces,
     run_times: RunTimes,
     usage: CustomerUsage,
-    /// When the oldest aged step last had its turn.
-    aged_turn_at: Option<Timestamp>,
-    load: load::LoadWatch,
+    /// When a step was last moved to the front because of its age.
+    last_aged_at: Option<Timestamp>,
+    load: load::LoadTracker,
     replan: bool,
-    /// When everything was last looked through for what time alone changes.
-    kept_house_at: Option<Timestamp>,
-    /// When runs that stand still were last looked for.
-    looked_for_stuck_at: Option<Timestamp>,
-    /// When it first ticked.
+    /// When the time-dependent state was last checked.
+    last_housekeeping_at: Option<Timestamp>,
+    /// When the runs were last checked for stalled ones.
+    last_stall_check_at: Option<Timestamp>,
+    /// Time of the first tick.
     first_tick_at: Option<Timestamp>,
-    /// When a worker last reported for the first time.
+    /// When the first report of a worker incarnation last arrived.
     last_new_report_at: Option<Timestamp>,
-    /// Workers that should be asked now.
+    /// Workers to ask for a report immediately.
     workers_to_poll: Vec<WorkerId>,
-    /// Claims that the ranks of runs were last set by; none where a run came from elsewhere since.
+    /// Guaranteed jobs by which the ranks of runs were last set. `None` if a run was adopted or
+    /// restored since.
     ranked_guaranteed_jobs: Option<BTreeSet<JobId>>,
-    /// Counts changes of the set of workers.
+    /// Incremented whenever the set of workers or a worker's address changes.
     worker_set_version: u64,
-    /// Whether urgent work has arrived since the last pass.
-    hurries: bool,
-    /// When the last pass was.
-    planned_at: Option<Timestamp>,
-    /// When to plan again although nothing has happened: patience runs out with time.
+    /// Whether an urgent job has arrived since the last scheduling pass.
+    has_urgent_arrival: bool,
+    /// Time of the last scheduling pass.
+    last_pass_at: Option<Timestamp>,
+    /// When to run the next scheduling pass even if nothing changes, because waiting limits expire.
     replan_at: Option<Timestamp>,
-    /// Whether a planned start may have become possible.
+    /// Whether a planned start may have become sendable.
     starts_due: bool,
     superseded: bool,
 }
 
 impl Planner {
-    /// How much slower a worker's clock may run, as a divisor.
+    /// Largest clock drift of a worker, as a divisor: 50 stands for 2%.
     const CLOCK_DRIFT_DIVISOR: u32 = 50;
-    /// What a message may take beside.
+    /// Allowance for the delivery of a message, added to a lease.
     const MESSAGE_MARGIN: Duration = Duration::from_millis(300);
 
-    /// Creates the planner of one tenure, which `token` fences.
+    /// Creates the planner of one tenure, with `token` as its fencing token.
     ///
-    /// What an earlier planner may have started it learns from the progress
-    /// that [`Planner::restore_job`] takes: places are written down before a start
-    /// is sent.
+    /// Runs that an earlier planner may have started are restored from the progress passed to
+    /// [`Planner::restore_job`]: a placement is stored before its start is sent.
     #[must_use]
     pub fn new(token: u64, bounds: Bounds) -> Self {
         Self {
@@ -146,7 +147,7 @@
             policy: Policy::default(),
             catalog: Arc::default(),
             jobs: BTreeMap::new(),
-            jobs_doubted_at: None,
+            jobs_stale_at: None,
             workers: BTreeMap::new(),
             run_index: runs::RunIndex::default(),
             planned: BTreeSet::new(),
@@ -162,30 +163,31 @@
             paces: WorkerPaces::default(),
             run_times: RunTimes::default(),
             usage: CustomerUsage::default(),
-            aged_turn_at: None,
-            load: load::LoadWatch::default(),
+            last_aged_at: None,
+            load: load::LoadTracker::default(),
             replan: true,
-            kept_house_at: None,
-            looked_for_stuck_at: None,
+            last_housekeeping_at: None,
+            last_stall_check_at: None,
             first_tick_at: None,
             last_new_report_at: None,
             workers_to_poll: Vec::new(),
             ranked_guaranteed_jobs: None,
             worker_set_version: 0,
-            hurries: false,
-            planned_at: None,
+            has_urgent_arrival: false,
+            last_pass_at: None,
             replan_at: None,
             starts_due: false,
             superseded: false,
         }
     }
 
-    /// Longest real time that a lease of `granted` on a worker's clock lasts from the request on.
+    /// Returns the longest real time, counted from the request, that a lease of `granted` on a
+    /// worker's clock can last.
     fn max_lease_duration(granted: Duration) -> Duration {
         granted + granted / Self::CLOCK_DRIFT_DIVISOR + Self::MESSAGE_MARGIN
     }
 
-    /// Replaces the policy by another one.
+    /// Sets the scheduling policy.
     #[must_use]
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
@@ -195,26 +197,27 @@
         self
     }
 
-    /// Says what this VM can carry.
+    /// Sets the network and processor limits of the VM that the planner runs on.
     #[must_use]
     pub const fn with_limits(mut self, limits: VmLimits) -> Self {
         self.flow.set_limits(limits);
         self
     }
 
-    /// Returns the fencing token.
+    /// Returns the fencing token of this tenure.
     #[must_use]
     pub const fn token(&self) -> u64 {
         self.token
     }
 
-    /// Tells whether a worker has seen a higher token: another planner has taken over.
+    /// Returns whether the planner must give up its role: another planner has taken over, because a
+    /// worker has seen a higher fencing token, or the tokens of this tenure are used up.
     #[must_use]
     pub const fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Takes a newer configuration.
+    /// Applies a configuration, unless it is older than the current one.
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>) {
         if catalog.version >= self.catalog.version {
             self.catalog = catalog;
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Takes a job as an earlier planner left it.
+    /// Restores a job from the records of an earlier planner. A job that is already known is ignored.
     pub fn restore_job(
         &mut self,
         accepted: AcceptedJob,
@@ -240,7 +243,7 @@
             job.restore(progress, now);
         }
         if job.outcome.is_some() {
-            // An earlier planner has told its story, or the part that it knew.
+            // An earlier planner has already published this job's summary, as far as it knew it.
             job.timeline.mark_reported();
         }
         self.jobs.insert(id.clone(), job);
@@ -255,22 +258,22 @@
         self.replan = true;
     }
 
-    /// Takes a job that was accepted just now; a known one changes nothing.
+    /// Adds a newly accepted job. A job that is already known is ignored.
     pub fn submit(&mut self, accepted: AcceptedJob, now: Now) {
         if self.jobs.contains_key(&accepted.id) {
             return;
         }
         let id = accepted.id.clone();
-        self.foresee(&accepted, now);
+        self.record_forecast(&accepted, now);
         self.mark_timeline_changed(&id);
-        self.hurries |= accepted.queue.priority == 0;
+        self.has_urgent_arrival |= accepted.queue.priority == 0;
         let job = Job::new(Arc::new(accepted), now);
         self.jobs.insert(id.clone(), job);
         self.note_demand(&id, now);
         self.replan = true;
     }
 
-    /// Ends a job for its caller; false where it is not known.
+    /// Cancels a job on behalf of its caller. Returns `false` if the job is not known.
     pub fn cancel(&mut self, id: &JobId, now: Now) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -281,31 +284,31 @@
         true
     }
 
-    /// Decides what is to be done now.
+    /// Runs the checks and the scheduling pass that are due, and returns the orders to send to workers.
     pub fn tick(&mut self, now: Now) -> Vec<Order> {
         if self
-            .kept_house_at
-            .is_none_or(|at| now.at - at >= HOUSEKEEPING)
+            .last_housekeeping_at
+            .is_none_or(|at| now.at - at >= HOUSEKEEPING_INTERVAL)
         {
-            self.kept_house_at = Some(now.at);
-            self.end_lives_of_the_left(now);
-            self.end_lives_of_the_vanished(now);
+            self.last_housekeeping_at = Some(now.at);
+            self.end_departed_incarnations(now);
+            self.end_vanished_incarnations(now);
             self.expire_leases(now);
-            self.resend(now);
+            self.check_unsettled_runs(now);
             self.start_due_occurrences(now);
             self.charge_customers(now);
             self.learn_from_running(now);
-            self.find_stuck(now);
+            self.move_stalled_runs(now);
         }
-        if self.may_plan(now) {
+        if self.is_pass_due(now) {
             self.replan = false;
-            self.hurries = false;
-            self.planned_at = Some(now.at);
-            self.replan_at = if self.knows_enough(now) {
+            self.has_urgent_arrival = false;
+            self.last_pass_at = Some(now.at);
+            self.replan_at = if self.has_enough_reports(now) {
                 let waits = self.plan(now);
                 waits.then(|| now.at + Self::IDLE_TICK)
             } else {
-                Some(now.at + REPORTS_INTERVAL)
+                Some(now.at + REPORTS_CHECK_INTERVAL)
             };
         }
         self.starts_due = false;
@@ -314,13 +317,14 @@
         std::mem::take(&mut self.orders)
     }
 
-    /// Tells whether something happened that asks for a tick.
+    /// Returns whether an input since the last tick requires another tick.
     #[must_use]
     pub fn needs_tick(&self) -> bool {
         self.replan || self.starts_due || !self.orders.is_empty()
     }
 
-    /// Returns what a caller is told of a job; an end only once it is written down.
+    /// Returns the state of a job as reported to its caller. An end is reported only once it is
+    /// stored.
     #[must_use]
     pub fn caller_state(&self, id: &JobId) -> Option<CallerState> {
         let job = self.jobs.get(id)?;
@@ -331,13 +335,13 @@
         })
     }
 
-    /// Returns whose job it is; none inside where it is nobody's.
+    /// Returns the accepted job with its customer, queue and specification.
     #[must_use]
     pub fn accepted(&self, id: &JobId) -> Option<&AcceptedJob> {
         self.jobs.get(id).map(|job| job.accepted.as_ref())
     }
 
-    /// Counts the open jobs of a queue of which no task has begun.
+    /// Returns the number of open jobs in a queue of which no task has begun.
     #[must_use]
     pub fn pending(&self, queue: &str) -> u64 {
         let waiting = self
@@ -348,7 +352,7 @@
         waiting.count() as u64
     }
 
-    /// Counts jobs that have not ended.
+    /// Returns the number of jobs that have not ended.
     #[must_use]
     pub fn open_jobs(&self) -> usize {
         self.jobs
@@ -357,18 +361,18 @@
             .count()
     }
 
-    /// Counts the runs at workers.
+    /// Returns the number of runs on all workers, including planned ones.
     #[must_use]
     pub fn runs(&self) -> usize {
         self.workers.values().map(|w| w.runs.len()).sum()
     }
 
-    /// Takes the decisions since the last call, oldest first.
+    /// Removes and returns the decisions made since the last call, oldest first.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Forgets jobs that ended longer ago than they are answered for, and names them.
+    /// Removes the jobs whose retention period after their end is over, and returns their IDs.
     pub fn take_expired(&mut self, now: Now) -> Vec<JobId> {
         let keep = self.bounds.keep_ended;
         let expired: Vec<JobId> = self
@@ -384,7 +388,7 @@
         expired
     }
 
-    /// Ends a job: what runs of it is stopped.
+    /// Ends a job. Its runs are stopped; those of a completed job are only marked redundant.
     fn end_job(&mut self, id: &JobId, outcome: Outcome, why: &str, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/crates/stairstall-core/src/batch/planner/candidate_worker.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate_worker.rs
@@ -1,4 +1,4 @@
-//! A worker as a place for tasks, and the runs there that may give way.
+//! A worker considered for a step, and the runs there that may be preempted for it.
 
 use std::collections::BTreeMap;
 
@@ -8,37 +8,38 @@
 use crate::time::millis;
 use crate::{RackId, WorkerId};
 
-/// Which workers are looked at.
+/// Which workers a placement search considers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SearchScope {
-    /// Only those near the data, and a gang that wants it on one rack.
+    /// Whether to use only workers on the rack of the step's data, and a single rack for a gang that
+    /// requests one.
     pub(super) near: bool,
-    /// Whether lower ranks may be made to give way.
+    /// Whether runs of less urgent ranks may be preempted.
     pub(super) preempts: bool,
 }
 
-/// A worker as a place for tasks of one step.
+/// A worker considered for the tasks of one step.
 #[derive(Debug, Clone)]
 pub(super) struct CandidateWorker {
     pub(super) worker: WorkerId,
     pub(super) rack: RackId,
     pub(super) room: Resources,
-    /// What has to become free besides, because the worker's room has shrunk.
+    /// Resources that must become free in addition, because the worker's capacity has shrunk.
     pub(super) shortage: Resources,
-    /// Tasks of the step that may still be put there.
+    /// How many more tasks of the step may be placed there.
     pub(super) spread_left: u32,
-    /// What being there costs a task, in core-milliseconds.
+    /// Cost of placing a task there, in core-milliseconds.
     pub(super) penalty: u64,
-    /// How fast work is there.
+    /// Pace of the worker.
     pub(super) pace: WorkerPace,
-    /// Whether it has work that will tell its pace.
+    /// Whether it has running work from which its pace will be learned.
     pub(super) pace_pending: bool,
     /// Whether it is in another zone than the job's caller.
     pub(super) in_other_zone: bool,
     pub(super) victims: Victims,
 }
 
-/// One run that may give way.
+/// A run that may be preempted.
 #[derive(Debug, Clone)]
 struct Victim {
     task: TaskKey,
@@ -47,12 +48,13 @@
     gang: bool,
 }
 
-/// The runs of one worker that may give way, cheapest first.
+/// The runs of one worker that may be preempted, cheapest first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Victims(Vec<Victim>);
 
 impl Victims {
-    /// Returns the runs of a worker that come after `rank`; what lasts gives way to nothing.
+    /// Returns the runs of a worker that work of `rank` may preempt. Long-running steps are never
+    /// preempted.
     pub(super) fn of(
         worker: &Worker,
         rank: u8,
@@ -63,7 +65,7 @@
         let mut victims: Vec<Victim> = worker
             .runs
             .iter()
-            .filter(|(_, run)| run.may_give_way_to(rank))
+            .filter(|(_, run)| run.is_preemptible_by(rank))
             .map(|(task, run)| {
                 let lost = if run.gang {
                     gang_losses.get(&task.group).copied().unwrap_or(0)
@@ -83,13 +85,14 @@
         Self(victims)
     }
 
-    /// Returns the room of all of them.
+    /// Returns the sum of the resources of all victims.
     pub(super) fn room(&self) -> Resources {
         let rooms = self.0.iter().map(|victim| &victim.room);
         rooms.fold(Resources::default(), |sum, room| sum.saturating_add(room))
     }
 
-    /// Returns the cost and the runs that must go so that `needs` fits; none where it can't.
+    /// Selects the victims that must be preempted so that `needs` fits, and returns their cost and
+    /// tasks. Returns `None` if `needs` can't fit.
     pub(super) fn select(
         &self,
         needs: &Resources,
@@ -107,7 +110,7 @@
         if !needs.fits_in(&free) {
             return None;
         }
-        spare_needless(&mut chosen, needs, &mut free);
+        remove_unneeded(&mut chosen, needs, &mut free);
         Some((
             cost_of(&chosen),
             chosen.iter().map(|v| v.task.clone()).collect(),
@@ -115,7 +118,7 @@
     }
 }
 
-/// Returns what stopping runs of one worker costs, each gang counted once.
+/// Returns the cost of preempting runs of one worker, with each gang counted once.
 fn cost_of(chosen: &[&Victim]) -> u64 {
     let mut gangs: Vec<&GroupKey> = Vec::new();
     let mut cost = 0;
@@ -130,8 +133,8 @@
     cost
 }
 
-/// Drops those, dearest first, whose room is not needed after all.
-fn spare_needless(chosen: &mut Vec<&Victim>, needs: &Resources, free: &mut Resources) {
+/// Removes the victims whose resources are not needed after all, most expensive first.
+fn remove_unneeded(chosen: &mut Vec<&Victim>, needs: &Resources, free: &mut Resources) {
     for index in (0..chosen.len()).rev() {
         let without = free.saturating_sub(&chosen[index].room);
         if needs.fits_in(&without) {
@@ -141,8 +144,8 @@
     }
 }
 
-/// Takes a victim out, and with a member of a gang all its members, giving their room back;
-/// returns the sites that have more room for it.
+/// Preempts a victim, together with all members of its gang if it has one, and frees their
+/// resources. Returns the indices of the workers that have more free capacity as a result.
 pub(super) fn preempt(sites: &mut [CandidateWorker], index: usize, task: &TaskKey) -> Vec<usize> {
     let is_gang = sites[index]
         .victims
@@ -150,19 +153,19 @@
         .iter()
         .any(|v| v.task == *task && v.gang);
     if !is_gang {
-        sites[index].take_out(|victim| victim.task == *task);
+        sites[index].remove_victims(|victim| victim.task == *task);
         return vec![index];
     }
     let taken_out = sites.iter_mut().enumerate().filter_map(|(at, site)| {
         let goes = |victim: &Victim| victim.gang && victim.task.group == task.group;
-        site.take_out(goes).then_some(at)
+        site.remove_victims(goes).then_some(at)
     });
     taken_out.collect()
 }
 
 impl CandidateWorker {
-    /// Takes victims out and gives their room back; true where there were any.
-    fn take_out(&mut self, goes: impl Fn(&Victim) -> bool) -> bool {
+    /// Removes victims and frees their resources. Returns whether there were any.
+    fn remove_victims(&mut self, goes: impl Fn(&Victim) -> bool) -> bool {
         let before = self.victims.0.len();
         let room = &mut self.room;
         self.victims.0.retain(|victim| {
--- a/crates/stairstall-core/src/batch/planner/draining.rs
+++ b/crates/stairstall-core/src/batch/planner/draining.rs
@@ -1,4 +1,4 @@
-//! Moving what runs away from workers that leave.
+//! Draining of leaving workers.
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
@@ -7,7 +7,9 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Stops what can't end before a leaving worker goes.
+    /// Stops the runs that can't end before a leaving worker goes, so that they continue elsewhere.
+    ///
+    /// A run that is nearly done may stay even if it is expected to end slightly late.
     pub(super) fn drain_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -19,7 +21,7 @@
             .runs
             .iter()
             .filter(|(task, run)| {
-                let needs_ms = self.needs_ms(task, run);
+                let needs_ms = self.remaining_run_ms(task, run);
                 let ends_there = needs_ms + margin_ms < left_ms;
                 let is_late = run.percent >= policy.nearly_done
                     && needs_ms < left_ms + millis(policy.late_margin);
@@ -28,15 +30,16 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in moving {
-            let number = worker_run(self, id, &task);
+            let number = run_number(self, id, &task);
             self.record_setback(&task.group.job, Setback::WorkerLeft);
             self.stop_run(id, &task, "its worker is leaving", now);
             self.stop_gang(&task, number, "a member's worker is leaving", now);
         }
     }
 
-    /// Returns how much longer a run should take, in milliseconds: a gang ends with its slowest.
-    fn needs_ms(&self, task: &TaskKey, run: &Run) -> u64 {
+    /// Returns the expected remaining time of a run in milliseconds. A gang ends with its slowest
+    /// member.
+    fn remaining_run_ms(&self, task: &TaskKey, run: &Run) -> u64 {
         let shown_percent = self.policy.places.min_progress_percent;
         if !run.gang {
             return run.remaining_ms(shown_percent);
@@ -51,6 +54,6 @@
     }
 }
 
-fn worker_run(planner: &Planner, id: &WorkerId, task: &TaskKey) -> u32 {
+fn run_number(planner: &Planner, id: &WorkerId, task: &TaskKey) -> u32 {
     planner.run_at(id, task).map_or(0, |run| run.number)
 }
--- a/crates/stairstall-core/src/batch/planner/incarnations.rs
+++ b/crates/stairstall-core/src/batch/planner/incarnations.rs
@@ -1,4 +1,4 @@
-//! When a worker's life is over.
+//! The end of worker incarnations.
 
 use super::pool::Run;
 use super::{Now, Planner};
@@ -6,7 +6,7 @@
 use crate::batch::{Decision, Setback, TaskKey};
 
 impl Planner {
-    /// Takes word that this life of a worker is over: nothing of it runs.
+    /// Handles the end of a worker's current incarnation: none of its runs is running any more.
     pub fn end_incarnation(&mut self, id: &WorkerId, why: &str, now: Now) {
         let Some(mut worker) = self.workers.remove(id) else {
             return;
@@ -20,13 +20,13 @@
         self.decisions
             .push(Decision::of_worker(id, format!("its life is over: {why}")));
         let runs: Vec<_> = std::mem::take(&mut worker.runs).into_iter().collect();
-        self.release_lost(id, &runs, now);
+        self.release_lost_runs(id, &runs, now);
         let mut suspects = std::mem::take(&mut worker.lost_tasks);
         if worker.is_leaving() {
             self.retract_losses(id, &suspects);
         } else {
-            // A crash lists no ends: uncounted, its tasks would start on worker after worker, each of
-            // which they may crash too.
+            // A crashed worker reports no run ends. If the crash were not counted, its tasks would be
+            // started on one worker after another and might crash each of them.
             self.confirm_crashes(id, &suspects);
             suspects.extend(self.count_crash(id, worker.incarnation_state.last_answer_at, &runs));
             self.fail_crashing_jobs(&suspects, now);
@@ -34,11 +34,11 @@
         self.replan = true;
     }
 
-    /// Gives the tasks of runs back that were lost with their worker, and stops what can't go on
-    /// without them.
+    /// Releases the tasks of runs that were lost with their worker, and stops the gangs that can't
+    /// continue without them.
     ///
-    /// Of a gang that has not begun, the members that are there would wait 3 s for the one that is lost.
-    pub(super) fn release_lost(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)], now: Now) {
+    /// In a gang that has not begun, the other members would wait 3 s for the lost one.
+    pub(super) fn release_lost_runs(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)], now: Now) {
         for (task, run) in runs {
             self.run_index.remove(task, id);
             self.record_setback(&task.group.job, Setback::Lost);
@@ -54,9 +54,10 @@
         }
     }
 
-    /// Drops a worker that is listed no longer and has nothing.
+    /// Removes a worker that is no longer listed and has no runs.
     ///
-    /// One that may have crashed under tasks is asked on for a while: its answer tells that it did not.
+    /// A worker that may have crashed under tasks is polled for a while longer, because an answer
+    /// proves that it did not crash.
     pub(super) fn remove_if_gone(&mut self, id: &WorkerId, now: Now) {
         let vanished_after = self.policy.health.presumed_crashed_after;
         let Some(worker) = self.workers.get(id) else {
@@ -74,9 +75,9 @@
         }
     }
 
-    /// Takes the lives of silent workers for over that said when they leave and are listed no
-    /// longer: what they had starts elsewhere seconds before their leases end.
-    pub(super) fn end_lives_of_the_left(&mut self, now: Now) {
+    /// Ends the incarnations of workers that announced when they leave, are no longer listed and do
+    /// not answer. Their runs start elsewhere seconds before the leases would end.
+    pub(super) fn end_departed_incarnations(&mut self, now: Now) {
         let left: Vec<WorkerId> = self
             .workers
             .iter()
@@ -88,9 +89,9 @@
         }
     }
 
-    /// Takes workers for crashed that were lost while they ran something, and have come back neither
-    /// to the directory nor to an answer.
-    pub(super) fn end_lives_of_the_vanished(&mut self, now: Now) {
+    /// Treats workers as crashed that became silent while they had runs and have since neither
+    /// answered nor been listed again.
+    pub(super) fn end_vanished_incarnations(&mut self, now: Now) {
         let doubtful = self
             .workers
             .iter()
--- a/crates/stairstall-core/src/batch/planner/job_sync.rs
+++ b/crates/stairstall-core/src/batch/planner/job_sync.rs
@@ -1,26 +1,28 @@
-//! Whether the planner may have missed word of jobs.
+//! Whether the planner's job records are current.
 //!
-//! While its role's lease is not known to be in force, other daemons have cancellations kept without
-//! telling it. Until it has read what was kept meanwhile, it starts nothing.
+//! While the lease of the planner role is not known to be valid, other daemons store cancellations
+//! without telling the planner. It starts nothing until it has read what was stored meanwhile.
 
 use super::{Now, Planner};
 use crate::Timestamp;
 
 impl Planner {
-    /// Takes word that jobs may have been handed in or cancelled without its knowledge until now.
+    /// Marks the job records as stale: up to now, jobs may have been submitted or cancelled without
+    /// the planner being told.
     pub const fn mark_jobs_stale(&mut self, now: Now) {
-        self.jobs_doubted_at = Some(now.at);
+        self.jobs_stale_at = Some(now.at);
     }
 
-    /// Takes word that all that was kept of jobs by `asked_at` has been told.
+    /// Marks the job records as current if they were not marked stale after `asked_at`, the time at
+    /// which the read of all stored job records was requested.
     pub fn confirm_jobs_current(&mut self, asked_at: Timestamp) {
-        if self.jobs_doubted_at.take_if(|at| *at <= asked_at).is_some() {
+        if self.jobs_stale_at.take_if(|at| *at <= asked_at).is_some() {
             self.starts_due = true;
         }
     }
 
-    /// Tells whether starts may leave by what is known of jobs.
+    /// Returns whether the job records are current, so that starts may be sent.
     pub(super) const fn jobs_are_current(&self) -> bool {
-        self.jobs_doubted_at.is_none()
+        self.jobs_stale_at.is_none()
     }
 }
--- a/crates/stairstall-core/src/batch/planner/learned.rs
+++ b/crates/stairstall-core/src/batch/planner/learned.rs
@@ -1,4 +1,4 @@
-//! What is handed from one planner to the next of what was learnt.
+//! Estimates that one planner hands to the next.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::batch::LearnedEstimates;
 
 impl Planner {
-    /// Returns what the next planner should know at once.
+    /// Returns the learned run times and paces, to be stored for the next planner.
     #[must_use]
     pub fn learned_estimates(&self, now: Now) -> LearnedEstimates {
         LearnedEstimates {
@@ -16,8 +16,9 @@
         }
     }
 
-    /// Takes what an earlier planner had learnt; call it before [`Planner::restore_job`], which judges what
-    /// runs by it.
+    /// Restores the estimates that an earlier planner had learned.
+    ///
+    /// Call this before [`Planner::restore_job`], which uses the estimates for the restored runs.
     pub fn restore_learned_estimates(&mut self, learnt: LearnedEstimates, now: Now) {
         let age = Duration::from_millis(now.unix_ms.saturating_sub(learnt.at_unix_ms));
         self.run_times.restore(&learnt.run_times, age, now.at);
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -1,4 +1,4 @@
-//! How full the fleet is, as every daemon is told, and how well that foretold what came.
+//! The load summary sent to every daemon, and the start forecasts made from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,28 +16,29 @@
 use crate::time::millis;
 use crate::{CustomerId, JobId, ServiceId, Timestamp};
 
-/// Runs that end between two of these are summed up together, in milliseconds.
-const END_STEPS_MS: [u64; 5] = [0, 500, 2_000, 8_000, 30_000];
-/// Time over which urgent work is counted: longer than that for which room is kept free for it.
+/// Lower bounds of the buckets, in milliseconds, that group runs by their remaining time.
+const END_BUCKETS_MS: [u64; 5] = [0, 500, 2_000, 8_000, 30_000];
+/// Period over which urgent work is counted. Longer than the period for which capacity is kept
+/// free for urgent work.
 const URGENT_WINDOW: Duration = Duration::from_secs(10);
-/// Jobs whose forecast is kept until they begin.
+/// Maximum number of jobs whose forecast is remembered until they begin.
 const MAX_FORECASTS: usize = 1_000;
-/// How old a summary may be from which a job's forecast is made.
+/// Maximum age of a summary from which a job's start is forecast.
 const FORECAST_FRESH_FOR: Duration = Duration::from_secs(1);
 
-/// What the planner keeps of its load from one summary to the next.
+/// State carried from one load summary to the next.
 #[derive(Debug, Clone, Default)]
-pub(super) struct LoadWatch {
+pub(super) struct LoadTracker {
     fleet: FleetHistory,
     last: Option<(Timestamp, LoadSummary)>,
     forecasts: BTreeMap<JobId, StartForecast>,
 }
 
-/// Work that is summed up together: its service, its priority, whether it takes any room, whether it
-/// is a gang, and its size as a power of two.
+/// Key by which waiting work is grouped: its service, its priority, whether it can use any free
+/// capacity that is large enough, whether it is a gang, and the power of two of its size.
 type WorkKind = (ServiceId, u8, bool, bool, u32);
 
-/// What waits, by kind and by customer.
+/// Waiting work, by kind and by customer.
 #[derive(Debug, Default)]
 struct Backlog {
     kinds: BTreeMap<WorkKind, WaitingWork>,
@@ -45,7 +46,7 @@
 }
 
 impl Planner {
-    /// Returns how full the fleet is at this moment, or was a moment ago.
+    /// Returns a summary of the load. A recent one is reused instead of computing a new one.
     pub fn load_summary(&mut self, now: Now) -> LoadSummary {
         let is_fresh = |(at, _): &&(Timestamp, LoadSummary)| {
             now.at - *at < self.policy.admission.summary_interval
@@ -60,27 +61,27 @@
             token: self.token,
             revision: revision + 1,
             at_unix_ms: now.unix_ms,
-            observed_ms: millis(self.observed(now)),
+            observed_ms: millis(self.observed_for(now)),
             workers: self.load.fleet.kinds(now.at),
             labels: self.load.fleet.labels(),
-            running: self.busy(now),
+            running: self.running_work(now),
             waiting: largest(backlog.kinds.into_values(), |work| {
                 work.remaining.accelerators
             }),
-            customers: backlogs(backlog.customers),
-            queues: self.queue_paces(now),
+            customers: customer_backlogs(backlog.customers),
+            queues: self.queue_run_times(now),
             urgent_accelerators: self.urgent_accelerators(now),
         };
         self.load.last = Some((now.at, summary.clone()));
         summary
     }
 
-    /// Returns for how long the whole load has been known.
-    fn observed(&mut self, now: Now) -> Duration {
+    /// Returns for how long the load of the whole fleet has been known.
+    fn observed_for(&mut self, now: Now) -> Duration {
         let Some(since) = self.first_tick_at else {
             return Duration::ZERO;
         };
-        if self.knows_enough(now) {
+        if self.has_enough_reports(now) {
             now.at - since
         } else {
             Duration::ZERO
@@ -101,11 +102,11 @@
         fleet.end_count(self.policy.admission.worker_retention, now.at);
     }
 
-    fn busy(&self, now: Now) -> Vec<RunningWork> {
+    fn running_work(&self, now: Now) -> Vec<RunningWork> {
         let mut rooms: BTreeMap<(&ServiceId, u8, Option<u64>), ResourceTotal> = BTreeMap::new();
         for worker in self.workers.values() {
             for run in worker.runs.values() {
-                let from_ms = (!run.lasts).then(|| end_step(rest_ms(run, now)));
+                let from_ms = (!run.lasts).then(|| end_bucket_ms(remaining_ms(run, now)));
                 let room = rooms.entry((&worker.listed.service, run.rank, from_ms));
                 let room = room.or_default();
                 *room = room.plus(&ResourceTotal::of(&run.room, 1));
@@ -127,13 +128,13 @@
         let open = self.jobs.iter().filter(|(_, job)| job.outcome.is_none());
         for (id, job) in open {
             for key in job.ready_keys(id) {
-                self.add_waiting(&key, job, &mut backlog, now);
+                self.add_waiting_step(&key, job, &mut backlog, now);
             }
         }
         backlog
     }
 
-    fn add_waiting(&self, key: &GroupKey, job: &Job, backlog: &mut Backlog, now: Now) {
+    fn add_waiting_step(&self, key: &GroupKey, job: &Job, backlog: &mut Backlog, now: Now) {
         let (Some(step), Some(group)) = (job.step(key), job.group(key)) else {
             return;
         };
@@ -145,13 +146,13 @@
         if all == 0 {
             return;
         }
-        let fresh = waiting().filter(|task| is_fresh(task)).count();
+        let fresh = waiting().filter(|task| is_untried(task)).count();
         let fresh = if step.gang && fresh < group.tasks.len() {
             0
         } else {
             fresh
         };
-        let is_tied = is_tied(step) || self.ticket_validity(key).is_some();
+        let is_tied = is_constrained(step) || self.ticket_validity(key).is_some();
         let longest_ms = millis(self.run_time(key, step, now).typical);
         for (takes_any, count) in [(!is_tied, fresh), (false, all - fresh)] {
             if count == 0 {
@@ -175,9 +176,9 @@
         }
     }
 
-    /// Returns the queues whose work is known not to take what callers estimate.
-    fn queue_paces(&self, now: Now) -> Vec<QueueRunTime> {
-        // Long enough that rounding does not show.
+    /// Returns the queues whose run times are known to differ from the callers' estimates.
+    fn queue_run_times(&self, now: Now) -> Vec<QueueRunTime> {
+        // Long enough that rounding to milliseconds does not matter.
         let estimate = Duration::from_secs(10);
         let routes = self.catalog.routes.iter();
         let paces = routes.filter_map(|route| {
@@ -196,7 +197,7 @@
         paces.take(MAX_SUMMARY_ENTRIES).collect()
     }
 
-    /// Returns how many accelerators urgent jobs asked for lately.
+    /// Returns the number of accelerators that recently arrived urgent jobs require.
     fn urgent_accelerators(&self, now: Now) -> u32 {
         let urgent = self.jobs.values().filter(|job| {
             job.accepted.queue.priority == 0 && now.at - job.arrived_at <= URGENT_WINDOW
@@ -204,8 +205,9 @@
         urgent.fold(0, |sum: u32, job| sum.saturating_add(max_accelerators(job)))
     }
 
-    /// Keeps when a job that arrives should begin, where that was worked out a moment ago.
-    pub(super) fn foresee(&mut self, job: &AcceptedJob, now: Now) {
+    /// Records when an arriving job is expected to begin, if there is a recent summary to forecast
+    /// it from.
+    pub(super) fn record_forecast(&mut self, job: &AcceptedJob, now: Now) {
         let is_fresh = |(at, _): &&(Timestamp, LoadSummary)| now.at - *at <= FORECAST_FRESH_FOR;
         let Some((_, summary)) = self.load.last.as_ref().filter(is_fresh) else {
             return;
@@ -222,7 +224,8 @@
         }
     }
 
-    /// Returns in words when a job that begins was foreseen to; nothing where it was not.
+    /// Removes the forecast of a job that begins and returns it as a log text. The text is empty if
+    /// there was no forecast.
     pub(super) fn take_forecast(&mut self, id: &JobId) -> String {
         let forecast = self.load.forecasts.remove(id);
         forecast.map_or_else(String::new, |forecast| {
@@ -231,7 +234,7 @@
         })
     }
 
-    /// Forgets when a job that has ended should have begun.
+    /// Removes the forecast of a job that has ended.
     pub(super) fn drop_forecast(&mut self, id: &JobId) {
         self.load.forecasts.remove(id);
     }
@@ -260,7 +263,7 @@
     }
 }
 
-fn backlogs(customers: BTreeMap<(u8, CustomerId), ResourceTime>) -> Vec<CustomerBacklog> {
+fn customer_backlogs(customers: BTreeMap<(u8, CustomerId), ResourceTime>) -> Vec<CustomerBacklog> {
     let backlogs = customers
         .into_iter()
         .map(|((priority, customer), rest)| CustomerBacklog {
@@ -271,7 +274,7 @@
     largest(backlogs, |backlog| backlog.remaining.accelerators)
 }
 
-/// Returns the largest entries, as many as a summary holds.
+/// Returns the largest entries, at most as many as a summary may hold.
 fn largest<T>(entries: impl Iterator<Item = T>, size: impl Fn(&T) -> u64) -> Vec<T> {
     let mut entries: Vec<T> = entries.collect();
     entries.sort_by_key(|entry| std::cmp::Reverse(size(entry)));
@@ -279,13 +282,14 @@
     entries
 }
 
-/// Tells whether a task has never had a place, nor harmed a worker, so that any place will do.
-const fn is_fresh(task: &Task) -> bool {
+/// Returns whether a task has never been placed, failed or crashed a worker, so that any worker
+/// will do.
+const fn is_untried(task: &Task) -> bool {
     task.run == 0 && task.failures == 0 && task.losses.is_empty()
 }
 
-/// Tells whether a step's tasks can't use all room that is large enough.
-const fn is_tied(step: &StepSpec) -> bool {
+/// Returns whether a step's tasks can't use all free capacity that is large enough.
+const fn is_constrained(step: &StepSpec) -> bool {
     step.required_label.is_some()
         || step.near_rack.is_some()
         || step.max_per_worker.is_some()
@@ -295,8 +299,8 @@
         || step.has_latency_target()
 }
 
-/// Returns how much longer a run should take, in milliseconds.
-fn rest_ms(run: &Run, now: Now) -> u64 {
+/// Returns the expected remaining time of a run in milliseconds.
+fn remaining_ms(run: &Run, now: Now) -> u64 {
     if run.state == RunState::Stopping {
         return 0;
     }
@@ -308,8 +312,8 @@
     by_percent.min(by_time)
 }
 
-/// Returns the step of time in which a run ends.
-fn end_step(rest_ms: u64) -> u64 {
-    let steps = END_STEPS_MS.into_iter().rev();
+/// Returns the lower bound of the bucket for a remaining time.
+fn end_bucket_ms(rest_ms: u64) -> u64 {
+    let steps = END_BUCKETS_MS.into_iter().rev();
     steps.into_iter().find(|from| *from <= rest_ms).unwrap_or(0)
 }
--- a/crates/stairstall-core/src/batch/planner/orders.rs
+++ b/crates/stairstall-core/src/batch/planner/orders.rs
@@ -1,35 +1,36 @@
 use crate::WorkerId;
 use crate::batch::TaskKey;
 
-/// What a worker is told to do with a run.
+/// The command that an [`Order`] gives to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Start it.
+    /// Start the run.
     Start {
-        /// What to run.
+        /// Payload of the job, passed to the worker unchanged.
         payload: String,
-        /// Where to continue from.
+        /// Checkpoint to continue from; `None` to start from the beginning.
         checkpoint: Option<String>,
-        /// The adviser's ticket, where the queue asks for one.
+        /// Ticket of the adviser, if the queue requires one.
         ticket: Option<String>,
-        /// Until when it may run, on the worker's clock, unless it is renewed.
+        /// Time on the worker's clock, in milliseconds, at which the run must stop unless its lease is
+        /// renewed.
         deadline_ms: u64,
     },
-    /// Stop it, or never start it.
+    /// Stop the run, or refuse its start if that arrives later.
     Stop,
 }
 
-/// One order to a worker.
+/// An order to a worker to start or stop a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The worker.
+    /// The worker that the order is sent to.
     pub worker: WorkerId,
-    /// The task.
+    /// The task that the run belongs to.
     pub task: TaskKey,
-    /// Which of its runs.
+    /// Number of the run within the task.
     pub run: u32,
-    /// Fencing token.
+    /// Fencing token of the worker incarnation that the order is meant for.
     pub token: u64,
-    /// What to do.
+    /// What the worker should do.
     pub kind: OrderKind,
 }
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -1,4 +1,4 @@
-//! What reports and ends say of the pace of workers.
+//! Learning of worker paces from reports and run ends.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use crate::time::millis;
 use crate::{Timestamp, WorkerId};
 
-/// From how much of the work on, in percent, a run tells how long its step's work takes.
-const TELLS_FROM: u8 = 5;
+/// Minimum share of the work, in percent, from which the duration of the whole work is estimated.
+const MIN_PROGRESS_PERCENT: u8 = 5;
 
-/// A run whose progress is looked at.
-struct Shown<'a> {
+/// A run whose progress is evaluated.
+struct ObservedRun<'a> {
     worker: &'a WorkerId,
     task: &'a TaskKey,
     run: &'a Run,
-    stretch: Option<ProgressSample>,
+    sample: Option<ProgressSample>,
 }
 
 impl Planner {
-    /// Returns the pace of a worker as far as it is known; where the fleet is even, all are alike.
+    /// Returns the known pace of a worker. In a fleet of even pace, every worker counts as unknown.
     pub(super) fn pace_of(&self, id: &WorkerId, now: Now) -> WorkerPace {
         if self.paces.is_heterogeneous() {
             self.paces.pace(id, now.at)
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Returns what is known of the pace of workers.
+    /// Returns what is known of the workers' paces.
     #[must_use]
     pub const fn paces(&self) -> &WorkerPaces {
         &self.paces
     }
 
-    /// Returns how many workers are known to differ in pace.
+    /// Returns a summary of the known paces, with how many workers differ in pace.
     #[must_use]
     pub const fn pace_summary(&self) -> PaceSummary {
         self.paces.summary()
     }
 
-    /// Learns from a run whose work is done.
+    /// Learns a worker's pace from a run whose work is done.
     pub(super) fn learn_pace_from_end(
         &mut self,
         id: &WorkerId,
@@ -52,7 +52,7 @@
         run: &Run,
         now: Now,
     ) {
-        if !self.paces.is_enabled() || !run.tells_pace() {
+        if !self.paces.is_enabled() || !run.is_pace_representative() {
             return;
         }
         if run.gang {
@@ -60,10 +60,10 @@
             return;
         }
         let key = &task.group;
-        let Some((usual, slowdown)) = self.usual_at(key, id, now) else {
+        let Some((usual, slowdown)) = self.typical_at(key, id, now) else {
             return;
         };
-        let stretch = run.stretch_to_end(task, now.at);
+        let stretch = run.final_sample(task, now.at);
         let shown = RunProgress {
             worker: id,
             projected_total: None,
@@ -73,7 +73,7 @@
         self.paces.learn_from_step(key, &[shown], now.at);
     }
 
-    /// Learns from a gang at the first of its ends, which stands for all.
+    /// Learns from a gang at the first end of its members, which stands for all of them.
     fn learn_from_gang(&mut self, id: &WorkerId, task: &TaskKey, run: &Run, now: Now) {
         let key = &task.group;
         let Some((step, group)) = self
@@ -85,12 +85,12 @@
         };
         let others = self.run_index.of_group(key);
         let is_whole = others.len() + 1 == group.tasks.len();
-        if group.is_done() || !is_whole || self.is_scattered(step, id, &others) {
+        if group.is_done() || !is_whole || self.is_spread_over_racks(step, id, &others) {
             return;
         }
         let began = others.iter().filter_map(|(id, task)| {
             let other = self.run_at(id, task)?;
-            other.began.filter(|_| other.tells_pace())
+            other.began.filter(|_| other.is_pace_representative())
         });
         let began: Vec<Timestamp> = began.map(|(at, _)| at).collect();
         if began.len() != others.len() {
@@ -99,9 +99,9 @@
         let stretch = run.began.and_then(|(at, from)| {
             let together_since = began.into_iter().fold(at, Timestamp::max);
             let gained = 100_u8.saturating_sub(from);
-            ProgressSample::new(run.tag(task), gained, now.at - together_since)
+            ProgressSample::new(run.sample_id(task), gained, now.at - together_since)
         });
-        let Some((usual, slowdown)) = self.usual_at(key, id, now) else {
+        let Some((usual, slowdown)) = self.typical_at(key, id, now) else {
             return;
         };
         let Some(stretch) = stretch else {
@@ -116,54 +116,63 @@
         );
     }
 
-    /// Tells whether members of a gang that wants one rack are on several: its time then says
-    /// nothing of its workers.
-    fn is_scattered(&self, step: &StepSpec, id: &WorkerId, others: &[(WorkerId, TaskKey)]) -> bool {
+    /// Returns whether a gang that should be on one rack is on several. The time it takes then says
+    /// nothing about the pace of its workers.
+    fn is_spread_over_racks(
+        &self,
+        step: &StepSpec,
+        id: &WorkerId,
+        others: &[(WorkerId, TaskKey)],
+    ) -> bool {
         let rack = self.rack_of(id);
         step.same_rack && others.iter().any(|(other, _)| self.rack_of(other) != rack)
     }
 
-    /// Returns how long a step's work should take near its data, and how many times as long it takes
-    /// at a worker because of its rack.
-    fn usual_at(&self, key: &GroupKey, id: &WorkerId, now: Now) -> Option<(Duration, u32)> {
+    /// Returns how long a step's work typically takes on the rack of its data, and the factor by which
+    /// it is slower on a worker because of that worker's rack.
+    fn typical_at(&self, key: &GroupKey, id: &WorkerId, now: Now) -> Option<(Duration, u32)> {
         let step = self.step(key)?;
         let usual = self.run_time(key, step, now).typical;
         Some((usual, self.slowdown(step, id)))
     }
 
-    /// Learns from the runs that get on.
+    /// Learns from the runs that have made progress.
     pub(super) fn learn_paces_from_reports(&mut self, now: Now) {
         if !self.paces.is_enabled() {
             return;
         }
         let told_percent = self.paces.policy().min_progress_percent;
-        let mut by_step = HashMap::<&GroupKey, Vec<Shown<'_>>>::new();
+        let mut by_step = HashMap::<&GroupKey, Vec<ObservedRun<'_>>>::new();
         for (id, worker) in self.workers.iter().filter(|(_, w)| w.is_in_contact()) {
-            for (task, run) in worker.runs.iter().filter(|(_, run)| run.shows_progress()) {
-                let shown = Shown {
+            for (task, run) in worker
+                .runs
+                .iter()
+                .filter(|(_, run)| run.has_representative_progress())
+            {
+                let shown = ObservedRun {
                     worker: id,
                     task,
                     run,
-                    stretch: run.new_stretch(task, told_percent),
+                    sample: run.new_sample(task, told_percent),
                 };
                 by_step.entry(&task.group).or_default().push(shown);
             }
         }
-        by_step.retain(|_, runs| runs.iter().any(|run| run.stretch.is_some()));
-        let mut steps: Vec<(&GroupKey, Vec<Shown<'_>>)> = by_step.into_iter().collect();
+        by_step.retain(|_, runs| runs.iter().any(|run| run.sample.is_some()));
+        let mut steps: Vec<(&GroupKey, Vec<ObservedRun<'_>>)> = by_step.into_iter().collect();
         steps.sort_by_key(|(key, _)| *key);
         let mut paces = std::mem::take(&mut self.paces);
         for (key, runs) in &steps {
             let shown: Vec<RunProgress<'_>> = runs
                 .iter()
-                .filter_map(|shown| self.shown_near(key, shown, now))
+                .filter_map(|shown| self.rack_local_progress(key, shown, now))
                 .collect();
             paces.learn_from_step(key, &shown, now.at);
         }
         let told: Vec<(WorkerId, TaskKey)> = steps
             .iter()
             .flat_map(|(_, runs)| runs)
-            .filter(|shown| shown.stretch.is_some())
+            .filter(|shown| shown.sample.is_some())
             .map(|shown| (shown.worker.clone(), shown.task.clone()))
             .collect();
         paces.recenter(now.at);
@@ -176,20 +185,20 @@
         }
     }
 
-    /// Returns what a run shows, as if it were near its data.
-    fn shown_near<'a>(
+    /// Returns a run's observed pace, corrected for the distance to its data.
+    fn rack_local_progress<'a>(
         &self,
         key: &GroupKey,
-        shown: &Shown<'a>,
+        shown: &ObservedRun<'a>,
         now: Now,
     ) -> Option<RunProgress<'a>> {
-        let (usual, slowdown) = self.usual_at(key, shown.worker, now)?;
-        let whole = shown.run.whole_span(self.policy.pace.min_judged_work);
+        let (usual, slowdown) = self.typical_at(key, shown.worker, now)?;
+        let whole = shown.run.projected_total(self.policy.pace.min_judged_work);
         Some(RunProgress {
             worker: shown.worker,
             projected_total: whole.map(|whole| whole / slowdown.max(1)),
             sample: shown
-                .stretch
+                .sample
                 .map(|stretch| stretch.without_remote_slowdown(slowdown)),
             expected: usual,
         })
@@ -197,56 +206,60 @@
 }
 
 impl Run {
-    /// Tells whether its time says something of its worker: work that lasts has none, what serves and
-    /// what fills is disturbed by others.
-    const fn tells_pace(&self) -> bool {
+    /// Returns whether the run's duration says something about its worker's pace.
+    ///
+    /// A long-running step has no duration, and runs that serve users or use spare CPU are disturbed
+    /// by other work.
+    const fn is_pace_representative(&self) -> bool {
         let is_plain = !self.lasts && !self.serves && !self.fills;
         is_plain && !self.restored && self.began.is_some()
     }
 
-    /// Tells whether its progress says something of its worker: a gang's is that of its slowest member.
-    fn shows_progress(&self) -> bool {
+    /// Returns whether the run's progress says something about its worker's pace. The progress of a
+    /// gang is that of its slowest member.
+    fn has_representative_progress(&self) -> bool {
         let is_running = self.state == RunState::Running;
         let gets_on = self.began.is_some_and(|(_, from)| self.percent > from);
-        is_running && gets_on && !self.gang && self.tells_pace()
+        is_running && gets_on && !self.gang && self.is_pace_representative()
     }
 
-    /// Returns from when on, and from which percentage, nothing was learnt from it.
-    fn told_until(&self) -> Option<(Timestamp, u8)> {
+    /// Returns the time and the percentage up to which the run's pace has been sampled.
+    fn sampled_until(&self) -> Option<(Timestamp, u8)> {
         self.pace_sampled.or(self.began)
     }
 
-    /// Returns what is new of it, once that is enough.
-    fn new_stretch(&self, task: &TaskKey, enough_percent: u8) -> Option<ProgressSample> {
-        let (at, from) = self.told_until()?;
+    /// Returns the progress since the last sample, if it is enough for a new sample.
+    fn new_sample(&self, task: &TaskKey, enough_percent: u8) -> Option<ProgressSample> {
+        let (at, from) = self.sampled_until()?;
         let gained = self.percent.checked_sub(from)?;
         let is_enough = gained >= enough_percent && self.percent <= 100;
         let took = self.reported_at - at;
         is_enough
-            .then(|| ProgressSample::new(self.tag(task), gained, took))
+            .then(|| ProgressSample::new(self.sample_id(task), gained, took))
             .flatten()
     }
 
-    /// Returns what is new of it at its end.
-    fn stretch_to_end(&self, task: &TaskKey, at: Timestamp) -> Option<ProgressSample> {
-        let (since, from) = self.told_until()?;
+    /// Returns the progress from the last sample to the run's end.
+    fn final_sample(&self, task: &TaskKey, at: Timestamp) -> Option<ProgressSample> {
+        let (since, from) = self.sampled_until()?;
         let left = 100_u8
             .checked_sub(from)
-            .filter(|left| *left >= TELLS_FROM)?;
-        ProgressSample::new(self.tag(task), left, at - since)
+            .filter(|left| *left >= MIN_PROGRESS_PERCENT)?;
+        ProgressSample::new(self.sample_id(task), left, at - since)
     }
 
-    /// Returns how long the whole work takes at the pace shown so far, once that is enough.
-    fn whole_span(&self, judged_after: Duration) -> Option<Duration> {
+    /// Returns how long the whole work takes at the pace observed so far, if the run has worked long
+    /// enough to tell.
+    fn projected_total(&self, judged_after: Duration) -> Option<Duration> {
         let (at, from) = self.began?;
         let gained = self.percent.checked_sub(from)?;
         let worked = self.reported_at - at;
-        let tells = gained >= TELLS_FROM && self.percent <= 100 && worked >= judged_after;
+        let tells = gained >= MIN_PROGRESS_PERCENT && self.percent <= 100 && worked >= judged_after;
         tells.then(|| Duration::from_millis(millis(worked) * 100 / u64::from(gained)))
     }
 
-    /// Returns a number that tells it from other runs.
-    fn tag(&self, task: &TaskKey) -> u64 {
+    /// Returns a hash that identifies the run.
+    fn sample_id(&self, task: &TaskKey) -> u64 {
         let name = task.group.job.as_str().as_bytes();
         let place = u64::from(task.group.step) << 40 ^ u64::from(task.index) << 8;
         xxhash_rust::xxh3::xxh3_64_with_seed(name, place ^ u64::from(self.number))
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -1,4 +1,4 @@
-//! What one pass over the waiting work finds out about the fleet once, not for every step.
+//! Facts about the fleet that a scheduling pass computes once and shares between steps.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,73 +8,75 @@
 use crate::batch::{GroupKey, Resources, StepSpec};
 use crate::{RackId, ServiceId, Timestamp, WorkerId};
 
-/// Workers whose room is kept for gangs that wait.
+/// Workers reserved for waiting gangs.
 #[derive(Debug, Default)]
 pub(super) struct ReservedWorkers {
     pub(super) workers: BTreeMap<WorkerId, ReservationHolder>,
 }
 
-/// Whom a worker's room is kept for.
+/// The waiting gang that a worker is reserved for.
 #[derive(Debug, Clone)]
 pub(super) struct ReservationHolder {
     pub(super) gang: GroupKey,
     pub(super) rank: u8,
-    /// What its customer has used, as it stood in this pass.
+    /// Usage of its customer, as computed in this pass.
     pub(super) used: u64,
-    /// From when on it is to be free.
+    /// When the reserved capacity should be free.
     pub(super) expected_start: Timestamp,
 }
 
-/// Facts about the fleet that hold until something is made to give way.
+/// Facts about the fleet that stay valid until a run is preempted.
 ///
-/// To look through every worker for every waiting step takes 19 ms an end at 1,100 workers and
-/// 5,000 waiting tasks, and 0.6 ms with these (`benches/planner`): most of the steps are alike.
+/// Going through all workers for every waiting step takes 19 ms per run end with 1,100 workers and
+/// 5,000 waiting tasks. With this cache it takes 0.6 ms (`benches/planner`), because most of the
+/// steps are alike.
 #[derive(Debug, Default)]
 pub(super) struct Pass {
     pub(super) reserved: ReservedWorkers,
-    ceilings: HashMap<Shape, Ceiling>,
+    ceilings: HashMap<CeilingKey, Ceiling>,
     free_accelerators: Option<u32>,
-    /// Accelerators to be kept free for urgent work, once that was asked for.
+    /// Accelerators to keep free for urgent work, once computed.
     pub(super) urgent_headroom: Option<f64>,
-    /// Runs that wait to be started or for an answer, once they were counted.
+    /// Number of runs whose start is planned or not yet answered, once computed.
     pub(super) starts_in_flight: Option<usize>,
-    /// What stopping each gang that runs would throw away, once it was asked for.
+    /// Cost of preempting each running gang, once computed.
     pub(super) gang_preemption_costs: Option<BTreeMap<GroupKey, u64>>,
 }
 
-/// The room of a worker that a step may count on.
+/// The part of a worker's capacity that a step may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum CapacityKind {
-    /// All that the worker has.
+    /// The whole capacity of the worker.
     Whole,
-    /// What nothing has or will have.
+    /// The capacity that neither a run nor a planned run uses.
     Free,
-    /// The same, once all above this rank has given way.
+    /// The capacity that is free once all runs above this rank have been preempted.
     Above(u8),
 }
 
-/// What decides how many tasks of a step fit into a worker's room.
+/// Everything that decides how many tasks of a step fit on a worker; the cache key of a
+/// [`Ceiling`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct CeilingKey {
     kind: CapacityKind,
     service: Option<ServiceId>,
     needs: Resources,
     required_label: Option<String>,
     near_rack: Option<String>,
-    spread: Option<u32>,
+    max_per_worker: Option<u32>,
 }
 
-/// How many tasks of one shape have room side by side, at most.
+/// Upper bound on the number of similar tasks that fit on the fleet at the same time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Ceiling {
-    /// On all workers.
+    /// Sum over all workers.
     pub(super) total: u32,
-    /// On the workers of the rack that has most room.
+    /// Sum over the workers of the rack that fits the most tasks.
     pub(super) rack: u32,
 }
 
 impl Ceiling {
-    /// Tells whether `count` tasks of a step might find room.
+    /// Returns whether `count` tasks of a step might fit.
     pub(super) const fn allows(self, step: &StepSpec, count: u32, scope: SearchScope) -> bool {
         if !step.gang {
             return self.total > 0;
@@ -89,14 +91,14 @@
 }
 
 impl Pass {
-    /// Forgets what no longer holds once something gives way.
+    /// Clears the facts that a preemption invalidates.
     pub(super) fn invalidate_capacity(&mut self) {
         self.ceilings.clear();
         self.free_accelerators = None;
         self.gang_preemption_costs = None;
     }
 
-    /// Notes tasks that got places, and how many accelerators they took that were free.
+    /// Records that tasks were placed, and how many free accelerators they use.
     pub(super) fn note_placed(&mut self, tasks: usize, accelerators: u32) {
         if let Some(under_way) = &mut self.starts_in_flight {
             *under_way += tasks;
@@ -108,7 +110,7 @@
 }
 
 impl Planner {
-    /// Returns how many tasks like those of a step could find room, at most.
+    /// Returns an upper bound on the number of tasks like those of a step that fit on the fleet.
     pub(super) fn ceiling(
         &self,
         key: &GroupKey,
@@ -117,23 +119,23 @@
         kind: CapacityKind,
         pass: &mut Pass,
     ) -> Ceiling {
-        let shape = Shape {
+        let shape = CeilingKey {
             kind,
             service: self.service_of(key),
             needs: step.reserved_resources(),
             required_label: step.required_label.clone(),
             near_rack: step.near_rack.clone().filter(|_| near),
-            spread: step.max_per_worker,
+            max_per_worker: step.max_per_worker,
         };
         if let Some(known) = pass.ceilings.get(&shape) {
             return *known;
         }
-        let ceiling = self.count_room(&shape, step, near);
+        let ceiling = self.count_tasks(&shape, step, near);
         pass.ceilings.insert(shape, ceiling);
         ceiling
     }
 
-    fn count_room(&self, shape: &Shape, step: &StepSpec, near: bool) -> Ceiling {
+    fn count_tasks(&self, shape: &CeilingKey, step: &StepSpec, near: bool) -> Ceiling {
         let most = step.max_per_worker.unwrap_or(u32::MAX);
         let mut ceiling = Ceiling::default();
         let mut by_rack = BTreeMap::<&RackId, u32>::new();
@@ -143,7 +145,7 @@
             .filter(|w| w.takes_tasks() && w.suits(step) && (!near || w.is_near(step)))
             .filter(|w| shape.service.as_ref() == Some(&w.listed.service));
         for worker in workers {
-            let times = shape.needs.copies_in(&worker.room_of(shape.kind), most);
+            let times = shape.needs.copies_in(&worker.capacity_of(shape.kind), most);
             if times > 0 {
                 let rack = by_rack.entry(&worker.listed.rack).or_default();
                 *rack = rack.saturating_add(times);
@@ -154,7 +156,7 @@
         ceiling
     }
 
-    /// Returns how many accelerators nothing has or will have.
+    /// Returns the number of accelerators that neither a run nor a planned run uses.
     pub(super) fn free_accelerators(&self, pass: &mut Pass) -> u32 {
         *pass.free_accelerators.get_or_insert_with(|| {
             let workers = self.workers.values().filter(|w| w.takes_tasks());
@@ -164,11 +166,11 @@
 }
 
 impl Worker {
-    fn room_of(&self, kind: CapacityKind) -> Resources {
+    fn capacity_of(&self, kind: CapacityKind) -> Resources {
         match kind {
             CapacityKind::Whole => self.listed.capacity,
             CapacityKind::Free => self.free(),
-            CapacityKind::Above(rank) => self.room_above(rank),
+            CapacityKind::Above(rank) => self.free_for_rank(rank),
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -1,4 +1,4 @@
-//! Workers, what runs there and what room that leaves.
+//! Workers, their runs and their free capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,48 +12,48 @@
 pub(super) use incarnation::{AnswerSource, IncarnationState};
 pub(super) use run::{CrashSuspicion, Run, RunState};
 
-/// What a worker must have shown before it gets a task.
+/// What is required of a worker's recent results before it gets a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequiredHealth {
-    /// Nothing.
+    /// No requirement.
     Any,
-    /// Nothing failed or stood still there lately.
+    /// No run has failed or stalled there recently.
     NotSuspect,
-    /// Something ended done there lately: for a last attempt.
+    /// A run has succeeded there recently. Required for the last attempt of a task.
     Proven,
 }
 
-/// One worker, with what is known of its present life.
+/// A worker and the state of its current incarnation.
 #[derive(Debug, Clone)]
 pub(super) struct Worker {
     pub(super) listed: ListedWorker,
     pub(super) is_listed: bool,
-    /// What is known of its present life.
+    /// State of its current incarnation.
     pub(super) incarnation_state: IncarnationState,
-    /// The token that all calls meant for its present life bring.
+    /// Fencing token of all calls that are meant for its current incarnation.
     pub(super) fence: u64,
-    /// Whether its availability zone is evacuated, so that nothing may start there.
+    /// Whether its availability zone is evacuated, so that nothing may start on it.
     pub(super) in_evacuated_zone: bool,
     pub(super) runs: BTreeMap<TaskKey, Run>,
-    /// Whether it may have runs that are planned, being stopped or not wanted any more.
+    /// Whether it may have runs that are planned, being stopped or redundant.
     pub(super) has_unsettled: bool,
-    /// Room of all runs, planned ones included.
+    /// Resources of all runs, including planned ones.
     claimed: Resources,
     contact: bool,
-    /// Whether it was asked for a report that has neither come nor failed to come.
-    is_asked: bool,
-    /// Until when anything may run on it, by the largest deadline that was ever sent.
+    /// Whether a report was requested and the request has neither been answered nor failed.
+    report_pending: bool,
+    /// Until when runs may go on there, by the latest deadline that was ever sent to it.
     pub(super) lease_until: Option<Timestamp>,
-    /// Its earliest end as it was announced.
+    /// The earliest time at which it leaves, as it announced.
     leaves_at: Option<Timestamp>,
-    /// The last task that was put here for its last chance: until it has worked for a while, nothing
-    /// else starts here.
+    /// The task that was last placed here for its last attempt. Until that run has worked for a
+    /// while, nothing else starts here.
     pub(super) last_attempt: Option<TaskKey>,
-    /// Tasks whose runs were given up when its lease was over: it may have crashed under them.
+    /// Tasks whose runs were given up when the lease expired. The worker may have crashed under them.
     pub(super) lost_tasks: Vec<TaskKey>,
-    /// Since when the directory lists it no longer.
+    /// Since when the directory no longer lists it.
     unlisted_at: Option<Timestamp>,
-    /// When it last answered after a silence.
+    /// When it last answered after being unresponsive.
     pub(super) contact_restored_at: Option<Timestamp>,
 }
 
@@ -62,14 +62,14 @@
         let mut worker = Self {
             listed: listed.clone(),
             is_listed: true,
-            incarnation_state: IncarnationState::begun(listed.incarnation),
+            incarnation_state: IncarnationState::new(listed.incarnation),
             fence,
             in_evacuated_zone: false,
             runs: BTreeMap::new(),
             has_unsettled: false,
             claimed: Resources::default(),
             contact: true,
-            is_asked: false,
+            report_pending: false,
             lease_until: None,
             leaves_at: None,
             last_attempt: None,
@@ -81,7 +81,7 @@
         worker
     }
 
-    /// A worker that is known only from what was written down.
+    /// Creates a worker that is known only from stored placements.
     pub(super) fn unlisted(id: &WorkerId, fence: u64, at: Timestamp) -> Self {
         let listed = ListedWorker {
             id: id.clone(),
@@ -119,27 +119,28 @@
         self.listed = listed;
     }
 
-    /// Tells whether it has left: it said so, the end that it announced, if any, is over, it is
-    /// listed no longer and does not answer.
+    /// Returns whether the worker has left: it announced that it would leave, the announced time, if
+    /// any, has passed, it is no longer listed and it is unresponsive.
     ///
-    /// A report that is still on its way may list what ended just before it left: contact is also
-    /// doubted for what an order or the zone says.
+    /// An outstanding report request counts as contact, because its answer may list runs that ended
+    /// just before the worker left. A worker also becomes unresponsive because of an unanswered order
+    /// or because of other workers of its zone.
     pub(super) fn has_left(&self, at: Timestamp) -> bool {
         let is_due = self.listed.draining && self.leaves_at.is_none_or(|leaves| leaves <= at);
-        is_due && !self.is_listed && !self.contact && !self.is_asked
+        is_due && !self.is_listed && !self.contact && !self.report_pending
     }
 
-    /// Tells whether it goes by plan: its end is not a crash.
+    /// Returns whether the worker leaves as planned, so that its end is not a crash.
     pub(super) const fn is_leaving(&self) -> bool {
         self.listed.draining || self.incarnation_state.left_unannounced
     }
 
-    /// Tells whether it has been missing in the directory for so long, without an answer.
+    /// Returns whether the worker is unresponsive and has been unlisted for at least `after`.
     pub(super) fn has_vanished(&self, at: Timestamp, after: Duration) -> bool {
         !self.contact && self.unlisted_at.is_some_and(|since| at - since >= after)
     }
 
-    /// Names the tasks of some of its runs.
+    /// Returns the tasks of the runs that pass a test.
     pub(super) fn tasks_where(&self, test: impl Fn(&Run) -> bool) -> Vec<TaskKey> {
         let runs = self.runs.iter().filter(|(_, run)| test(run));
         runs.map(|(task, _)| task.clone()).collect()
@@ -159,16 +160,16 @@
         Some(run)
     }
 
-    /// Returns the room that nothing has or will have.
+    /// Returns the capacity that neither a run nor a planned run uses.
     pub(super) fn free(&self) -> Resources {
-        self.left_beside(&self.claimed)
+        self.remaining_beside(&self.claimed)
     }
 
-    /// Returns what is left of its room beside something; nothing of anything where its room has shrunk
-    /// below that.
+    /// Returns the capacity that remains beside `used`. If any resource is overcommitted because the
+    /// capacity has shrunk, nothing remains of any resource.
     ///
-    /// A start on a worker that does not guard its room would bring it further over.
-    fn left_beside(&self, used: &Resources) -> Resources {
+    /// A worker that does not enforce its capacity would otherwise be overcommitted further by a start.
+    fn remaining_beside(&self, used: &Resources) -> Resources {
         if used.fits_in(&self.listed.capacity) {
             self.listed.capacity.saturating_sub(used)
         } else {
@@ -176,38 +177,42 @@
         }
     }
 
-    /// Returns the room that is free once what is being stopped has ended.
+    /// Returns the capacity that is free once all stopping runs have ended.
     pub(super) fn free_after_stops(&self) -> Resources {
-        self.listed.capacity.saturating_sub(&self.claimed_soon())
+        self.listed
+            .capacity
+            .saturating_sub(&self.claimed_after_stops())
     }
 
-    /// Returns what it will have too little of once what is being stopped has ended, because its
-    /// room has shrunk.
+    /// Returns the resources that the worker will lack once all stopping runs have ended, because its
+    /// capacity has shrunk.
     pub(super) fn shortage(&self) -> Resources {
         if self.claimed.fits_in(&self.listed.capacity) {
             return Resources::default();
         }
-        self.claimed_soon().saturating_sub(&self.listed.capacity)
+        self.claimed_after_stops()
+            .saturating_sub(&self.listed.capacity)
     }
 
-    fn claimed_soon(&self) -> Resources {
-        let leaving = self.sum(|run| run.state == RunState::Stopping);
+    fn claimed_after_stops(&self) -> Resources {
+        let leaving = self.sum_resources(|run| run.state == RunState::Stopping);
         self.claimed.saturating_sub(&leaving)
     }
 
-    /// Returns the room that is free once all that may give way to `rank` has ended.
-    pub(super) fn room_above(&self, rank: u8) -> Resources {
-        let stays = self.sum(|run| run.state != RunState::Stopping && !run.may_give_way_to(rank));
-        self.left_beside(&stays)
+    /// Returns the capacity that is free once all runs that work of `rank` may preempt have ended.
+    pub(super) fn free_for_rank(&self, rank: u8) -> Resources {
+        let stays = self
+            .sum_resources(|run| run.state != RunState::Stopping && !run.is_preemptible_by(rank));
+        self.remaining_beside(&stays)
     }
 
-    /// Returns the room that nothing takes at this moment.
+    /// Returns the capacity that no run uses at this moment. Planned runs don't count.
     pub(super) fn free_now(&self) -> Resources {
-        let present = self.sum(|run| run.state != RunState::Planned);
-        self.left_beside(&present)
+        let present = self.sum_resources(|run| run.state != RunState::Planned);
+        self.remaining_beside(&present)
     }
 
-    fn sum(&self, test: impl Fn(&Run) -> bool) -> Resources {
+    fn sum_resources(&self, test: impl Fn(&Run) -> bool) -> Resources {
         self.runs
             .values()
             .filter(|run| test(run))
@@ -216,8 +221,10 @@
             })
     }
 
-    /// Tells whether it may be given tasks; its entry must be its present life's, which may be of
-    /// another kind than the one before.
+    /// Returns whether the worker may be given tasks.
+    ///
+    /// Its directory entry must belong to its current incarnation, which may offer another service or
+    /// capacity than the previous one.
     pub(super) fn takes_tasks(&self) -> bool {
         let stays = !self.listed.draining && !self.in_evacuated_zone;
         let is_described = !self.incarnation_state.differs_from(self.listed.incarnation);
@@ -230,7 +237,7 @@
             .is_some_and(|until| at < until)
     }
 
-    /// Tells whether it has shown what is demanded.
+    /// Returns whether the worker meets a health requirement.
     pub(super) fn is_healthy(&self, demand: RequiredHealth, at: Timestamp) -> bool {
         match demand {
             RequiredHealth::Any => true,
@@ -241,22 +248,22 @@
         }
     }
 
-    /// Tells whether it has the labels that a step asks for.
+    /// Returns whether the worker has the label that a step requires.
     pub(super) fn suits(&self, step: &StepSpec) -> bool {
         step.required_label
             .as_ref()
             .is_none_or(|label| self.listed.labels.contains(label))
     }
 
-    /// Tells whether nothing there would be disturbed by the step, nor disturb it: what fills
-    /// shares no worker with what serves.
+    /// Returns whether the step may share the worker with its current runs: a step that uses spare CPU
+    /// and a step with a latency target would disturb each other.
     pub(super) fn can_colocate(&self, step: &StepSpec) -> bool {
         self.runs.values().all(|run| {
             !(step.uses_spare_cpu && run.serves || step.has_latency_target() && run.fills)
         })
     }
 
-    /// Tells whether the step's data lies on its rack, or nowhere.
+    /// Returns whether the step's data is on the worker's rack, or the step names no rack.
     pub(super) fn is_near(&self, step: &StepSpec) -> bool {
         step.near_rack
             .as_ref()
@@ -272,7 +279,7 @@
     }
 
     pub(super) const fn set_report_pending(&mut self, asked: bool) {
-        self.is_asked = asked;
+        self.report_pending = asked;
     }
 
     pub(super) fn extend_lease(&mut self, until: Timestamp) {
@@ -281,12 +288,12 @@
 
     /// Returns whether the worker may keep its ID across restarts.
     ///
-    /// Orders carry only the ID, so a delayed one may then reach the next incarnation.
+    /// Orders carry only the ID, so a delayed order may then reach the next incarnation.
     pub(super) const fn may_keep_id(&self) -> bool {
         self.incarnation_state.incarnation.is_some()
     }
 
-    /// Releases the room of a stopped run that is kept only because its start may reach the next
+    /// Releases the resources of a stopped run that is kept only because its start may reach the next
     /// incarnation.
     pub(super) fn release_resources(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
@@ -295,12 +302,12 @@
         }
     }
 
-    /// Tells whether anything may run there.
+    /// Returns whether the worker has runs for which a start was sent.
     pub(super) fn is_busy(&self) -> bool {
         self.runs.values().any(Run::was_started)
     }
 
-    /// Returns what to ask of it next; none where it need not be asked.
+    /// Returns the next report request to send, or `None` if the worker need not be polled.
     pub(super) fn hold_request(
         &self,
         last_seen: u64,
@@ -309,14 +316,14 @@
     ) -> Option<ReportRequest> {
         let asks_only = !self.incarnation_state.fenced || !self.contact;
         let present = self.is_busy();
-        if !asks_only && !present && self.incarnation_state.knows_all_seen() {
+        if !asks_only && !present && self.incarnation_state.all_ends_acknowledged() {
             return None;
         }
-        let waits = present && !asks_only && !self.incarnation_state.has_unsaved();
+        let waits = present && !asks_only && !self.incarnation_state.has_unstored_ends();
         Some(ReportRequest {
             token: self.fence,
             deadline_ms: if asks_only { None } else { deadline_ms },
-            // Whoever answers after a silence may be another life, with other ends.
+            // After an unresponsive period, another incarnation with other run ends may answer.
             acknowledged_end: if asks_only { 0 } else { last_seen },
             max_wait: if waits { longest_wait } else { Duration::ZERO },
         })
--- a/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
@@ -1,4 +1,4 @@
-//! What is known of one life of a worker.
+//! What is known of one incarnation of a worker.
 
 use std::collections::VecDeque;
 
@@ -7,81 +7,84 @@
 use crate::time::millis;
 use crate::{JobId, Timestamp};
 
-/// How old a clock may be that an answer brings, in milliseconds: far above the time-out of an order,
-/// and below the time that a worker needs to start again after it has run for a while.
-const ANSWER_AGE_MS: u64 = 1_000;
+/// Maximum age, in milliseconds, of the clock value in an answer. Far above the timeout of an
+/// order, and below the time that a worker needs to restart after it has run for a while.
+const MAX_ANSWER_AGE_MS: u64 = 1_000;
 
-/// An end that the worker may forget once the change behind it lasts.
+/// A run end that is acknowledged only once the change that it caused is stored.
 #[derive(Debug, Clone)]
-struct Unsaved {
+struct UnstoredEnd {
     number: u64,
     change: Option<(JobId, u64)>,
 }
 
-/// What is known of one life of a worker; a new life begins with none of it.
+/// What is known of one incarnation of a worker. A new incarnation starts without it.
 ///
-/// Kept across lives, the number of the last end would pass over the first ends of a new one.
+/// If the number of the last run end were carried over, the first run ends of a new incarnation
+/// would be skipped.
 #[derive(Debug, Clone, Default)]
 pub(in crate::batch::planner) struct IncarnationState {
-    /// Which life it is; none until the worker or the directory says so.
+    /// ID of the incarnation. `None` until the worker or the directory reports it.
     pub(in crate::batch::planner) incarnation: Option<Incarnation>,
-    /// When it first answered a request for a report.
+    /// When it first answered a report request.
     first_report_at: Option<Timestamp>,
-    /// The life before it, as far as it was known.
+    /// The previous incarnation, as far as it was known.
     pub(in crate::batch::planner) previous: PreviousIncarnation,
-    /// Whether it has answered its own token: nothing that was meant for an earlier life is carried out any more.
+    /// Whether it has answered a request with its own token. From then on, it carries out nothing
+    /// that was meant for an earlier incarnation.
     pub(in crate::batch::planner) fenced: bool,
-    /// When it last answered anything.
+    /// When it last answered any request.
     pub(in crate::batch::planner) last_answer_at: Option<Timestamp>,
-    /// Its clock in milliseconds, and when that was read.
+    /// Its last known clock value in milliseconds, and when that was read.
     clock: Option<(u64, Timestamp)>,
-    /// Highest end that was taken in.
+    /// Number of the highest run end that was handled.
     pub(in crate::batch::planner) last_end_seen: u64,
-    unsaved: VecDeque<Unsaved>,
-    /// Highest end that it was told to forget, as far as it has answered.
-    told_seen: u64,
-    /// Until when it gets nothing new because of what happened there.
+    unstored_ends: VecDeque<UnstoredEnd>,
+    /// Number of the highest run end that was acknowledged in a request that it has answered.
+    acknowledged_end: u64,
+    /// Until when it gets no new runs because of a failure, a stall or a refusal there.
     pub(in crate::batch::planner) suspect_until: Option<Timestamp>,
-    /// When a task last ended done there.
+    /// When a run last succeeded there.
     pub(in crate::batch::planner) succeeded_at: Option<Timestamp>,
-    /// Jobs whose runs failed there since the last success.
+    /// Jobs whose runs have failed there since the last success.
     pub(in crate::batch::planner) failed_jobs: Vec<JobId>,
-    /// Whether it has answered since the directory dropped it, as one does that leaves without a word.
+    /// Whether it has answered after the directory stopped listing it, as a worker does that leaves
+    /// without announcing it.
     pub(in crate::batch::planner) left_unannounced: bool,
 }
 
-/// What is kept of the life before a life.
+/// What remains known of the previous incarnation.
 #[derive(Debug, Clone, Copy, Default)]
 pub(in crate::batch::planner) struct PreviousIncarnation {
     incarnation: Option<Incarnation>,
-    /// When it was last heard.
+    /// When it last answered any request.
     pub(in crate::batch::planner) last_answer_at: Option<Timestamp>,
-    /// Whether it went by plan: its end was no crash.
+    /// Whether it left as planned, so that its end was not a crash.
     pub(in crate::batch::planner) has_left: bool,
 }
 
-/// Which life an answer came from.
+/// Which incarnation sent an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::batch::planner) enum AnswerSource {
-    /// The one that is known.
+    /// The current incarnation.
     Known,
-    /// One that began after it.
+    /// An incarnation that began after the current one.
     Later,
-    /// One that is over.
+    /// An incarnation that has ended.
     Earlier,
 }
 
 impl IncarnationState {
-    /// A life of which only its beginning is known.
-    pub(in crate::batch::planner) fn begun(incarnation: Option<Incarnation>) -> Self {
+    /// Creates the state of an incarnation of which at most its ID is known.
+    pub(in crate::batch::planner) fn new(incarnation: Option<Incarnation>) -> Self {
         Self {
             incarnation,
             ..Self::default()
         }
     }
 
-    /// The life that follows this one, which went by plan or not.
-    pub(in crate::batch::planner) fn next(
+    /// Creates the state of the next incarnation. `has_left` says whether this one left as planned.
+    pub(in crate::batch::planner) fn successor(
         &self,
         incarnation: Option<Incarnation>,
         has_left: bool,
@@ -93,32 +96,32 @@
         };
         Self {
             previous: earlier,
-            ..Self::begun(incarnation)
+            ..Self::new(incarnation)
         }
     }
 
-    /// Tells whether another life is named; what is not told is no other.
+    /// Returns whether `other` names another incarnation. An unknown ID does not differ.
     pub(in crate::batch::planner) fn differs_from(&self, other: Option<Incarnation>) -> bool {
         self.incarnation
             .zip(other)
             .is_some_and(|(own, other)| own != other)
     }
 
-    /// Tells whether an entry was written by a life that began before this one.
+    /// Returns whether a directory entry was written by an incarnation that began before this one.
     pub(in crate::batch::planner) fn is_newer_than(&self, written_by: Option<Incarnation>) -> bool {
         let is_lower = self.incarnation > written_by;
-        self.differs_from(written_by) && (is_lower || self.follows(written_by))
+        self.differs_from(written_by) && (is_lower || self.is_previous(written_by))
     }
 
-    /// Tells whether the life before is named, whatever the time of day was when it began.
-    fn follows(&self, named: Option<Incarnation>) -> bool {
+    /// Returns whether the previous incarnation is named, whatever the wall clock was when it began.
+    fn is_previous(&self, named: Option<Incarnation>) -> bool {
         named.is_some() && named == self.previous.incarnation
     }
 
-    /// Tells which life answered a request that left at `sent_at`.
+    /// Returns which incarnation answered a request that was sent at `sent_at`.
     ///
-    /// Answers may pass each other, and the time of day may be set back between two lives: what was
-    /// asked after this life had answered can't have reached an earlier one.
+    /// Answers may overtake each other, and the wall clock may be set back between two incarnations.
+    /// But a request sent after the current incarnation had answered can't have reached an earlier one.
     pub(in crate::batch::planner) fn answer_source(
         &self,
         named: Option<Incarnation>,
@@ -128,7 +131,7 @@
             return AnswerSource::Known;
         }
         let asked_after = self.first_report_at.is_some_and(|at| at <= sent_at);
-        let seems_later = named > self.incarnation && !self.follows(named);
+        let seems_later = named > self.incarnation && !self.is_previous(named);
         if asked_after || seems_later {
             AnswerSource::Later
         } else {
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Notes a report, which may answer the life's own token; returns whether it is the first that does.
+    /// Records a report. Returns whether it is the first answer to a request with the incarnation's
+    /// own token.
     pub(in crate::batch::planner) fn note_report(
         &mut self,
         named: Option<Incarnation>,
@@ -153,13 +157,14 @@
         self.clock = Some((clock_ms, at));
     }
 
-    /// Returns its clock at a moment, once it was read.
+    /// Returns the worker's clock at a moment, or `None` if it was never read.
     pub(in crate::batch::planner) fn clock_at(&self, at: Timestamp) -> Option<u64> {
         let (clock_ms, read_at) = self.clock?;
         Some(clock_ms.saturating_add(millis(at - read_at)))
     }
 
-    /// Tells whether a clock is so far behind that it can't be this life's, which may be 2% slow.
+    /// Returns whether a clock value is so far behind that it can't be this incarnation's, whose clock
+    /// may be 2% slow.
     pub(in crate::batch::planner) fn is_clock_set_back(
         &self,
         clock_ms: u64,
@@ -169,26 +174,28 @@
             let passed_ms = millis(at - read_at);
             let least_ms = read_ms
                 .saturating_add(passed_ms - passed_ms / u64::from(Planner::CLOCK_DRIFT_DIVISOR));
-            clock_ms.saturating_add(ANSWER_AGE_MS) < least_ms
+            clock_ms.saturating_add(MAX_ANSWER_AGE_MS) < least_ms
         })
     }
 
-    /// Notes an end that was taken in, with the change that must last before it is forgotten.
+    /// Records a run end that was handled, and the change that must be stored before the run end is
+    /// acknowledged.
     pub(in crate::batch::planner) fn note_end(
         &mut self,
         number: u64,
         change: Option<(JobId, u64)>,
     ) {
         self.last_end_seen = number;
-        self.unsaved.push_back(Unsaved { number, change });
+        self.unstored_ends.push_back(UnstoredEnd { number, change });
     }
 
-    /// Returns the highest end that it may forget; `lasts` tells which changes are kept.
+    /// Returns the highest run end that may be acknowledged, where `lasts` says which changes are
+    /// stored.
     pub(in crate::batch::planner) fn acknowledgeable(
         &mut self,
         lasts: impl Fn(&JobId, u64) -> bool,
     ) -> u64 {
-        while let Some(first) = self.unsaved.front() {
+        while let Some(first) = self.unstored_ends.front() {
             let kept = first
                 .change
                 .as_ref()
@@ -196,35 +203,36 @@
             if !kept {
                 return first.number.saturating_sub(1);
             }
-            self.unsaved.pop_front();
+            self.unstored_ends.pop_front();
         }
         self.last_end_seen
     }
 
-    /// Tells whether ends wait for what they change to last.
-    pub(in crate::batch::planner) fn has_unsaved(&self) -> bool {
-        !self.unsaved.is_empty()
+    /// Returns whether there are run ends whose changes are not stored yet.
+    pub(in crate::batch::planner) fn has_unstored_ends(&self) -> bool {
+        !self.unstored_ends.is_empty()
     }
 
-    /// Tells whether it was told to forget all ends that were taken in.
-    pub(in crate::batch::planner) const fn knows_all_seen(&self) -> bool {
-        self.told_seen >= self.last_end_seen
+    /// Returns whether all handled run ends have been acknowledged.
+    pub(in crate::batch::planner) const fn all_ends_acknowledged(&self) -> bool {
+        self.acknowledged_end >= self.last_end_seen
     }
 
-    /// Returns what to tell it to forget: nothing that it knows already.
+    /// Returns the run end to acknowledge in the next request, or 0 if it was acknowledged already.
     ///
-    /// A request may reach a new life. Some workers keep listing an end whose number was named
-    /// before it came, up to 500 in a report, behind which later ends would not be seen.
+    /// A request may reach a new incarnation. Some workers keep listing a run end whose number was
+    /// acknowledged before it occurred. A report lists at most 500 run ends, so later ones would not be
+    /// seen behind these.
     pub(in crate::batch::planner) const fn next_acknowledgement(&self, forgettable: u64) -> u64 {
-        if forgettable > self.told_seen {
+        if forgettable > self.acknowledged_end {
             forgettable
         } else {
             0
         }
     }
 
-    /// Notes that it has answered a request to forget ends.
+    /// Records that the worker has answered a request that acknowledged run ends up to `last_seen`.
     pub(in crate::batch::planner) fn record_acknowledged(&mut self, last_seen: u64) {
-        self.told_seen = self.told_seen.max(last_seen);
+        self.acknowledged_end = self.acknowledged_end.max(last_seen);
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pool/run.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/run.rs
@@ -1,4 +1,4 @@
-//! One run of a task at a worker.
+//! One run of a task on a worker.
 
 use std::time::Duration;
 
@@ -6,89 +6,90 @@
 use crate::batch::{Incarnation, Resources};
 use crate::time::millis;
 
-/// Where a run stands at its worker.
+/// The state of a run on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::batch::planner) enum RunState {
-    /// Its place is kept; room may still have to become free.
+    /// It is placed, but no start was sent: its resources may still have to become free.
     Planned,
-    /// A start was sent.
+    /// A start order was sent.
     Starting,
-    /// It is there.
+    /// It runs on the worker, or is assumed to because an earlier planner stored its placement.
     Running,
-    /// A stop was sent.
+    /// A stop order was sent.
     Stopping,
 }
 
-/// What the workers that were lost under a task say of it.
+/// How strongly a task is suspected of crashing its workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::batch::planner) enum CrashSuspicion {
-    /// None was lost.
+    /// No worker was lost while it ran.
     None,
-    /// It may have crashed them.
+    /// It may have crashed the workers that were lost.
     Some,
-    /// The next crash fails it.
+    /// The next crash makes it fail.
     LastAttempt,
 }
 
-/// One run of a task at a worker.
+/// One run of a task on a worker.
 #[derive(Debug, Clone)]
 pub(in crate::batch::planner) struct Run {
     pub(in crate::batch::planner) number: u32,
     pub(in crate::batch::planner) room: Resources,
     pub(in crate::batch::planner) state: RunState,
-    /// 0 for a customer's own share, else one more than the queue's priority.
+    /// 0 for a guaranteed job, otherwise the queue's priority plus one. Lower ranks go first.
     pub(in crate::batch::planner) rank: u8,
     pub(in crate::batch::planner) gang: bool,
     pub(in crate::batch::planner) checkpoints: bool,
-    /// Whether it runs until its job is cancelled.
+    /// Whether the step is long-running: it runs until its job is cancelled.
     pub(in crate::batch::planner) lasts: bool,
-    /// Whether it serves users of its own.
+    /// Whether the step serves users and has a latency target.
     pub(in crate::batch::planner) serves: bool,
-    /// Whether it takes what others leave unused.
+    /// Whether the step uses only the CPU that other runs leave unused.
     pub(in crate::batch::planner) fills: bool,
-    /// How long it should take here, in milliseconds.
+    /// Expected duration on this worker, in milliseconds.
     pub(in crate::batch::planner) expected_ms: u64,
-    /// When the present state began.
+    /// When it entered its current state. For a planned run, when its placement was stored.
     pub(in crate::batch::planner) since: Timestamp,
-    /// When the last order about it was sent.
+    /// When the last order for it was sent.
     pub(in crate::batch::planner) ordered_at: Timestamp,
-    /// When the worker last answered an order about it, or its start was given up without an answer: a
-    /// later report must name it.
+    /// When the worker answered an order for it, or its start was given up without an answer. A report
+    /// requested later must list the run.
     pub(in crate::batch::planner) answered_at: Option<Timestamp>,
-    /// Stops that got no answer.
+    /// Number of stop orders that were not answered.
     pub(in crate::batch::planner) stops: u8,
-    /// Starts that were sent.
+    /// Number of start orders that were sent.
     pub(in crate::batch::planner) tries: u8,
-    /// Until when its start may still be carried out, by this incarnation of its worker or the next;
-    /// none once that is ruled out, or if the worker gets a new ID on every restart.
+    /// Until when its start may still be carried out, by this incarnation of its worker or the next.
+    /// `None` once that is ruled out, or if the worker gets a new ID on every restart.
     pub(in crate::batch::planner) late_start_until: Option<Timestamp>,
     pub(in crate::batch::planner) percent: u8,
-    /// When the percentage last rose.
+    /// When `percent` last increased.
     pub(in crate::batch::planner) progressed_at: Timestamp,
-    /// When the worker last reported it.
+    /// When the worker last listed it in a report.
     pub(in crate::batch::planner) reported_at: Timestamp,
-    /// Since when its task is done by another run.
+    /// Since when it is redundant, because another run has finished its task.
     pub(in crate::batch::planner) redundant_since: Option<Timestamp>,
-    /// When it began, and the percentage it began at.
+    /// When it began, and the percentage that it began at.
     pub(in crate::batch::planner) began: Option<(Timestamp, u8)>,
-    /// Until when, and until which percentage, its worker's pace was learnt from it.
+    /// Time and percentage up to which its worker's pace was learned from it.
     pub(in crate::batch::planner) pace_sampled: Option<(Timestamp, u8)>,
-    /// Whether it goes on from a checkpoint or under a new planner, so that only its first report
-    /// tells where it began.
+    /// Whether it continues from a checkpoint or was restored by a new planner, so that only its first
+    /// report tells where it began.
     pub(in crate::batch::planner) resumes: bool,
-    /// Whether it is known only from what an earlier planner wrote down.
+    /// Whether it is known only from a placement stored by an earlier planner.
     pub(in crate::batch::planner) restored: bool,
-    /// What the workers that were lost under its task before say of it.
+    /// How strongly its task is suspected of crashing its workers.
     pub(in crate::batch::planner) suspicion: CrashSuspicion,
-    /// Whether its worker has said that it took it: a place alone is no proof that a start was sent.
+    /// Whether its worker has confirmed the start. A placement alone doesn't prove that a start was
+    /// sent.
     pub(in crate::batch::planner) start_confirmed: bool,
-    /// Which life of its worker was told to start it last, or lists it.
+    /// The incarnation of its worker that was last ordered to start it, or that lists it.
     pub(in crate::batch::planner) incarnation: Option<Incarnation>,
-    /// The token that the last start of it brought; none was sent to a run that was found.
+    /// Fencing token of its last start order; 0 for an adopted run, to which this planner sent none.
     pub(in crate::batch::planner) fence: u64,
-    /// Whether a report of that life has listed it.
+    /// Whether a report of that incarnation has listed it.
     pub(in crate::batch::planner) is_listed: bool,
-    /// The change of its job that writes its place down; no start is sent before that lasts.
+    /// The change of its job that contains its placement. No start is sent before that is stored.
     pub(in crate::batch::planner) placement_change: u64,
 }
 
@@ -103,18 +104,18 @@
         self.late_start_until.is_some_and(|until| at <= until)
     }
 
-    /// Tells whether it may be stopped for work of `rank`; what lasts gives way to nothing.
-    pub(in crate::batch::planner) const fn may_give_way_to(&self, rank: u8) -> bool {
+    /// Returns whether work of `rank` may preempt it. Long-running steps are never preempted.
+    pub(in crate::batch::planner) const fn is_preemptible_by(&self, rank: u8) -> bool {
         self.rank > rank && !self.lasts && !matches!(self.state, RunState::Stopping)
     }
 
-    /// Tells whether it has to be looked at as time passes.
+    /// Returns whether it has to be checked as time passes.
     pub(in crate::batch::planner) const fn is_unsettled(&self) -> bool {
         matches!(self.state, RunState::Planned | RunState::Stopping)
             || self.redundant_since.is_some()
     }
 
-    /// Returns the work that a stop would throw away, in core-milliseconds.
+    /// Returns the work that a stop would discard, in core-milliseconds.
     pub(in crate::batch::planner) fn lost_work(
         &self,
         now: Timestamp,
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -1,4 +1,4 @@
-//! What of a job is written down, and how a job is restored from it.
+//! The stored progress of a job, and how a job is restored from it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,26 +13,29 @@
 const DONE: char = 'D';
 const ALL_DONE: &str = "*";
 
-/// One job's progress to write down.
+/// The progress of one job, to be written to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgressWrite {
-    /// The job.
+    /// The job that the progress belongs to.
     pub job: JobId,
-    /// Say this to [`Planner::progress_written`] once it lasts.
+    /// Number of the job's latest change that `progress` includes. Pass it to
+    /// [`Planner::progress_written`] once the write is stored.
     pub change: u64,
-    /// What to write.
+    /// The progress to write.
     pub progress: Progress,
 }
 
 impl Planner {
-    /// Tells whether something waits to be written down.
+    /// Returns whether any job's progress waits to be written.
     #[must_use]
     pub fn has_writes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Takes the progress of up to `most` jobs to be written down, urgent ones first, but of none
-    /// in `busy`: those are being written, and their turn comes after that.
+    /// Removes and returns up to `most` progress writes that are due, urgent jobs first.
+    ///
+    /// Jobs in `busy` are skipped, because an earlier write of theirs is still in progress. Their
+    /// writes stay due.
     pub fn take_writes(
         &mut self,
         most: usize,
@@ -65,7 +68,7 @@
         job.map_or(u8::MAX, |job| job.accepted.queue.priority)
     }
 
-    /// Takes word that a change lasts.
+    /// Handles the completion of a write: the changes of a job up to `change` are stored.
     pub fn progress_written(&mut self, id: &JobId, change: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stored_changes = job.stored_changes.max(change);
@@ -74,16 +77,18 @@
         }
     }
 
-    /// Takes word that a write may not have lasted: it is due again.
+    /// Handles a write that may not have been stored: it becomes due again.
     pub fn progress_write_failed(&mut self, id: &JobId) {
         if self.jobs.contains_key(id) {
             self.changed.insert(id.clone());
         }
     }
 
-    /// Takes up to `most` jobs whose ends are written down, as they should be kept from now on.
+    /// Returns up to `most` jobs whose ends are stored, in the shortened form in which their records
+    /// should be stored from now on.
     ///
-    /// What can't be kept so now is offered again by [`Planner::job_trim_failed`].
+    /// Call [`Planner::job_trim_failed`] for a job that could not be stored in this form, so that it
+    /// is returned again.
     pub fn take_jobs_to_trim(&mut self, most: usize) -> Vec<AcceptedJob> {
         let ended = self.jobs.values_mut().filter(|job| job.may_be_trimmed());
         let trims = ended.take(most).map(|job| {
@@ -93,7 +98,8 @@
         trims.collect()
     }
 
-    /// Takes word that a job is kept in its short form: what it ran is forgotten here too.
+    /// Handles a job record that was stored in its shortened form: the job's specification and its
+    /// occurrences are also dropped from memory.
     pub fn job_trimmed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = Arc::new(job.accepted.trimmed());
@@ -101,7 +107,7 @@
         }
     }
 
-    /// Takes word that a job may not be kept in its short form.
+    /// Handles a job record that may not have been stored in its shortened form.
     pub fn job_trim_failed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.trim_state = TrimState::Due;
@@ -124,7 +130,8 @@
     }
 
     pub(super) fn progress(&self, now: Now) -> Progress {
-        // What its tasks did is of no use once the job has ended, and every planner to come reads it.
+        // The progress of its tasks is of no use once the job has ended, and every later planner would
+        // have to read it.
         let occurrences = self.occurrences.iter().filter(|_| self.outcome.is_none());
         Progress {
             outcome: self.outcome,
@@ -229,7 +236,7 @@
     }
 }
 
-/// Most failures that one character tells.
+/// Largest number of failures that one character can express.
 const MAX_FAILURES_MARK: u32 = 9;
 
 fn mark(task: &super::job::Task) -> char {
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -1,4 +1,4 @@
-//! Who is considered first, and whose claim on its own share it is.
+//! The order in which waiting steps are considered, and which jobs are guaranteed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,31 +11,32 @@
 use crate::{CustomerId, JobId};
 
 impl Planner {
-    /// Gives places to what waits, in order of rank and turn; true where something still does.
+    /// Runs a scheduling pass: places waiting tasks in the order of rank and scheduling key. Returns
+    /// whether any still wait.
     pub(super) fn plan(&mut self, now: Now) -> bool {
         let claims = self.guaranteed_jobs();
         if self.ranked_guaranteed_jobs.as_ref() != Some(&claims) {
-            self.renew_ranks(&claims);
+            self.update_ranks(&claims);
             self.ranked_guaranteed_jobs = Some(claims.clone());
         }
         let mut candidates = self.candidates(&claims, now);
         let mut pass = Pass::default();
-        let aged = self.let_oldest_first(&mut candidates, &mut pass, now);
+        let aged = self.promote_oldest_aged(&mut candidates, &mut pass, now);
         pass.reserved = self.renew_reservations(&candidates, now);
         for candidate in &candidates {
             self.place_step(candidate, &mut pass, now);
         }
-        if aged.is_some_and(|key| !self.still_waits(&key)) {
-            self.aged_turn_at = Some(now.at);
+        if aged.is_some_and(|key| !self.has_waiting_tasks(&key)) {
+            self.last_aged_at = Some(now.at);
         }
         candidates
             .iter()
-            .any(|candidate| self.still_waits(&candidate.key))
+            .any(|candidate| self.has_waiting_tasks(&candidate.key))
     }
 
-    /// Lets the step that has waited longest beyond all use come before other work that is not
-    /// urgent, if that turn has come; returns it.
-    fn let_oldest_first(
+    /// Moves the oldest aged step ahead of all work that is not urgent, and returns it. Does nothing
+    /// until the minimum interval since the last such step has passed.
+    fn promote_oldest_aged(
         &self,
         candidates: &mut [Candidate],
         pass: &mut Pass,
@@ -43,7 +44,7 @@
     ) -> Option<GroupKey> {
         let policy = &self.policy.turns;
         let gap = policy.aged_interval;
-        if self.aged_turn_at.is_some_and(|at| now.at - at < gap) {
+        if self.last_aged_at.is_some_and(|at| now.at - at < gap) {
             return None;
         }
         let aged = candidates.iter().enumerate().filter_map(|(index, one)| {
@@ -56,8 +57,8 @@
             let aged = AgedStep { since_unix_ms, key };
             (since_unix_ms <= now.unix_ms).then_some((aged, index))
         });
-        // What no worker could hold at this moment would keep the turn from all others.
-        let aged = aged.filter(|(aged, _)| self.could_be_held(&aged.key, pass));
+        // A step that fits on no current worker would block this for all others.
+        let aged = aged.filter(|(aged, _)| self.fits_on_empty_fleet(&aged.key, pass));
         let (aged, index) = aged.min()?;
         let first = candidates.partition_point(|one| one.rank <= URGENT_RANK);
         candidates[index].turn = SchedulingKey::aged();
@@ -65,9 +66,9 @@
         Some(aged.key)
     }
 
-    /// Tells whether the workers that are there could hold a step if nothing else ran, and a task of
-    /// it may start.
-    fn could_be_held(&self, key: &GroupKey, pass: &mut Pass) -> bool {
+    /// Returns whether a step would fit on the current workers if nothing else ran, and at least one
+    /// of its waiting tasks may start.
+    fn fits_on_empty_fleet(&self, key: &GroupKey, pass: &mut Pass) -> bool {
         let Some((step, group)) = self.step(key).zip(self.jobs[&key.job].group(key)) else {
             return false;
         };
@@ -82,12 +83,13 @@
         may_start && ceiling.allows(step, count, scope)
     }
 
-    fn still_waits(&self, key: &GroupKey) -> bool {
+    fn has_waiting_tasks(&self, key: &GroupKey) -> bool {
         let group = self.jobs.get(&key.job).and_then(|job| job.group(key));
         group.is_some_and(|group| group.tasks.iter().any(super::job::Task::is_waiting))
     }
 
-    /// Returns the urgent jobs that stay within their customers' own shares, oldest first.
+    /// Returns the urgent jobs that fit within their customers' guaranteed shares, where older jobs
+    /// go first.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut urgent: Vec<&Job> = self
             .jobs
@@ -112,7 +114,7 @@
         claims
     }
 
-    fn renew_ranks(&mut self, claims: &BTreeSet<JobId>) {
+    fn update_ranks(&mut self, claims: &BTreeSet<JobId>) {
         for worker in self.workers.values_mut() {
             for (task, run) in &mut worker.runs {
                 if run.rank <= URGENT_RANK {
@@ -129,12 +131,12 @@
     fn candidates(&mut self, claims: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
         let found = self.list_candidates(claims, now);
         for candidate in &found {
-            self.note_ready(&candidate.key, now);
+            self.record_ready(&candidate.key, now);
         }
         found
     }
 
-    /// Returns the steps that wait for places, in their turn.
+    /// Returns the steps that wait for placements, in scheduling order.
     pub(super) fn list_candidates(&self, claims: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
         let mut found = Vec::new();
         for (id, job) in &self.jobs {
@@ -151,12 +153,12 @@
                 found.push(Candidate { rank, turn, key });
             }
         }
-        self.put_in_order(&mut found, now);
+        self.sort_candidates(&mut found, now);
         found
     }
 
-    /// Notes since when a step could start.
-    fn note_ready(&mut self, key: &GroupKey, now: Now) {
+    /// Records since when a step has been ready to start.
+    fn record_ready(&mut self, key: &GroupKey, now: Now) {
         let job = self.jobs.get_mut(&key.job);
         if let Some(group) = job.and_then(|job| job.group_mut(key)) {
             group.ready_since.get_or_insert(now.at);
@@ -164,7 +166,7 @@
     }
 }
 
-/// Returns the steps that have waiting tasks and whose earlier steps are done.
+/// Returns the steps of a job that have waiting tasks and whose dependencies are done.
 fn ready_groups(id: &JobId, job: &Job) -> Vec<GroupKey> {
     let waits = |key: &GroupKey| {
         let group = job.group(key);
@@ -173,7 +175,7 @@
     job.ready_keys(id).filter(waits).collect()
 }
 
-/// Returns how many accelerators a job may take at a time, at most.
+/// Returns the largest number of accelerators that a job may use at a time.
 pub(super) fn max_accelerators(job: &Job) -> u32 {
     job.accepted.spec.steps.iter().fold(0, |sum: u32, step| {
         sum.saturating_add(step.needs.accelerators.saturating_mul(step.count))
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -1,4 +1,4 @@
-//! Orders that are given again, and places that are given up.
+//! Repeated stop orders, and placements that are given up.
 
 use super::pool::{Run, RunState, Worker};
 use super::{Now, Planner};
@@ -7,17 +7,18 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Sends stops again that should have ended, and gives up places whose room stays taken.
-    pub(super) fn resend(&mut self, now: Now) {
+    /// Repeats stop orders whose runs should have ended, stops redundant runs, and gives up planned
+    /// runs that can't start where they were placed.
+    pub(super) fn check_unsettled_runs(&mut self, now: Now) {
         let patience = self.bounds.stop_max + self.policy.orders.stop_retry_after;
         let mut again = Vec::new();
         let mut in_vain = Vec::new();
         let mut unwanted = Vec::new();
-        self.count_waits_from_records(now);
+        self.start_waits_of_stored_placements(now);
         for (id, worker) in self.workers.iter().filter(|(_, w)| w.has_unsettled) {
             for (task, run) in &worker.runs {
                 if run.state == RunState::Planned
-                    && let Some(why) = self.waits_in_vain(id, worker, task, run, now)
+                    && let Some(why) = self.cancel_reason(id, worker, task, run, now)
                 {
                     in_vain.push((id.clone(), task.clone(), why));
                 }
@@ -27,8 +28,8 @@
                 {
                     unwanted.push((id.clone(), task.clone()));
                 }
-                // A worker that answered the stop refuses the run; only its next incarnation may
-                // start it.
+                // A worker that answered the stop refuses the run, so only its next incarnation may
+                // still start it.
                 let awaits_late_start = run.answered_at.is_some() && run.may_start_late(now.at);
                 if run.state == RunState::Stopping
                     && !awaits_late_start
@@ -40,7 +41,7 @@
             }
         }
         for (id, task, run) in again {
-            self.tell_overdue_stop(&id, &task, now);
+            self.report_overdue_stop(&id, &task, now);
             self.send_stop(&id, &task, run, now);
         }
         for (id, task) in unwanted {
@@ -51,9 +52,9 @@
         }
     }
 
-    /// Says that a stopped run has not ended: its room is counted on, and nothing else shows that it
-    /// does not become free.
-    fn tell_overdue_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    /// Reports a stopped run that has not ended. Other work waits for its resources, and nothing else
+    /// shows that they don't become free.
+    fn report_overdue_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(run) = self.run_at(id, task) else {
             return;
         };
@@ -62,8 +63,8 @@
         self.decisions.push(overdue);
     }
 
-    /// Returns why a planned run should look for another place, if it should.
-    fn waits_in_vain(
+    /// Returns the reason why a planned run needs another placement, if there is one.
+    fn cancel_reason(
         &self,
         id: &WorkerId,
         worker: &Worker,
@@ -82,9 +83,10 @@
         }
     }
 
-    /// Notes which workers have settled, and lets the wait of planned runs for their room begin
-    /// only once their places are written down: a slow store is no reason to look elsewhere.
-    fn count_waits_from_records(&mut self, now: Now) {
+    /// Updates which workers have unsettled runs, and starts the wait of planned runs for their
+    /// resources only once their placements are stored: a slow store is no reason to place them
+    /// elsewhere.
+    fn start_waits_of_stored_placements(&mut self, now: Now) {
         let jobs = &self.jobs;
         for worker in self.workers.values_mut().filter(|w| w.has_unsettled) {
             worker.has_unsettled = worker.runs.values().any(Run::is_unsettled);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Gives a planned run up, and with it the other planned members of its gang.
+    /// Gives up a planned run and all other planned members of its gang.
     pub(super) fn cancel_planned(&mut self, id: &WorkerId, task: &TaskKey, why: &str, now: Now) {
         self.record_setback(&task.group.job, Setback::PlacementAbandoned);
         self.stop_run(id, task, why, now);
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -1,8 +1,9 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same ID.
 //!
-//! A new life shows in the directory or in a report, whichever comes first. What was sent to the life
-//! before may be carried out by the new one until that has seen a higher token (see `fencing`). So only what
-//! the life before had listed, or a report that answers that token does not name, is known to be lost.
+//! A new incarnation is detected from the directory or from a report, whichever comes first. It may
+//! carry out orders that were sent to the previous incarnation until it has seen a higher token (see
+//! `fencing`). So a run is known to be lost only if the previous incarnation had listed it, or if a
+//! report that answers the higher token does not list it.
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
@@ -10,12 +11,12 @@
 use crate::batch::{Decision, Incarnation, Order, RunEndKind, TaskKey};
 
 impl Planner {
-    /// Returns which life of a worker is known.
+    /// Returns the ID of a worker's current incarnation, if it is known.
     pub(super) fn incarnation_of(&self, id: &WorkerId) -> Option<Incarnation> {
         self.workers.get(id)?.incarnation_state.incarnation
     }
 
-    /// Takes word that a worker has started again under its id.
+    /// Handles the restart of a worker under its old ID.
     pub(super) fn begin_incarnation(
         &mut self,
         id: &WorkerId,
@@ -28,17 +29,17 @@
         };
         worker.incarnation_state = worker
             .incarnation_state
-            .next(incarnation, worker.is_leaving());
+            .successor(incarnation, worker.is_leaving());
         worker.fence = fence;
         worker.set_contact(false);
         self.paces.record_restart(id, now.at);
         if worker.is_busy() {
-            // A deadline by the clock of the life before is far ahead of the new one's, which holds
-            // what arrives with it as long as it may.
+            // A deadline by the previous incarnation's clock is far ahead of the new one's clock. A
+            // start that arrives with such a deadline may run for the longest lease.
             worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
         }
         let planned = worker.tasks_where(|run| run.state == RunState::Planned);
-        let lost = worker.tasks_where(Run::was_only_there);
+        let lost = worker.tasks_where(Run::is_lost_by_restart);
         self.workers_to_poll.push(id.clone());
         let why = "its life is over: it has started again under its id";
         self.decisions.push(Decision::of_worker(id, why));
@@ -51,7 +52,7 @@
         self.replan = true;
     }
 
-    /// Takes runs for lost with an earlier life of their worker.
+    /// Handles runs that were lost with the previous incarnation of their worker.
     pub(super) fn lose_runs_of_previous_incarnation(
         &mut self,
         id: &WorkerId,
@@ -75,21 +76,23 @@
         for (task, _) in &runs {
             self.remove_run(id, task);
         }
-        self.release_lost(id, &runs, now);
+        self.release_lost_runs(id, &runs, now);
         self.fail_crashing_jobs(&suspects, now);
     }
 
-    /// Reads a worker's clock from the answer to a start, which does not name the life that answers.
+    /// Checks the worker's clock in the answer to a start, which does not name the incarnation that
+    /// answers.
     ///
-    /// A clock that has gone back is that of a new life: it is asked at once which it is, and may
-    /// hold the run for the longest lease.
+    /// A clock that has gone back belongs to a new incarnation. The worker is polled immediately for
+    /// its incarnation ID, and it may hold the run for the longest lease.
     pub(super) fn check_answer_clock(&mut self, order: &Order, clock_ms: u64, now: Now) {
         let id = &order.worker;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         if order.token != worker.fence {
-            // It is the clock of an earlier life, by which a deadline would be far ahead.
+            // This is the clock of an earlier incarnation. A deadline computed from it would be far
+            // ahead.
             return;
         }
         if worker.incarnation_state.is_clock_set_back(clock_ms, now.at) {
@@ -100,15 +103,18 @@
         }
     }
 
-    /// Drops what was told to start at a life that was over by then: nothing can have crashed under it.
+    /// Drops the runs whose starts were sent to an incarnation that had already ended, so that no
+    /// worker can have crashed under them.
     ///
-    /// That is a start that another life refused, and those sent after it. Counted as crashes, four such
-    /// starts within 45 ms ended a job as failed under which one worker had crashed.
+    /// These are the run whose start another incarnation refused and the runs started there after it.
+    /// When they were counted as crashes, four such starts within 45 ms failed a job under which only
+    /// one worker had crashed.
     pub(super) fn drop_unstarted_runs(&mut self, refused: &Order, now: Now) {
         let Some(worker) = self.workers.get(&refused.worker) else {
             return;
         };
-        // A refusal may be late: by then another run, or try, may be on its way to the next life.
+        // A refusal may be late. By then another run or try may be on its way to the next
+        // incarnation.
         let is_refused = |run: &&Run| run.number == refused.run && run.fence == refused.token;
         let Some(refused_run) = worker.runs.get(&refused.task).filter(is_refused) else {
             return;
@@ -124,13 +130,13 @@
 }
 
 impl Run {
-    /// Tells whether it was at the life that has listed it and can't be at a later one.
-    fn was_only_there(&self) -> bool {
-        self.is_listed && self.was_started() && !self.may_come_late()
+    /// Returns whether the run was on the incarnation that listed it and can't be on a later one.
+    fn is_lost_by_restart(&self) -> bool {
+        self.is_listed && self.was_started() && !self.may_start_again()
     }
 
-    /// Tells whether a start of it without an answer may still be carried out.
-    const fn may_come_late(&self) -> bool {
+    /// Returns whether an unanswered start of the run may still be carried out.
+    const fn may_start_again(&self) -> bool {
         self.tries > 1
     }
 }
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -1,4 +1,4 @@
-//! How long steps should take, and what runs and their ends say of that.
+//! Expected run times of steps, and learning them from runs and run ends.
 
 use std::time::Duration;
 
@@ -9,20 +9,21 @@
 };
 use crate::{RackId, Timestamp, WorkerId};
 
-/// No worker counts as faster than this, as a part of the usual time.
-const LEAST_PACE: f64 = 1.0 / 16.0;
+/// Smallest pace that a worker may count as, as a fraction of the typical duration.
+const MIN_PACE: f64 = 1.0 / 16.0;
 
-/// What a run, with its gang, shows of how long its work takes.
-struct Worked<'a> {
+/// The undisturbed work of a run, or of its whole gang, from which a run time is learned.
+struct UndisturbedWork<'a> {
     run: &'a Run,
-    /// Since when all of its gang were there.
+    /// Since when it has worked; for a gang, since when all of its members have.
     since: Timestamp,
-    /// How many times as long it takes at these workers.
+    /// Factor by which the work takes longer on these workers than on one of typical pace.
     pace: f64,
 }
 
 impl Planner {
-    /// Returns how long a task of a step should take at a worker of usual pace, near its data.
+    /// Returns how long a task of a step should take on a worker of typical pace on the rack of its
+    /// data.
     pub(super) fn run_time(&self, key: &GroupKey, step: &StepSpec, now: Now) -> RunTime {
         let estimate = Duration::from_millis(self.estimate_ms(step));
         match self.estimated_work(key, estimate) {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Returns how long a task of a step should take where more than its estimate is known.
+    /// Returns how long a task of a step should take, if more than the caller's estimate is known.
     pub(super) fn known_run_time(
         &self,
         key: &GroupKey,
@@ -57,62 +58,68 @@
         self.estimated_work(key, Duration::from_millis(estimate_ms))
     }
 
-    /// Learns from a run whose work is done; of a gang the first end stands for all.
+    /// Learns from a run whose work is done. The first end of a gang's members stands for all of them.
     pub(super) fn learn_run_time(&mut self, id: &WorkerId, task: &TaskKey, run: &Run, now: Now) {
         self.learn_run_times(|planner, run_times| {
             let is_news = planner.task(task).is_some_and(|task| !task.done);
-            let worked = planner.worked(id, task, run, now).filter(|_| is_news)?;
+            let worked = planner
+                .undisturbed_work(id, task, run, now)
+                .filter(|_| is_news)?;
             run_times.record_completed(
                 &planner.work_of(&task.group)?,
-                worked.usual(now.at),
+                worked.duration_at_typical_pace(now.at),
                 now.at,
             );
             Some(())
         });
     }
 
-    /// Learns from a run that is about to be stopped, unless it is moved for its own pace.
+    /// Learns from a run that is about to be stopped, unless it is moved because of its own pace.
     pub(super) fn learn_from_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         self.learn_run_times(|planner, run_times| {
-            let so_far = planner.told_so_far(id, task, now)?;
+            let so_far = planner.observe_run(id, task, now)?;
             run_times.record_stopped(&planner.work_of(&task.group)?, so_far, now.at);
             Some(())
         });
     }
 
-    /// Learns from how far everything has come that runs, now and then.
+    /// Learns from the progress of all running tasks, at the interval that the policy sets.
     pub(super) fn learn_from_running(&mut self, now: Now) {
         if self.run_times.is_sampling_due(now.at) {
             self.learn_run_times(|planner, run_times| {
-                run_times.sample_running(planner.running(now), now.at);
+                run_times.sample_running(planner.running_observations(now), now.at);
                 Some(())
             });
         }
     }
 
-    /// Changes what is known of run times by what is known of everything else.
+    /// Updates the learned run times with a function that may read the rest of the planner.
     fn learn_run_times(&mut self, learn: impl FnOnce(&Self, &mut RunTimes) -> Option<()>) {
         if !self.run_times.is_enabled() {
             return;
         }
         let mut run_times = std::mem::take(&mut self.run_times);
-        // None says that there was nothing to learn.
+        // `None` means that there was nothing to learn.
         let _ = learn(self, &mut run_times);
         self.run_times = run_times;
     }
 
-    /// Returns how far each task, or gang, has come that runs undisturbed.
-    fn running(&self, now: Now) -> impl Iterator<Item = (EstimatedWork<'_>, RunTimeObservation)> {
+    /// Returns the progress of each task or gang that runs undisturbed.
+    fn running_observations(
+        &self,
+        now: Now,
+    ) -> impl Iterator<Item = (EstimatedWork<'_>, RunTimeObservation)> {
         let workers = self.workers.iter();
         let tasks = workers.flat_map(|(id, worker)| worker.runs.keys().map(move |task| (id, task)));
         tasks.filter_map(move |(id, task)| {
-            let so_far = self.told_so_far(id, task, now)?;
+            let so_far = self.observe_run(id, task, now)?;
             Some((self.work_of(&task.group)?, so_far))
         })
     }
 
-    /// Returns what a run that goes on tells of its whole time; of a gang the first member tells.
-    fn told_so_far(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunTimeObservation> {
+    /// Returns what the progress of a run says about its whole duration. For a gang, only the first
+    /// member returns it.
+    fn observe_run(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunTimeObservation> {
         let run = self.run_at(id, task)?;
         let tells = run.state == RunState::Running && run.redundant_since.is_none();
         if !tells || run.gang && task.index != 0 {
@@ -122,18 +129,18 @@
         if entry.done || entry.moved_run == run.number {
             return None;
         }
-        let worked = self.worked(id, task, run, now)?;
-        Some(worked.so_far(self.policy.run_times.shown_percent))
+        let worked = self.undisturbed_work(id, task, run, now)?;
+        Some(worked.observation(self.policy.run_times.shown_percent))
     }
 
-    /// Returns what a run shows; none where something disturbed it or its gang.
-    fn worked<'a>(
+    /// Returns the undisturbed work of a run, or `None` if anything disturbed the run or its gang.
+    fn undisturbed_work<'a>(
         &'a self,
         id: &WorkerId,
         task: &TaskKey,
         run: &'a Run,
         now: Now,
-    ) -> Option<Worked<'a>> {
+    ) -> Option<UndisturbedWork<'a>> {
         let step = self.step(&task.group)?;
         if step.long_running || step.uses_spare_cpu {
             return None;
@@ -161,11 +168,11 @@
                 return None;
             }
         }
-        Some(Worked { run, since, pace })
+        Some(UndisturbedWork { run, since, pace })
     }
 
-    /// Returns since when a run has worked undisturbed and near its data; none where it did not do
-    /// so from its beginning.
+    /// Returns since when a run has worked undisturbed on the rack of its data, or `None` if it did
+    /// not do so from its beginning.
     fn undisturbed_since(&self, id: &WorkerId, step: &StepSpec, run: &Run) -> Option<Timestamp> {
         let (began, from) = run.began?;
         let is_whole = from == 0 && !run.resumes && !run.restored;
@@ -175,25 +182,25 @@
         (is_whole && !was_silent && !is_far).then_some(began)
     }
 
-    /// Returns the rack of a worker that is known.
+    /// Returns the rack of a worker, if the worker is known.
     pub(super) fn rack_of(&self, id: &WorkerId) -> Option<&RackId> {
         Some(&self.workers.get(id)?.listed.rack)
     }
 }
 
-impl Worked<'_> {
-    /// Returns how long it had worked at a time, as at workers of usual pace.
-    fn usual(&self, at: Timestamp) -> Duration {
-        (at - self.since).div_f64(self.pace.max(LEAST_PACE))
+impl UndisturbedWork<'_> {
+    /// Returns how long the work up to a time would have taken on workers of typical pace.
+    fn duration_at_typical_pace(&self, at: Timestamp) -> Duration {
+        (at - self.since).div_f64(self.pace.max(MIN_PACE))
     }
 
-    /// Returns what it tells of its whole time, as of the last report.
-    fn so_far(&self, shown_percent: u8) -> RunTimeObservation {
-        let worked = self.usual(self.run.reported_at);
+    /// Returns what the progress in the last report says about the whole duration.
+    fn observation(&self, shown_percent: u8) -> RunTimeObservation {
+        let worked = self.duration_at_typical_pace(self.run.reported_at);
         if self.run.percent < shown_percent.max(1) {
             return RunTimeObservation::AtLeast(worked);
         }
-        // The percentage is cut to a whole number.
+        // The reported percentage is rounded down to a whole number.
         let done = (f64::from(self.run.percent) + 0.5) / 100.0;
         RunTimeObservation::Projected(worked.div_f64(done))
     }
--- a/crates/stairstall-core/src/batch/planner/runs.rs
+++ b/crates/stairstall-core/src/batch/planner/runs.rs
@@ -1,4 +1,4 @@
-//! Where each step has runs.
+//! Index of the runs of each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,8 @@
 
 /// The runs of each step, by task and worker.
 ///
-/// To find a step's runs among all, 9,000 of them, takes 0.3 ms an end (`benches/planner`).
+/// Without this index, finding a step's runs among 9,000 takes 0.3 ms per run end
+/// (`benches/planner`).
 #[derive(Debug, Clone, Default)]
 pub(super) struct RunIndex(BTreeMap<GroupKey, BTreeSet<(u32, WorkerId)>>);
 
@@ -29,17 +30,17 @@
         }
     }
 
-    /// Returns the steps that have runs, each with its tasks and where they are.
+    /// Returns the steps that have runs, each with its task indices and their workers.
     pub(super) fn groups(&self) -> impl Iterator<Item = (&GroupKey, &BTreeSet<(u32, WorkerId)>)> {
         self.0.iter()
     }
 
-    /// Tells whether a job has runs.
+    /// Returns whether a job has runs.
     pub(super) fn has_job(&self, job: &JobId) -> bool {
         self.groups_of(job).next().is_some()
     }
 
-    /// Returns the runs of a job, by worker.
+    /// Returns the runs of a job, ordered by worker.
     pub(super) fn of_job(&self, job: &JobId) -> Vec<(WorkerId, TaskKey)> {
         let mut runs: Vec<_> = self
             .groups_of(job)
@@ -49,7 +50,7 @@
         runs
     }
 
-    /// Returns the runs of a step, by worker.
+    /// Returns the runs of a step, ordered by worker.
     pub(super) fn of_group(&self, key: &GroupKey) -> Vec<(WorkerId, TaskKey)> {
         let runs = self.0.get(key).into_iter();
         let mut runs: Vec<_> = runs.flat_map(|runs| keys(key, runs)).collect();
@@ -80,7 +81,7 @@
 }
 
 impl Planner {
-    /// Keeps a run at a worker that is known.
+    /// Adds a run to its worker. Does nothing if the worker is not known.
     pub(super) fn insert_run(&mut self, id: &WorkerId, task: &TaskKey, run: Run) {
         if let Some(worker) = self.workers.get_mut(id) {
             if run.suspicion == CrashSuspicion::LastAttempt {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes a run away from its worker.
+    /// Removes a run from its worker and returns it.
     pub(super) fn remove_run(&mut self, id: &WorkerId, task: &TaskKey) -> Option<Run> {
         let run = self.workers.get_mut(id)?.remove(task)?;
         self.run_index.remove(task, id);
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -1,4 +1,4 @@
-//! Starts that are sent to workers.
+//! Sending start orders to workers.
 
 use super::pool::{RunState, Worker};
 use super::{Now, Order, OrderKind, Planner};
@@ -7,7 +7,8 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Sends the starts whose room is free: of a gang all or none.
+    /// Sends the starts of planned runs whose resources are free. A gang's starts are sent all
+    /// together or not at all.
     pub(super) fn emit_starts(&mut self, now: Now) {
         if !self.has_fresh_evacuated_zones(now) || !self.jobs_are_current() {
             return;
@@ -86,7 +87,7 @@
         is_recorded && takes_starts && needed.fits_in(&worker.free_now())
     }
 
-    /// Tells whether a run's place is written down, so that a later planner knows of it.
+    /// Returns whether a run's placement is stored, so that a later planner will know of the run.
     fn is_recorded(&self, worker: &Worker, task: &TaskKey) -> bool {
         let written = self.jobs.get(&task.group.job).map(|job| job.stored_changes);
         let needed = worker.runs.get(task).map(|run| run.placement_change);
@@ -145,7 +146,7 @@
         ));
     }
 
-    /// Returns where a run continues from; all members of a gang from the same.
+    /// Returns the checkpoint that a run continues from. All members of a gang use the same one.
     fn start_checkpoint(&self, task: &TaskKey) -> Option<String> {
         let key = &task.group;
         let job = self.jobs.get(&key.job)?;
--- a/crates/stairstall-core/src/batch/planner/stops.rs
+++ b/crates/stairstall-core/src/batch/planner/stops.rs
@@ -1,4 +1,4 @@
-//! Stops that are sent to workers, and what became of them.
+//! Sending stop orders to workers and handling their outcomes.
 
 use super::pool::RunState;
 use super::{Now, Order, OrderKind, Planner};
@@ -7,7 +7,7 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Stops a run, or drops it where no start was sent.
+    /// Stops a run, or removes it if no start was sent.
     pub(super) fn stop_run(&mut self, id: &WorkerId, task: &TaskKey, why: &str, now: Now) {
         self.learn_from_stop(id, task, now);
         let Some(worker) = self.workers.get_mut(id) else {
@@ -25,14 +25,14 @@
             }
             RunState::Starting | RunState::Running => {
                 if run.restored {
-                    // Whether it is there at all, the worker's first report tells.
+                    // The worker's first report will show whether the run exists at all.
                     return;
                 }
                 run.set_state(RunState::Stopping, now.at);
                 run.answered_at = None;
                 let number = run.number;
                 self.send_stop(id, task, number, now);
-                let detail = format!("{why}; {}", self.progress_of(id, task, now));
+                let detail = format!("{why}; {}", self.describe_progress(id, task, now));
                 self.decisions.push(Decision::of_run(
                     DecisionKind::Stop,
                     task,
@@ -44,7 +44,7 @@
         }
     }
 
-    fn progress_of(&self, id: &WorkerId, task: &TaskKey, now: Now) -> String {
+    fn describe_progress(&self, id: &WorkerId, task: &TaskKey, now: Now) -> String {
         let run = self.run_at(id, task);
         let restore_cost = self.policy.victims.restore_cost;
         run.map_or_else(String::new, |run| {
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Takes what became of a stop.
+    /// Handles the outcome of a stop order.
     pub fn handle_stop_outcome(&mut self, order: &Order, outcome: StopOutcome, now: Now) {
         match outcome {
             StopOutcome::Taken => {
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Sends a stop again at once that got no answer: what waits for the room waits for it.
+    /// Repeats an unanswered stop order immediately, because other work may be waiting for the
+    /// resources.
     fn retry_stop(&mut self, order: &Order, now: Now) {
         let (id, task) = (&order.worker, &order.task);
         let max_tries = self.policy.orders.max_tries;
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still, or are far slower than their like, are moved to another worker.
+//! Moving runs to another worker that have stalled or are far slower than similar runs.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 
 use pace::{Pace, Verdict};
 
-/// A run that should go elsewhere.
-struct Misplaced {
+/// A run that should be moved to another worker.
+struct RunToMove {
     worker: WorkerId,
     task: TaskKey,
     run: u32,
@@ -22,24 +22,24 @@
 }
 
 impl Planner {
-    /// Stops runs that make no progress, or far too little, so that they go on elsewhere.
-    pub(super) fn find_stuck(&mut self, now: Now) {
-        // Between two reports nothing new is to be seen.
+    /// Stops runs that make no progress, or far too little, so that they continue on another worker.
+    pub(super) fn move_stalled_runs(&mut self, now: Now) {
+        // There is nothing new to check between two reports.
         let interval = self.policy.pace.interval.max(self.report_wait() / 2);
         if self
-            .looked_for_stuck_at
+            .last_stall_check_at
             .is_some_and(|at| now.at - at < interval)
         {
             return;
         }
-        self.looked_for_stuck_at = Some(now.at);
+        self.last_stall_check_at = Some(now.at);
         self.learn_paces_from_reports(now);
-        for misplaced in self.misplaced(now) {
-            self.move_away(&misplaced, now);
+        for misplaced in self.runs_to_move(now) {
+            self.move_run(&misplaced, now);
         }
     }
 
-    fn misplaced(&self, now: Now) -> Vec<Misplaced> {
+    fn runs_to_move(&self, now: Now) -> Vec<RunToMove> {
         let mut by_group = BTreeMap::<&GroupKey, Vec<(&WorkerId, &TaskKey, &Run)>>::new();
         for (id, worker) in &self.workers {
             if !worker.is_in_contact() {
@@ -55,18 +55,18 @@
         }
         let mut found = Vec::new();
         for (key, members) in by_group {
-            found.extend(self.misplaced_of(key, &members, now));
+            found.extend(self.runs_to_move_in_step(key, &members, now));
         }
         found
     }
 
-    /// Finds those of one step's runs that stand still or are far behind the others.
-    fn misplaced_of(
+    /// Returns those runs of one step that have stalled or are far behind the others.
+    fn runs_to_move_in_step(
         &self,
         key: &GroupKey,
         members: &[(&WorkerId, &TaskKey, &Run)],
         now: Now,
-    ) -> Vec<Misplaced> {
+    ) -> Vec<RunToMove> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
         };
@@ -74,7 +74,7 @@
             return Vec::new();
         };
         let is_whole = members.len() == group.tasks.len();
-        // The members of a gang work from the moment on at which the last of them is there.
+        // The members of a gang can work only once the last of them has begun.
         let together_since = members.iter().filter_map(|(_, _, run)| run.began);
         let together_since = together_since.map(|(at, _)| at).max();
         let paces: Vec<Pace> = members
@@ -85,7 +85,7 @@
                 run.pace(since, slowdown, self.estimate_ms(step))
             })
             .collect();
-        let typical = pace::typical_span_ms(&paces, &group.durations_ms, &self.policy.pace);
+        let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
         let any_moves = paces.iter().any(|pace| pace.gained > 0);
         let is_sure = !step.gang || (is_whole && (any_moves || members.len() == 1));
         members
@@ -95,13 +95,13 @@
                 let why =
                     match pace.verdict(is_sure, typical, self.bounds.stop_max, &self.policy.pace) {
                         Verdict::Fine => return None,
-                        Verdict::Still => "it stands still",
+                        Verdict::Stalled => "it stands still",
                         Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
                             return None;
                         }
                         Verdict::Slow => "it is far slower than the others",
                     };
-                Some(Misplaced {
+                Some(RunToMove {
                     worker: (*id).clone(),
                     task: (*task).clone(),
                     run: run.number,
@@ -111,15 +111,15 @@
             .collect()
     }
 
-    /// Tells whether a task that was moved already, and is slow at a worker that is known too, is
-    /// itself the cause.
+    /// Returns whether a task is itself the cause of its slowness: it was moved before, and is slow
+    /// again on a worker of known pace.
     fn is_slow_anywhere(&self, group: &TaskGroup, id: &WorkerId, task: &TaskKey, now: Now) -> bool {
         let entry = group.tasks.get(task.index as usize);
         let was_moved = entry.is_some_and(|entry| entry.moves > 0);
         self.paces.is_heterogeneous() && was_moved && self.pace_of(id, now).is_known
     }
 
-    fn move_away(&mut self, misplaced: &Misplaced, now: Now) {
+    fn move_run(&mut self, misplaced: &RunToMove, now: Now) {
         let (id, task) = (&misplaced.worker, &misplaced.task);
         if !self.may_move(task, misplaced.run) {
             return;
@@ -142,7 +142,7 @@
         );
     }
 
-    /// Counts a move of the task, or of its gang once a run.
+    /// Counts a move of a task, or of its gang once per run. Returns whether the move is allowed.
     fn may_move(&mut self, task: &TaskKey, run: u32) -> bool {
         let key = &task.group;
         let max_moves = self.policy.pace.max_moves;
@@ -168,8 +168,10 @@
 }
 
 impl Run {
-    /// What the caller estimates bounds how long it may stand still: work that is known to take
-    /// longer tells of a dead worker no sooner.
+    /// Returns the pace of the run.
+    ///
+    /// The caller's estimate, not the learned run time, bounds how long the run may stall: that work
+    /// is known to take longer doesn't make a dead worker show any sooner.
     fn pace(&self, together_since: Option<Timestamp>, slowdown: f64, estimate_ms: u64) -> Pace {
         let (began, from) = self.began.unwrap_or((self.reported_at, self.percent));
         let since = together_since.unwrap_or(began).max(began);
@@ -177,10 +179,10 @@
             worked_ms: millis(self.reported_at - since),
             gained: self.percent.saturating_sub(from),
             left: 100_u8.saturating_sub(self.percent),
-            still_ms: millis(self.reported_at - self.progressed_at.max(since)),
-            expected_ms: pace::stretched(estimate_ms, slowdown),
+            stalled_ms: millis(self.reported_at - self.progressed_at.max(since)),
+            expected_ms: pace::with_slowdown(estimate_ms, slowdown),
             slowdown,
-            keeps: self.checkpoints,
+            is_resumable: self.checkpoints,
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -1,56 +1,58 @@
-//! How fast a run gets on, beside its like.
+//! How fast a run makes progress, compared with similar runs.
 
 use std::time::Duration;
 
 use crate::batch::PacePolicy;
 use crate::time::millis;
 
-/// How fast a run gets on, as its worker last told.
+/// The progress of a run according to its worker's last report.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
     /// How long it has worked, in milliseconds.
     pub(super) worked_ms: u64,
-    /// What it has done of the work since, in percent.
+    /// Share of the work done in that time, in percent.
     pub(super) gained: u8,
-    /// What is left, in percent.
+    /// Share of the work that is left, in percent.
     pub(super) left: u8,
     /// How long it has made no progress, in milliseconds.
-    pub(super) still_ms: u64,
-    /// How long the whole work should take there, in milliseconds.
+    pub(super) stalled_ms: u64,
+    /// Expected duration of the whole work on its worker, in milliseconds.
     pub(super) expected_ms: u64,
-    /// How many times as long it takes there because its data is far or its worker is slow.
+    /// Factor by which it takes longer because its data is on another rack or its worker is slow.
     pub(super) slowdown: f64,
-    /// Whether it goes on from a checkpoint elsewhere.
-    pub(super) keeps: bool,
+    /// Whether it continues from a checkpoint when it is moved.
+    pub(super) is_resumable: bool,
 }
 
-/// What a run's pace says.
+/// The judgement of a run's pace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// It may stay.
+    /// The run may stay where it is.
     Fine,
-    /// It does nothing.
-    Still,
-    /// It would be done sooner elsewhere.
+    /// The run makes no progress.
+    Stalled,
+    /// The run would be done sooner on another worker.
     Slow,
 }
 
 impl Pace {
-    /// Returns how long the whole work takes at this pace, near its data, in milliseconds.
-    fn span_ms(&self, policy: &PacePolicy) -> Option<u64> {
+    /// Returns how long the whole work would take at this pace on the rack of its data, in
+    /// milliseconds.
+    fn duration_ms(&self, policy: &PacePolicy) -> Option<u64> {
         let is_judged = self.worked_ms >= millis(policy.min_judged_work) && self.gained > 0;
-        is_judged.then(|| shortened(self.worked_ms * 100 / u64::from(self.gained), self.slowdown))
+        is_judged
+            .then(|| without_slowdown(self.worked_ms * 100 / u64::from(self.gained), self.slowdown))
     }
 
-    /// Returns the least that the whole work takes at this pace there, in milliseconds: the
-    /// percentage is cut to a whole number.
-    fn least_span_ms(&self, policy: &PacePolicy) -> Option<u64> {
+    /// Returns a lower bound on how long the whole work takes on this worker, in milliseconds. It
+    /// allows for the percentage being rounded down to a whole number.
+    fn min_duration_ms(&self, policy: &PacePolicy) -> Option<u64> {
         let gained = u64::from(self.gained) + 1;
         (self.worked_ms >= millis(policy.min_judged_work)).then(|| self.worked_ms * 100 / gained)
     }
 
-    /// Judges a run; `is_sure` tells whether it is known to have had the chance to work, and
-    /// `typical_ms` how long the whole work takes its like.
+    /// Judges a run. `is_sure` says whether it is known to have been able to work, and `typical_ms`
+    /// how long the whole work takes similar runs.
     pub(super) fn verdict(
         &self,
         is_sure: bool,
@@ -61,8 +63,8 @@
         if self.left == 0 {
             return Verdict::Fine;
         }
-        if self.still_ms >= self.still_limit_ms(is_sure, policy) {
-            return Verdict::Still;
+        if self.stalled_ms >= self.stall_limit_ms(is_sure, policy) {
+            return Verdict::Stalled;
         }
         match typical_ms {
             Some(typical_ms) if is_sure && self.is_slow(typical_ms, stop_max, policy) => {
@@ -72,7 +74,7 @@
         }
     }
 
-    fn still_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
+    fn stall_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
         let (least, divisor) = match (is_sure, self.gained) {
             (false, _) => (policy.unconfirmed_stall, policy.unconfirmed_stall_divisor),
             (true, 0) => (policy.stall_from_start, policy.stall_divisor),
@@ -81,51 +83,55 @@
         millis(least).max(self.expected_ms / divisor)
     }
 
-    /// Tells whether it is far slower than its like, and a move would pay.
+    /// Returns whether the run is far slower than similar runs and would end sooner if moved.
     fn is_slow(&self, typical_ms: u64, stop_max: Duration, policy: &PacePolicy) -> bool {
-        let Some(span_ms) = self.least_span_ms(policy) else {
+        let Some(span_ms) = self.min_duration_ms(policy) else {
             return false;
         };
         let left_here = span_ms * u64::from(self.left) / 100;
-        let left_there = if self.keeps {
+        let left_there = if self.is_resumable {
             typical_ms * u64::from(self.left) / 100
         } else {
             typical_ms
         };
         let cost = millis(stop_max) + left_there;
-        shortened(span_ms, self.slowdown) > typical_ms * policy.slow_factor
+        without_slowdown(span_ms, self.slowdown) > typical_ms * policy.slow_factor
             && left_here > cost + cost / policy.gain_divisor
     }
 }
 
-/// Returns how long work would take where nothing makes it slower.
+/// Returns how long work would take without a slowdown.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     clippy::cast_precision_loss,
     reason = "milliseconds of work are far below 2^52"
 )]
-fn shortened(span_ms: u64, slowdown: f64) -> u64 {
+fn without_slowdown(span_ms: u64, slowdown: f64) -> u64 {
     (span_ms as f64 / slowdown) as u64
 }
 
-/// Returns how long work takes that is so many times slower.
+/// Returns how long work takes with a slowdown.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     clippy::cast_precision_loss,
     reason = "milliseconds of work are far below 2^52"
 )]
-pub(super) fn stretched(span_ms: u64, slowdown: f64) -> u64 {
+pub(super) fn with_slowdown(span_ms: u64, slowdown: f64) -> u64 {
     (span_ms as f64 * slowdown) as u64
 }
 
-/// Returns how long the whole work takes most of a step's runs, in milliseconds: the median of
-/// those that get on and of those that are done; none where fewer than two tell.
-pub(super) fn typical_span_ms(paces: &[Pace], done_ms: &[u64], policy: &PacePolicy) -> Option<u64> {
+/// Returns the typical duration of the whole work of a step's runs, in milliseconds: the median
+/// over the runs that make progress and those that are done. Returns `None` for fewer than two.
+pub(super) fn typical_duration_ms(
+    paces: &[Pace],
+    done_ms: &[u64],
+    policy: &PacePolicy,
+) -> Option<u64> {
     let mut spans: Vec<u64> = paces
         .iter()
-        .filter_map(|pace| pace.span_ms(policy))
+        .filter_map(|pace| pace.duration_ms(policy))
         .collect();
     spans.extend(done_ms);
     if spans.len() < 2 {
--- a/crates/stairstall-core/src/batch/planner/timelines.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -1,4 +1,4 @@
-//! Keeps account of where each job's time goes.
+//! Keeps the timeline of each job: the phases that its time goes to.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use crate::{JobId, WorkerId};
 
 impl Planner {
-    /// Notes that something about a job has changed, so that its span is looked at again.
+    /// Marks a job as changed, so that its current phase is determined again.
     pub(super) fn mark_timeline_changed(&mut self, id: &JobId) {
         if !self.changed_timelines.contains(id) {
             self.changed_timelines.insert(id.clone());
         }
     }
 
-    /// Notes the same of every job that has a run at a worker.
+    /// Marks every job as changed that has a run on a worker.
     pub(super) fn mark_timelines_changed_at(&mut self, id: &WorkerId) {
         let runs = self.workers.get(id).map(|worker| worker.runs.keys());
         let jobs = runs
@@ -27,7 +27,7 @@
         self.changed_timelines.extend(jobs);
     }
 
-    /// Counts a setback of a job.
+    /// Records a setback of a job.
     pub(super) fn record_setback(&mut self, id: &JobId, setback: Setback) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.timeline.record_setback(setback);
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Brings the accounts of the jobs up to date that something happened to.
+    /// Updates the timelines of the jobs that have changed.
     pub(super) fn update_timelines(&mut self, now: Now) {
         for id in std::mem::take(&mut self.changed_timelines) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let span = self.span_of(&id, job);
+            let span = self.phase_of(&id, job);
             let is_over = job.outcome.is_some() && job.is_stored();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Takes the accounts of the jobs whose ends were written down since the last call.
+    /// Removes and returns the summaries of the jobs whose ends were stored since the last call.
     pub fn take_summaries(&mut self) -> Vec<JobSummary> {
         std::mem::take(&mut self.summaries)
     }
 
-    /// Returns what a job spends time on; none where it is over, or nothing of it is due.
-    fn span_of(&self, id: &JobId, job: &Job) -> Option<JobPhase> {
+    /// Returns the phase that a job is in, or `None` if its end is stored or no step of it is ready.
+    fn phase_of(&self, id: &JobId, job: &Job) -> Option<JobPhase> {
         if job.outcome.is_some() {
             return (!job.is_stored()).then_some(JobPhase::RecordingOutcome);
         }
@@ -93,12 +93,12 @@
         let open = (0..).zip(&group.tasks).filter(|(_, task)| !task.done);
         let spans = open.map(|(index, task)| match &task.place {
             None => JobPhase::WaitingForCapacity,
-            Some(worker) => self.span_of_run(worker, &key.task(index), job),
+            Some(worker) => self.phase_of_run(worker, &key.task(index), job),
         });
         spans.min()
     }
 
-    fn span_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> JobPhase {
+    fn phase_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> JobPhase {
         let worker = self.workers.get(worker);
         let Some((worker, run)) = worker.and_then(|w| Some((w, w.runs.get(task)?))) else {
             return job.timeline.running_phase();
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -1,4 +1,4 @@
-//! When the waiting work is looked over, and when the next tick is due.
+//! When the next scheduling pass and the next tick are due.
 
 use std::time::Duration;
 
@@ -6,17 +6,18 @@
 use super::{Now, Planner};
 
 impl Planner {
-    /// Tells whether it is time for a pass; one that is asked for too soon is put off.
+    /// Returns whether a scheduling pass is due. A pass that is requested too soon after the last one
+    /// is postponed.
     ///
-    /// A pass looks at the whole fleet: at thousands of workers one for each end takes the
-    /// processor that reports need. Urgent work that arrives does not wait.
-    pub(super) fn may_plan(&mut self, now: Now) -> bool {
+    /// A pass goes through the whole fleet. With thousands of workers, a pass for each run end would
+    /// take the processor time that reports need. Newly arrived urgent jobs are not delayed.
+    pub(super) fn is_pass_due(&mut self, now: Now) -> bool {
         let is_due = self.replan_at.is_some_and(|at| now.at >= at);
-        if !self.replan || self.hurries {
-            return is_due || self.hurries;
+        if !self.replan || self.has_urgent_arrival {
+            return is_due || self.has_urgent_arrival;
         }
         let gap = self.policy.flow.pass_interval(self.workers.len());
-        let may_from = self.planned_at.map(|at| at + gap);
+        let may_from = self.last_pass_at.map(|at| at + gap);
         let is_too_soon = may_from.is_some_and(|at| now.at < at);
         if is_too_soon {
             self.replan = false;
@@ -25,10 +26,12 @@
         !is_too_soon || is_due
     }
 
-    /// Tells whether it knows which zones take work, and the workers have had the time to say what
-    /// runs on them: a new planner that knows only a few of them would put work in bad places and
-    /// stop what need not stop.
-    pub(super) fn knows_enough(&mut self, now: Now) -> bool {
+    /// Returns whether the evacuated zones are known and the workers have had enough time to report
+    /// their runs.
+    ///
+    /// A new planner that knows only a few of the workers would place work badly and stop runs
+    /// needlessly.
+    pub(super) fn has_enough_reports(&mut self, now: Now) -> bool {
         if !self.has_fresh_evacuated_zones(now) {
             return false;
         }
@@ -44,7 +47,7 @@
                 .all(|w| w.incarnation_state.fenced || !w.is_listed)
     }
 
-    /// Returns when the next tick is due, if nothing happens before.
+    /// Returns the time until the next tick is due if there is no input before.
     #[must_use]
     pub fn next_tick(&self, now: Now) -> Duration {
         let due = self.jobs.values().filter_map(Job::next_due_unix_ms).min();
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -1,4 +1,4 @@
-//! What customers have used lately, and whose turn that makes it.
+//! The customers' recent usage, and the scheduling order that follows from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 };
 use crate::time::millis;
 
-/// Beyond its guarantee no customer weighs more than another.
+/// Weight of every customer: beyond the guaranteed shares, all customers are equal.
 const WEIGHT: u32 = 1;
 
-/// What a step that runs holds.
-struct Holding {
+/// The part of the fleet that a running step uses.
+struct RunningShare {
     customer: Option<CustomerId>,
     share_ppm: u64,
-    /// For how long it should go on.
-    left: Duration,
+    /// Expected remaining time.
+    remaining: Duration,
 }
 
 impl Planner {
-    /// Returns the customers that have used most lately, and what each would have if all had used alike,
-    /// in milliseconds of the whole fleet.
+    /// Returns the customers with the highest recent usage, at most `most` of them, and the usage that
+    /// each would have if all had used equally much, in milliseconds of the whole fleet.
     #[must_use]
     pub fn customer_usage(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
         (
@@ -35,7 +35,7 @@
         )
     }
 
-    /// Adds what runs to its customers' accounts.
+    /// Charges the running steps to their customers' usage.
     pub(super) fn charge_customers(&mut self, now: Now) {
         let workers = &self.workers;
         let fleet = || {
@@ -47,18 +47,18 @@
         let Some(held) = self.usage.begin_charge_interval(fleet, now.at) else {
             return;
         };
-        for holding in self.holdings() {
+        for holding in self.running_shares() {
             let customer = holding.customer.as_ref();
             self.usage.charge(customer, holding.share_ppm, held, now.at);
             self.usage
-                .add_commitment(customer, holding.share_ppm, holding.left);
+                .add_commitment(customer, holding.share_ppm, holding.remaining);
         }
     }
 
-    /// Returns what the steps that run hold, but for claims on a customer's own share.
-    fn holdings(&self) -> Vec<Holding> {
+    /// Returns the part of the fleet that each running step uses, except for guaranteed jobs.
+    fn running_shares(&self) -> Vec<RunningShare> {
         let groups = self.run_index.groups();
-        let counted = groups.filter(|(key, _)| !self.is_claim(key));
+        let counted = groups.filter(|(key, _)| !self.is_guaranteed(key));
         let holdings = counted.filter_map(|(key, runs)| {
             let job = self.jobs.get(&key.job)?;
             let room = job.step(key)?.reserved_resources();
@@ -67,24 +67,24 @@
             let left_ms = run.map_or(0, |run| {
                 run.remaining_ms(self.policy.places.min_progress_percent)
             });
-            Some(Holding {
+            Some(RunningShare {
                 customer: job.accepted.customer.clone(),
                 share_ppm: self
                     .usage
                     .fleet()
                     .dominant_share_ppm(&room, runs.len() as u64),
-                left: Duration::from_millis(left_ms),
+                remaining: Duration::from_millis(left_ms),
             })
         });
         holdings.collect()
     }
 
-    pub(super) fn is_claim(&self, key: &GroupKey) -> bool {
+    pub(super) fn is_guaranteed(&self, key: &GroupKey) -> bool {
         let claims = self.ranked_guaranteed_jobs.as_ref();
         claims.is_some_and(|claims| claims.contains(&key.job))
     }
 
-    /// Commits a customer to tasks that have just got places.
+    /// Adds tasks that were just placed to their customer's committed usage.
     pub(super) fn commit_usage(
         &mut self,
         candidate: &Candidate,
@@ -108,9 +108,9 @@
         }
     }
 
-    /// Returns what decides between a step and others of its rank, but for its customer's use.
+    /// Returns the scheduling key of a step among others of its rank, without its customer's usage.
     pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> SchedulingKey {
-        // What was turned away before goes before later work of its rank and customer.
+        // A job that was rejected before goes ahead of later work of its rank and customer.
         let asked_before_ms = job.accepted.requested_before_ms();
         if rank <= URGENT_RANK {
             let objective_unix_ms = job
@@ -131,7 +131,8 @@
         turn
     }
 
-    /// Returns until when a time of a job is wanted, and how long it would take from a step on.
+    /// Returns the objective of an occurrence of a job, and the time in milliseconds that the
+    /// occurrence takes from a step on.
     pub(super) fn job_objective(
         &self,
         key: &GroupKey,
@@ -154,8 +155,8 @@
         (wanted, from_here_ms.saturating_sub(saved_ms))
     }
 
-    /// Returns how much of a step's work need not be done again, because all its open tasks have
-    /// checkpoints.
+    /// Returns how much of a step's work, in milliseconds, need not be repeated because all its open
+    /// tasks have checkpoints.
     fn saved_ms(&self, key: &GroupKey, job: &Job, now: Now) -> u64 {
         let begun = job.group(key).filter(|group| group.percent > 0);
         let Some((group, step)) = begun.zip(job.step(key)) else {
@@ -169,8 +170,9 @@
         step_ms * u64::from(group.percent.min(100)) / 100
     }
 
-    /// Puts candidates in order: each step counts what stands before it in its customer's own line.
-    pub(super) fn put_in_order(&self, candidates: &mut [Candidate], now: Now) {
+    /// Sorts candidates into scheduling order. For each step, the work ahead of it in its customer's
+    /// own queue counts as usage.
+    pub(super) fn sort_candidates(&self, candidates: &mut [Candidate], now: Now) {
         candidates.sort_unstable();
         if !self.usage.policy().fair_share {
             return;
@@ -197,7 +199,7 @@
         candidates.sort_unstable();
     }
 
-    /// Returns what the waiting tasks of a step would take, as time of the whole fleet.
+    /// Returns the usage that the waiting tasks of a step would add, in milliseconds of the whole fleet.
     fn cost_ms(&self, key: &GroupKey, job: &Job, now: Now) -> u64 {
         let Some((step, group)) = job.step(key).zip(job.group(key)) else {
             return 0;
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -1,4 +1,4 @@
-//! Which runs give way, and what that costs.
+//! Which runs may be preempted, and the cost of preempting them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use crate::batch::{GroupKey, StepSpec};
 use crate::time::millis;
 
-/// Until when a claim is surely looked at again.
-const LOOKS_AGAIN: Duration = Planner::IDLE_TICK;
+/// Time within which a waiting guaranteed job is certain to be considered again.
+const RECHECK_INTERVAL: Duration = Planner::IDLE_TICK;
 
-/// How often the time doubles after which a gang returns that gave way again and again.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum number of times that the back-off of a repeatedly preempted gang doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Planner {
-    /// Returns how long a claim lets other urgent work go on: as long as it can still begin in
-    /// time after a stop.
+    /// Returns how long a guaranteed job waits before it preempts other urgent work: as long as it can
+    /// still begin in time after a stop.
     pub(super) fn guaranteed_wait_limit(&self) -> Duration {
         if !self.policy.victims.claims_wait {
             return Duration::ZERO;
@@ -28,16 +28,18 @@
         self.bounds.reclaim.saturating_sub(needed)
     }
 
-    /// Returns how long ago a job was accepted, by the time of day.
+    /// Returns the time since a job was accepted, by the wall clock.
     pub(super) fn since_accepted(&self, key: &GroupKey, now: Now) -> Duration {
         let job = self.jobs.get(&key.job);
         let accepted_unix_ms = job.map_or(now.unix_ms, |job| job.accepted.accepted_unix_ms);
         Duration::from_millis(now.unix_ms.saturating_sub(accepted_unix_ms))
     }
 
-    /// Returns the rank up to which nothing gives way to work of `rank` that has waited so long.
+    /// Returns the rank up to which runs are exempt from preemption by work of `rank` that has waited
+    /// for `waited`.
     ///
-    /// Urgent work that gives way to urgent work is late itself, so that one late job becomes two.
+    /// Urgent work that is preempted by urgent work becomes late itself, so that one late job becomes
+    /// two.
     pub(super) fn protected_rank(&self, rank: u8, waited: Duration) -> u8 {
         if rank == GUARANTEED_RANK && waited < self.guaranteed_wait_limit() {
             URGENT_RANK
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Returns what stopping each gang that runs would cost: the work that is thrown away, more for one
-    /// that was stopped before, and its whole work once more where only that would make it late.
+    /// Returns the cost of preempting each running gang: the discarded work, more if the gang was
+    /// preempted before, and its whole work once more if only the preemption would make it late.
     pub(super) fn gang_preemption_costs(&self, now: Now) -> BTreeMap<GroupKey, u64> {
         let mut losses = BTreeMap::new();
         for worker in self.workers.values() {
@@ -57,13 +59,13 @@
             }
         }
         for (key, loss) in &mut losses {
-            *loss += self.cost_of_stopping(key, now);
+            *loss += self.extra_preemption_cost(key, now);
         }
         losses
     }
 
-    /// Returns what stopping a gang costs beside the work that is thrown away, in core-milliseconds.
-    fn cost_of_stopping(&self, key: &GroupKey, now: Now) -> u64 {
+    /// Returns the cost of preempting a gang in addition to the discarded work, in core-milliseconds.
+    fn extra_preemption_cost(&self, key: &GroupKey, now: Now) -> u64 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
         };
@@ -81,7 +83,7 @@
         weight.saturating_mul(again_ms + late_ms) / 1000
     }
 
-    /// Tells whether a gang that runs would be in time, and late if it started anew.
+    /// Returns whether a running gang would be in time, but late if it were restarted.
     fn would_become_late(&self, key: &GroupKey, job: &Job, now: Now) -> bool {
         let (wanted, anew_ms) = self.job_objective(key, job, now);
         let objective_unix_ms = wanted.objective_unix_ms();
@@ -93,8 +95,10 @@
         now.unix_ms + left_ms <= objective_unix_ms && now.unix_ms + anew_ms > objective_unix_ms
     }
 
-    /// Tells whether what gives way is worth less than what it makes room for, each gang counted whole
-    /// and once. A claim on a customer's own share does not wait for longer than it may.
+    /// Returns whether the preemptions of a choice are worthwhile: what they discard is at most
+    /// `most_lost` times the work that they make way for. Each gang counts once and as a whole.
+    ///
+    /// For a guaranteed job that can't wait any longer, preemption is always worthwhile.
     pub(super) fn is_preemption_worthwhile(
         &self,
         candidate: &Candidate,
@@ -108,7 +112,7 @@
             return true;
         };
         let takes = self.run_time(&candidate.key, step, now).typical;
-        if candidate.rank == GUARANTEED_RANK && self.must_begin(candidate, takes, now) {
+        if candidate.rank == GUARANTEED_RANK && self.must_start_now(candidate, takes, now) {
             return true;
         }
         let mut lost = 0_u64;
@@ -128,18 +132,18 @@
         lost <= work.saturating_mul(most.into())
     }
 
-    /// Tells whether a claim can't wait any longer for others to give way that lose less: it has to begin
-    /// within its bound, and to be in time.
-    fn must_begin(&self, candidate: &Candidate, takes: Duration, now: Now) -> bool {
+    /// Returns whether a guaranteed job can't wait any longer for cheaper victims, because it has to
+    /// begin within its bound and to be in time.
+    fn must_start_now(&self, candidate: &Candidate, takes: Duration, now: Now) -> bool {
         let waited = self.since_accepted(&candidate.key, now);
         let ends_ms = now.unix_ms + millis(self.bounds.stop_max + takes);
-        let looks_again_ms = ends_ms + millis(LOOKS_AGAIN);
+        let looks_again_ms = ends_ms + millis(RECHECK_INTERVAL);
         let objective_unix_ms = candidate.turn.objective_unix_ms;
         let is_last = ends_ms <= objective_unix_ms && looks_again_ms > objective_unix_ms;
         is_last || waited >= self.guaranteed_wait_limit()
     }
 
-    /// Notes that runs of a step give way, once for all that do so together.
+    /// Records a preemption of a step's runs. Runs that are preempted together count once.
     pub(super) fn record_preemption(&mut self, key: &GroupKey, now: Now) {
         let job = self.jobs.get_mut(&key.job);
         let Some(group) = job.and_then(|job| job.group_mut(key)) else {
@@ -151,19 +155,20 @@
         }
     }
 
-    /// Tells whether a gang that gave way should wait, because the room that is free now may be taken
-    /// back from it as well: for longer each time.
+    /// Returns whether a preempted gang should wait before it starts again, because it might be
+    /// preempted from the free capacity as well. The back-off doubles with each preemption,
+    /// up to a limit.
     pub(super) fn in_preemption_backoff(&self, key: &GroupKey, now: Now) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
         let stopped = group.and_then(|group| Some((group.preemptions, group.preempted_at?)));
         stopped.is_some_and(|(times, at)| {
-            let doublings = u32::from(times.saturating_sub(1)).min(MOST_DOUBLINGS);
+            let doublings = u32::from(times.saturating_sub(1)).min(MAX_BACKOFF_DOUBLINGS);
             now.at - at < self.policy.victims.restart_backoff * (1 << doublings)
         })
     }
 
-    /// Tells whether a gang gave way before.
+    /// Returns whether a gang was preempted before.
     pub(super) fn was_preempted(&self, key: &GroupKey) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -1,4 +1,4 @@
-//! Why a job waits.
+//! Why a job is waiting.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::batch::{GroupKey, WaitReason, WaitStatus};
 
 impl Planner {
-    /// Returns where a job stands that waits with its first open step; none where nothing of it waits.
+    /// Returns why a job is waiting, by its first open step, or `None` if nothing of it is waiting.
     #[must_use]
     pub fn wait_status(&self, id: &JobId, now: Now) -> Option<WaitStatus> {
         let job = self.jobs.get(id).filter(|job| job.outcome.is_none())?;
-        let (key, reason) = self.open_step(job, now)?;
-        let rank = if self.is_claim(&key) {
+        let (key, reason) = self.first_waiting_step(job, now)?;
+        let rank = if self.is_guaranteed(&key) {
             GUARANTEED_RANK
         } else {
             job.accepted.queue.priority.saturating_add(1)
@@ -24,7 +24,7 @@
         let turn = self.turn_of(rank, &key, job, now);
         let reason = reason.unwrap_or_else(|| {
             let key = key.clone();
-            self.reason_without_room(&Candidate { rank, turn, key }, now)
+            self.capacity_wait_reason(&Candidate { rank, turn, key }, now)
         });
         Some(WaitStatus {
             rank,
@@ -36,9 +36,9 @@
         })
     }
 
-    /// Returns the first step that isn't done and has a task that doesn't run, and what it waits for if
-    /// that isn't room.
-    fn open_step(&self, job: &Job, now: Now) -> Option<(GroupKey, Option<WaitReason>)> {
+    /// Returns the first open step that is waiting, and what it waits for if that isn't free capacity.
+    /// Returns `None` if no step is waiting.
+    fn first_waiting_step(&self, job: &Job, now: Now) -> Option<(GroupKey, Option<WaitReason>)> {
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
             for (number, group) in groups.iter().enumerate() {
                 let key = GroupKey {
@@ -69,7 +69,7 @@
         is_later.then_some((next, Some(WaitReason::ScheduledTime)))
     }
 
-    fn reason_without_room(&self, candidate: &Candidate, now: Now) -> WaitReason {
+    fn capacity_wait_reason(&self, candidate: &Candidate, now: Now) -> WaitReason {
         if let Some(date) = self.expected_start(&candidate.key) {
             return WaitReason::ReservedCapacity(date - now.at);
         }
