--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -120,7 +120,7 @@
     has_urgent_arrival: bool,
     /// Time of the last scheduling pass.
     last_pass_at: Option<Timestamp>,
-    /// When to run the next scheduling pass even if nothing changes, because waiting limits expire.
+    /// When to run the next scheduling pass even if nothing changes, because wait limits expire.
     replan_at: Option<Timestamp>,
     /// Whether a planned start may have become sendable.
     starts_due: bool,
@@ -187,7 +187,7 @@
         granted + granted / Self::CLOCK_DRIFT_DIVISOR + Self::MESSAGE_MARGIN
     }
 
-    /// Sets the scheduling policy.
+    /// Sets the scheduling policy. Any learned paces, run times and usage are discarded.
     #[must_use]
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
@@ -225,7 +225,8 @@
         }
     }
 
-    /// Restores a job from the records of an earlier planner. A job that is already known is ignored.
+    /// Restores a job from the records of an earlier planner. A job that is already known is
+    /// ignored.
     pub fn restore_job(
         &mut self,
         accepted: AcceptedJob,
@@ -284,7 +285,8 @@
         true
     }
 
-    /// Runs the checks and the scheduling pass that are due, and returns the orders to send to workers.
+    /// Runs the checks and the scheduling pass that are due, and returns the orders to send to
+    /// workers.
     pub fn tick(&mut self, now: Now) -> Vec<Order> {
         if self
             .last_housekeeping_at
@@ -335,7 +337,8 @@
         })
     }
 
-    /// Returns the accepted job with its customer, queue and specification.
+    /// Returns the accepted job, or `None` if the job is not known. The customer in it is `None`
+    /// for a job that belongs to nobody.
     #[must_use]
     pub fn accepted(&self, id: &JobId) -> Option<&AcceptedJob> {
         self.jobs.get(id).map(|job| job.accepted.as_ref())
--- a/crates/stairstall-core/src/batch/planner/candidate_worker.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate_worker.rs
@@ -11,8 +11,8 @@
 /// Which workers a placement search considers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SearchScope {
-    /// Whether to use only workers on the rack of the step's data, and a single rack for a gang that
-    /// requests one.
+    /// Whether to use only workers on the rack of the step's data, and a single rack for a gang
+    /// that requests one.
     pub(super) near: bool,
     /// Whether runs of less urgent ranks may be preempted.
     pub(super) preempts: bool,
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 struct Victim {
     task: TaskKey,
-    room: Resources,
+    resources: Resources,
     cost: u64,
     gang: bool,
 }
@@ -58,7 +58,7 @@
     pub(super) fn of(
         worker: &Worker,
         rank: u8,
-        gang_losses: &BTreeMap<GroupKey, u64>,
+        gang_costs: &BTreeMap<GroupKey, u64>,
         at: Timestamp,
         policy: &VictimPolicy,
     ) -> Self {
@@ -67,16 +67,16 @@
             .iter()
             .filter(|(_, run)| run.is_preemptible_by(rank))
             .map(|(task, run)| {
-                let lost = if run.gang {
-                    gang_losses.get(&task.group).copied().unwrap_or(0)
+                let lost_work = if run.gang {
+                    gang_costs.get(&task.group).copied().unwrap_or(0)
                 } else {
                     run.lost_work(at, policy.restore_cost)
                 };
                 let stop = run.room.weight() * millis(policy.stop_cost) / 1000;
                 Victim {
                     task: task.clone(),
-                    room: run.room,
-                    cost: lost + stop,
+                    resources: run.room,
+                    cost: lost_work + stop,
                     gang: run.gang,
                 }
             })
@@ -87,8 +87,10 @@
 
     /// Returns the sum of the resources of all victims.
     pub(super) fn room(&self) -> Resources {
-        let rooms = self.0.iter().map(|victim| &victim.room);
-        rooms.fold(Resources::default(), |sum, room| sum.saturating_add(room))
+        let resources = self.0.iter().map(|victim| &victim.resources);
+        resources.fold(Resources::default(), |sum, resources| {
+            sum.saturating_add(resources)
+        })
     }
 
     /// Selects the victims that must be preempted so that `needs` fits, and returns their cost and
@@ -96,15 +98,15 @@
     pub(super) fn select(
         &self,
         needs: &Resources,
-        room: &Resources,
+        free: &Resources,
     ) -> Option<(u64, Vec<TaskKey>)> {
-        let mut free = *room;
+        let mut free = *free;
         let mut chosen: Vec<&Victim> = Vec::new();
         for victim in &self.0 {
             if needs.fits_in(&free) {
                 break;
             }
-            free = free.saturating_add(&victim.room);
+            free = free.saturating_add(&victim.resources);
             chosen.push(victim);
         }
         if !needs.fits_in(&free) {
@@ -136,7 +138,7 @@
 /// Removes the victims whose resources are not needed after all, most expensive first.
 fn remove_unneeded(chosen: &mut Vec<&Victim>, needs: &Resources, free: &mut Resources) {
     for index in (0..chosen.len()).rev() {
-        let without = free.saturating_sub(&chosen[index].room);
+        let without = free.saturating_sub(&chosen[index].resources);
         if needs.fits_in(&without) {
             *free = without;
             chosen.remove(index);
@@ -146,34 +148,37 @@
 
 /// Preempts a victim, together with all members of its gang if it has one, and frees their
 /// resources. Returns the indices of the workers that have more free capacity as a result.
-pub(super) fn preempt(sites: &mut [CandidateWorker], index: usize, task: &TaskKey) -> Vec<usize> {
-    let is_gang = sites[index]
+pub(super) fn preempt(workers: &mut [CandidateWorker], index: usize, task: &TaskKey) -> Vec<usize> {
+    let is_gang = workers[index]
         .victims
         .0
         .iter()
         .any(|v| v.task == *task && v.gang);
     if !is_gang {
-        sites[index].remove_victims(|victim| victim.task == *task);
+        workers[index].remove_victims(|victim| victim.task == *task);
         return vec![index];
     }
-    let taken_out = sites.iter_mut().enumerate().filter_map(|(at, site)| {
-        let goes = |victim: &Victim| victim.gang && victim.task.group == task.group;
-        site.remove_victims(goes).then_some(at)
-    });
-    taken_out.collect()
+    let freed = workers
+        .iter_mut()
+        .enumerate()
+        .filter_map(|(at, candidate)| {
+            let is_preempted = |victim: &Victim| victim.gang && victim.task.group == task.group;
+            candidate.remove_victims(is_preempted).then_some(at)
+        });
+    freed.collect()
 }
 
 impl CandidateWorker {
     /// Removes victims and frees their resources. Returns whether there were any.
-    fn remove_victims(&mut self, goes: impl Fn(&Victim) -> bool) -> bool {
+    fn remove_victims(&mut self, is_preempted: impl Fn(&Victim) -> bool) -> bool {
         let before = self.victims.0.len();
-        let room = &mut self.room;
+        let free = &mut self.room;
         self.victims.0.retain(|victim| {
-            let goes = goes(victim);
-            if goes {
-                *room = room.saturating_add(&victim.room);
+            let is_preempted = is_preempted(victim);
+            if is_preempted {
+                *free = free.saturating_add(&victim.resources);
             }
-            !goes
+            !is_preempted
         });
         self.victims.0.len() < before
     }
--- a/crates/stairstall-core/src/batch/planner/draining.rs
+++ b/crates/stairstall-core/src/batch/planner/draining.rs
@@ -15,21 +15,21 @@
             return;
         };
         let policy = self.policy.leaving;
-        let left_ms = worker.listed.remaining_ms.unwrap_or(0);
+        let leaves_in_ms = worker.listed.remaining_ms.unwrap_or(0);
         let margin_ms = millis(policy.end_margin.min(self.bounds.stop_max));
-        let moving: Vec<TaskKey> = worker
+        let to_stop: Vec<TaskKey> = worker
             .runs
             .iter()
             .filter(|(task, run)| {
-                let needs_ms = self.remaining_run_ms(task, run);
-                let ends_there = needs_ms + margin_ms < left_ms;
-                let is_late = run.percent >= policy.nearly_done
-                    && needs_ms < left_ms + millis(policy.late_margin);
-                run.state == RunState::Planned || !(ends_there || is_late)
+                let run_ms = self.remaining_run_ms(task, run);
+                let ends_there = run_ms + margin_ms < leaves_in_ms;
+                let may_end_late = run.percent >= policy.nearly_done
+                    && run_ms < leaves_in_ms + millis(policy.late_margin);
+                run.state == RunState::Planned || !(ends_there || may_end_late)
             })
             .map(|(task, _)| task.clone())
             .collect();
-        for task in moving {
+        for task in to_stop {
             let number = run_number(self, id, &task);
             self.record_setback(&task.group.job, Setback::WorkerLeft);
             self.stop_run(id, &task, "its worker is leaving", now);
@@ -40,15 +40,15 @@
     /// Returns the expected remaining time of a run in milliseconds. A gang ends with its slowest
     /// member.
     fn remaining_run_ms(&self, task: &TaskKey, run: &Run) -> u64 {
-        let shown_percent = self.policy.places.min_progress_percent;
+        let min_progress_percent = self.policy.places.min_progress_percent;
         if !run.gang {
-            return run.remaining_ms(shown_percent);
+            return run.remaining_ms(min_progress_percent);
         }
         let members = self.run_index.of_group(&task.group);
         members
             .iter()
             .filter_map(|(id, member)| self.run_at(id, member))
-            .map(|run| run.remaining_ms(shown_percent))
+            .map(|run| run.remaining_ms(min_progress_percent))
             .max()
             .unwrap_or(0)
     }
--- a/crates/stairstall-core/src/batch/planner/incarnations.rs
+++ b/crates/stairstall-core/src/batch/planner/incarnations.rs
@@ -17,16 +17,18 @@
         } else {
             self.paces.forget(id);
         }
-        self.decisions
-            .push(Decision::of_worker(id, format!("its life is over: {why}")));
+        self.decisions.push(Decision::of_worker(
+            id,
+            format!("its incarnation ended: {why}"),
+        ));
         let runs: Vec<_> = std::mem::take(&mut worker.runs).into_iter().collect();
         self.release_lost_runs(id, &runs, now);
         let mut suspects = std::mem::take(&mut worker.lost_tasks);
         if worker.is_leaving() {
             self.retract_losses(id, &suspects);
         } else {
-            // A crashed worker reports no run ends. If the crash were not counted, its tasks would be
-            // started on one worker after another and might crash each of them.
+            // A crashed worker reports no run ends. If the crash were not counted, its tasks would
+            // be started on one worker after another and might crash each of them.
             self.confirm_crashes(id, &suspects);
             suspects.extend(self.count_crash(id, worker.incarnation_state.last_answer_at, &runs));
             self.fail_crashing_jobs(&suspects, now);
@@ -42,7 +44,7 @@
         for (task, run) in runs {
             self.run_index.remove(task, id);
             self.record_setback(&task.group.job, Setback::Lost);
-            self.release_task(id, task, run, "its worker's life is over");
+            self.release_task(id, task, run, "its worker's incarnation ended");
         }
         for (task, run) in runs {
             self.stop_gang(
@@ -59,7 +61,7 @@
     /// A worker that may have crashed under tasks is polled for a while longer, because an answer
     /// proves that it did not crash.
     pub(super) fn remove_if_gone(&mut self, id: &WorkerId, now: Now) {
-        let vanished_after = self.policy.health.presumed_crashed_after;
+        let presumed_crashed_after = self.policy.health.presumed_crashed_after;
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -70,21 +72,21 @@
             self.workers.remove(id);
             self.worker_set_version += 1;
             self.paces.forget(id);
-        } else if worker.has_vanished(now.at, vanished_after) {
-            self.end_incarnation(id, "it is listed no longer and does not answer", now);
+        } else if worker.has_vanished(now.at, presumed_crashed_after) {
+            self.end_incarnation(id, "it is no longer listed and does not answer", now);
         }
     }
 
     /// Ends the incarnations of workers that announced when they leave, are no longer listed and do
     /// not answer. Their runs start elsewhere seconds before the leases would end.
     pub(super) fn end_departed_incarnations(&mut self, now: Now) {
-        let left: Vec<WorkerId> = self
+        let departed: Vec<WorkerId> = self
             .workers
             .iter()
             .filter(|(_, w)| w.has_left(now.at))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in left {
+        for id in departed {
             self.end_incarnation(&id, "it has left", now);
         }
     }
@@ -92,12 +94,12 @@
     /// Treats workers as crashed that became silent while they had runs and have since neither
     /// answered nor been listed again.
     pub(super) fn end_vanished_incarnations(&mut self, now: Now) {
-        let doubtful = self
+        let suspects = self
             .workers
             .iter()
             .filter(|(_, w)| !w.lost_tasks.is_empty());
-        let doubtful: Vec<WorkerId> = doubtful.map(|(id, _)| id.clone()).collect();
-        for id in doubtful {
+        let suspects: Vec<WorkerId> = suspects.map(|(id, _)| id.clone()).collect();
+        for id in suspects {
             self.remove_if_gone(&id, now);
         }
     }
--- a/crates/stairstall-core/src/batch/planner/learned.rs
+++ b/crates/stairstall-core/src/batch/planner/learned.rs
@@ -19,9 +19,9 @@
     /// Restores the estimates that an earlier planner had learned.
     ///
     /// Call this before [`Planner::restore_job`], which uses the estimates for the restored runs.
-    pub fn restore_learned_estimates(&mut self, learnt: LearnedEstimates, now: Now) {
-        let age = Duration::from_millis(now.unix_ms.saturating_sub(learnt.at_unix_ms));
-        self.run_times.restore(&learnt.run_times, age, now.at);
-        self.paces.restore(learnt.paces, age, now.at);
+    pub fn restore_learned_estimates(&mut self, learned: LearnedEstimates, now: Now) {
+        let age = Duration::from_millis(now.unix_ms.saturating_sub(learned.at_unix_ms));
+        self.run_times.restore(&learned.run_times, age, now.at);
+        self.paces.restore(learned.paces, age, now.at);
     }
 }
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -48,10 +48,10 @@
 impl Planner {
     /// Returns a summary of the load. A recent one is reused instead of computing a new one.
     pub fn load_summary(&mut self, now: Now) -> LoadSummary {
-        let is_fresh = |(at, _): &&(Timestamp, LoadSummary)| {
+        let is_recent = |(at, _): &&(Timestamp, LoadSummary)| {
             now.at - *at < self.policy.admission.summary_interval
         };
-        if let Some((_, last)) = self.load.last.as_ref().filter(is_fresh) {
+        if let Some((_, last)) = self.load.last.as_ref().filter(is_recent) {
             return last.clone();
         }
         let revision = self.load.last.as_ref().map_or(0, |(_, last)| last.revision);
@@ -91,8 +91,8 @@
     fn count_fleet(&mut self, now: Now) {
         let fleet = &mut self.load.fleet;
         fleet.begin_count();
-        let described = |worker: &&Worker| worker.listed.service != ServiceId::unknown();
-        for worker in self.workers.values().filter(described) {
+        let is_described = |worker: &&Worker| worker.listed.service != ServiceId::unknown();
+        for worker in self.workers.values().filter(is_described) {
             let listed = &worker.listed;
             fleet.count_worker(&listed.service, listed.capacity, worker.takes_tasks());
             for label in &listed.labels {
@@ -103,24 +103,24 @@
     }
 
     fn running_work(&self, now: Now) -> Vec<RunningWork> {
-        let mut rooms: BTreeMap<(&ServiceId, u8, Option<u64>), ResourceTotal> = BTreeMap::new();
+        let mut totals: BTreeMap<(&ServiceId, u8, Option<u64>), ResourceTotal> = BTreeMap::new();
         for worker in self.workers.values() {
             for run in worker.runs.values() {
-                let from_ms = (!run.lasts).then(|| end_bucket_ms(remaining_ms(run, now)));
-                let room = rooms.entry((&worker.listed.service, run.rank, from_ms));
-                let room = room.or_default();
-                *room = room.plus(&ResourceTotal::of(&run.room, 1));
+                let bucket_ms = (!run.lasts).then(|| end_bucket_ms(remaining_ms(run, now)));
+                let resources = totals.entry((&worker.listed.service, run.rank, bucket_ms));
+                let resources = resources.or_default();
+                *resources = resources.plus(&ResourceTotal::of(&run.room, 1));
             }
         }
-        let rooms = rooms
+        let totals = totals
             .into_iter()
-            .map(|((service, rank, from_ms), room)| RunningWork {
+            .map(|((service, rank, bucket_ms), resources)| RunningWork {
                 service: service.clone(),
                 rank,
-                first_end_ms: from_ms,
-                resources: room,
+                first_end_ms: bucket_ms,
+                resources,
             });
-        largest(rooms, |busy| busy.resources.accelerators)
+        largest(totals, |work| work.resources.accelerators)
     }
 
     fn backlog(&self, now: Now) -> Backlog {
@@ -142,35 +142,36 @@
             return;
         };
         let waiting = || group.tasks.iter().filter(|task| task.is_waiting());
-        let all = waiting().count();
-        if all == 0 {
+        let waiting_count = waiting().count();
+        if waiting_count == 0 {
             return;
         }
-        let fresh = waiting().filter(|task| is_untried(task)).count();
-        let fresh = if step.gang && fresh < group.tasks.len() {
+        let untried = waiting().filter(|task| is_untried(task)).count();
+        let untried = if step.gang && untried < group.tasks.len() {
             0
         } else {
-            fresh
+            untried
         };
-        let is_tied = is_constrained(step) || self.ticket_validity(key).is_some();
+        let constrained = is_constrained(step) || self.ticket_validity(key).is_some();
         let longest_ms = millis(self.run_time(key, step, now).typical);
-        for (takes_any, count) in [(!is_tied, fresh), (false, all - fresh)] {
+        for (is_unconstrained, count) in [(!constrained, untried), (false, waiting_count - untried)]
+        {
             if count == 0 {
                 continue;
             }
-            let room = ResourceTotal::of(
+            let resources = ResourceTotal::of(
                 &step.reserved_resources(),
                 u32::try_from(count).unwrap_or(u32::MAX),
             );
             let work = WaitingWork {
                 service: service.clone(),
                 priority: job.accepted.queue.priority,
-                is_unconstrained: takes_any,
+                is_unconstrained,
                 gang: step.gang,
                 needs: step.reserved_resources(),
                 gang_size: if step.gang { step.count } else { 1 },
                 longest_ms,
-                remaining: ResourceTime::of(&room, longest_ms),
+                remaining: ResourceTime::of(&resources, longest_ms),
             };
             backlog.add(work, job.accepted.customer.as_ref());
         }
@@ -181,7 +182,7 @@
         // Long enough that rounding to milliseconds does not matter.
         let estimate = Duration::from_secs(10);
         let routes = self.catalog.routes.iter();
-        let paces = routes.filter_map(|route| {
+        let run_times = routes.filter_map(|route| {
             let work = EstimatedWork {
                 queue: &route.queue.name,
                 customer: None,
@@ -194,7 +195,7 @@
                 typical_permille: u32::try_from(permille).unwrap_or(u32::MAX),
             })
         });
-        paces.take(MAX_SUMMARY_ENTRIES).collect()
+        run_times.take(MAX_SUMMARY_ENTRIES).collect()
     }
 
     /// Returns the number of accelerators that recently arrived urgent jobs require.
@@ -208,8 +209,8 @@
     /// Records when an arriving job is expected to begin, if there is a recent summary to forecast
     /// it from.
     pub(super) fn record_forecast(&mut self, job: &AcceptedJob, now: Now) {
-        let is_fresh = |(at, _): &&(Timestamp, LoadSummary)| now.at - *at <= FORECAST_FRESH_FOR;
-        let Some((_, summary)) = self.load.last.as_ref().filter(is_fresh) else {
+        let is_recent = |(at, _): &&(Timestamp, LoadSummary)| now.at - *at <= FORECAST_FRESH_FOR;
+        let Some((_, summary)) = self.load.last.as_ref().filter(is_recent) else {
             return;
         };
         let steps = job.spec.steps.iter();
@@ -230,7 +231,9 @@
         let forecast = self.load.forecasts.remove(id);
         forecast.map_or_else(String::new, |forecast| {
             let (earliest, likely) = (millis(forecast.earliest), millis(forecast.likely));
-            format!(", foreseen after {earliest} ms at the earliest and {likely} ms likely")
+            format!(
+                ", expected to begin after {earliest} ms at the earliest and {likely} ms likely"
+            )
         })
     }
 
@@ -244,8 +247,8 @@
     fn add(&mut self, work: WaitingWork, customer: Option<&CustomerId>) {
         if let Some(customer) = customer {
             let key = (work.priority, customer.clone());
-            let rest = self.customers.entry(key).or_default();
-            *rest = rest.plus(&work.remaining);
+            let remaining = self.customers.entry(key).or_default();
+            *remaining = remaining.plus(&work.remaining);
         }
         let size = u64::from(work.gang_size) * work.needs.weight().max(1);
         let kind = (
@@ -266,10 +269,10 @@
 fn customer_backlogs(customers: BTreeMap<(u8, CustomerId), ResourceTime>) -> Vec<CustomerBacklog> {
     let backlogs = customers
         .into_iter()
-        .map(|((priority, customer), rest)| CustomerBacklog {
+        .map(|((priority, customer), remaining)| CustomerBacklog {
             customer,
             priority,
-            remaining: rest,
+            remaining,
         });
     largest(backlogs, |backlog| backlog.remaining.accelerators)
 }
@@ -282,8 +285,8 @@
     entries
 }
 
-/// Returns whether a task has never been placed, failed or crashed a worker, so that any worker
-/// will do.
+/// Returns whether a task has never been placed, has never failed and is not suspected of crashing
+/// a worker, so that any worker will do.
 const fn is_untried(task: &Task) -> bool {
     task.run == 0 && task.failures == 0 && task.losses.is_empty()
 }
@@ -313,7 +316,10 @@
 }
 
 /// Returns the lower bound of the bucket for a remaining time.
-fn end_bucket_ms(rest_ms: u64) -> u64 {
-    let steps = END_BUCKETS_MS.into_iter().rev();
-    steps.into_iter().find(|from| *from <= rest_ms).unwrap_or(0)
+fn end_bucket_ms(remaining_ms: u64) -> u64 {
+    let buckets = END_BUCKETS_MS.into_iter().rev();
+    buckets
+        .into_iter()
+        .find(|from| *from <= remaining_ms)
+        .unwrap_or(0)
 }
--- a/crates/stairstall-core/src/batch/planner/orders.rs
+++ b/crates/stairstall-core/src/batch/planner/orders.rs
@@ -12,8 +12,8 @@
         checkpoint: Option<String>,
         /// Ticket of the adviser, if the queue requires one.
         ticket: Option<String>,
-        /// Time on the worker's clock, in milliseconds, at which the run must stop unless its lease is
-        /// renewed.
+        /// Time on the worker's clock, in milliseconds, at which the run must stop unless its lease
+        /// is renewed.
         deadline_ms: u64,
     },
     /// Stop the run, or refuse its start if that arrives later.
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -60,17 +60,17 @@
             return;
         }
         let key = &task.group;
-        let Some((usual, slowdown)) = self.typical_at(key, id, now) else {
+        let Some((typical, slowdown)) = self.typical_at(key, id, now) else {
             return;
         };
-        let stretch = run.final_sample(task, now.at);
-        let shown = RunProgress {
+        let sample = run.final_sample(task, now.at);
+        let observed = RunProgress {
             worker: id,
             projected_total: None,
-            sample: stretch.map(|stretch| stretch.without_remote_slowdown(slowdown)),
-            expected: usual,
+            sample: sample.map(|sample| sample.without_remote_slowdown(slowdown)),
+            expected: typical,
         };
-        self.paces.learn_from_step(key, &[shown], now.at);
+        self.paces.learn_from_step(key, &[observed], now.at);
     }
 
     /// Learns from a gang at the first end of its members, which stands for all of them.
@@ -83,35 +83,35 @@
         else {
             return;
         };
-        let others = self.run_index.of_group(key);
-        let is_whole = others.len() + 1 == group.tasks.len();
-        if group.is_done() || !is_whole || self.is_spread_over_racks(step, id, &others) {
+        let other_members = self.run_index.of_group(key);
+        let is_whole = other_members.len() + 1 == group.tasks.len();
+        if group.is_done() || !is_whole || self.is_spread_over_racks(step, id, &other_members) {
             return;
         }
-        let began = others.iter().filter_map(|(id, task)| {
+        let began = other_members.iter().filter_map(|(id, task)| {
             let other = self.run_at(id, task)?;
             other.began.filter(|_| other.is_pace_representative())
         });
         let began: Vec<Timestamp> = began.map(|(at, _)| at).collect();
-        if began.len() != others.len() {
+        if began.len() != other_members.len() {
             return;
         }
-        let stretch = run.began.and_then(|(at, from)| {
+        let sample = run.began.and_then(|(at, from)| {
             let together_since = began.into_iter().fold(at, Timestamp::max);
             let gained = 100_u8.saturating_sub(from);
             ProgressSample::new(run.sample_id(task), gained, now.at - together_since)
         });
-        let Some((usual, slowdown)) = self.typical_at(key, id, now) else {
+        let Some((typical, slowdown)) = self.typical_at(key, id, now) else {
             return;
         };
-        let Some(stretch) = stretch else {
+        let Some(sample) = sample else {
             return;
         };
-        let members: Vec<&WorkerId> = others.iter().map(|(id, _)| id).chain([id]).collect();
+        let members: Vec<&WorkerId> = other_members.iter().map(|(id, _)| id).chain([id]).collect();
         self.paces.learn_from_gang(
             &members,
-            &stretch.without_remote_slowdown(slowdown),
-            usual,
+            &sample.without_remote_slowdown(slowdown),
+            typical,
             now.at,
         );
     }
@@ -122,18 +122,21 @@
         &self,
         step: &StepSpec,
         id: &WorkerId,
-        others: &[(WorkerId, TaskKey)],
+        other_members: &[(WorkerId, TaskKey)],
     ) -> bool {
         let rack = self.rack_of(id);
-        step.same_rack && others.iter().any(|(other, _)| self.rack_of(other) != rack)
+        step.same_rack
+            && other_members
+                .iter()
+                .any(|(other, _)| self.rack_of(other) != rack)
     }
 
-    /// Returns how long a step's work typically takes on the rack of its data, and the factor by which
-    /// it is slower on a worker because of that worker's rack.
+    /// Returns how long a step's work typically takes on the rack of its data, and the factor by
+    /// which it is slower on a worker because of that worker's rack.
     fn typical_at(&self, key: &GroupKey, id: &WorkerId, now: Now) -> Option<(Duration, u32)> {
         let step = self.step(key)?;
-        let usual = self.run_time(key, step, now).typical;
-        Some((usual, self.slowdown(step, id)))
+        let typical = self.run_time(key, step, now).typical;
+        Some((typical, self.slowdown(step, id)))
     }
 
     /// Learns from the runs that have made progress.
@@ -141,7 +144,7 @@
         if !self.paces.is_enabled() {
             return;
         }
-        let told_percent = self.paces.policy().min_progress_percent;
+        let min_progress_percent = self.paces.policy().min_progress_percent;
         let mut by_step = HashMap::<&GroupKey, Vec<ObservedRun<'_>>>::new();
         for (id, worker) in self.workers.iter().filter(|(_, w)| w.is_in_contact()) {
             for (task, run) in worker
@@ -149,13 +152,13 @@
                 .iter()
                 .filter(|(_, run)| run.has_representative_progress())
             {
-                let shown = ObservedRun {
+                let observed = ObservedRun {
                     worker: id,
                     task,
                     run,
-                    sample: run.new_sample(task, told_percent),
+                    sample: run.new_sample(task, min_progress_percent),
                 };
-                by_step.entry(&task.group).or_default().push(shown);
+                by_step.entry(&task.group).or_default().push(observed);
             }
         }
         by_step.retain(|_, runs| runs.iter().any(|run| run.sample.is_some()));
@@ -163,21 +166,21 @@
         steps.sort_by_key(|(key, _)| *key);
         let mut paces = std::mem::take(&mut self.paces);
         for (key, runs) in &steps {
-            let shown: Vec<RunProgress<'_>> = runs
+            let observed: Vec<RunProgress<'_>> = runs
                 .iter()
-                .filter_map(|shown| self.rack_local_progress(key, shown, now))
+                .filter_map(|observed| self.rack_local_progress(key, observed, now))
                 .collect();
-            paces.learn_from_step(key, &shown, now.at);
+            paces.learn_from_step(key, &observed, now.at);
         }
-        let told: Vec<(WorkerId, TaskKey)> = steps
+        let sampled: Vec<(WorkerId, TaskKey)> = steps
             .iter()
             .flat_map(|(_, runs)| runs)
-            .filter(|shown| shown.sample.is_some())
-            .map(|shown| (shown.worker.clone(), shown.task.clone()))
+            .filter(|observed| observed.sample.is_some())
+            .map(|observed| (observed.worker.clone(), observed.task.clone()))
             .collect();
         paces.recenter(now.at);
         self.paces = paces;
-        for (id, task) in told {
+        for (id, task) in sampled {
             let worker = self.workers.get_mut(&id);
             if let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&task)) {
                 run.pace_sampled = Some((run.reported_at, run.percent));
@@ -189,18 +192,20 @@
     fn rack_local_progress<'a>(
         &self,
         key: &GroupKey,
-        shown: &ObservedRun<'a>,
+        observed: &ObservedRun<'a>,
         now: Now,
     ) -> Option<RunProgress<'a>> {
-        let (usual, slowdown) = self.typical_at(key, shown.worker, now)?;
-        let whole = shown.run.projected_total(self.policy.pace.min_judged_work);
+        let (typical, slowdown) = self.typical_at(key, observed.worker, now)?;
+        let total = observed
+            .run
+            .projected_total(self.policy.pace.min_judged_work);
         Some(RunProgress {
-            worker: shown.worker,
-            projected_total: whole.map(|whole| whole / slowdown.max(1)),
-            sample: shown
+            worker: observed.worker,
+            projected_total: total.map(|total| total / slowdown.max(1)),
+            sample: observed
                 .sample
-                .map(|stretch| stretch.without_remote_slowdown(slowdown)),
-            expected: usual,
+                .map(|sample| sample.without_remote_slowdown(slowdown)),
+            expected: typical,
         })
     }
 }
@@ -208,8 +213,8 @@
 impl Run {
     /// Returns whether the run's duration says something about its worker's pace.
     ///
-    /// A long-running step has no duration, and runs that serve users or use spare CPU are disturbed
-    /// by other work.
+    /// A long-running step has no duration, and runs that serve users or use spare CPU are
+    /// disturbed by other work.
     const fn is_pace_representative(&self) -> bool {
         let is_plain = !self.lasts && !self.serves && !self.fills;
         is_plain && !self.restored && self.began.is_some()
@@ -219,8 +224,8 @@
     /// gang is that of its slowest member.
     fn has_representative_progress(&self) -> bool {
         let is_running = self.state == RunState::Running;
-        let gets_on = self.began.is_some_and(|(_, from)| self.percent > from);
-        is_running && gets_on && !self.gang && self.is_pace_representative()
+        let has_progressed = self.began.is_some_and(|(_, from)| self.percent > from);
+        is_running && has_progressed && !self.gang && self.is_pace_representative()
     }
 
     /// Returns the time and the percentage up to which the run's pace has been sampled.
@@ -229,13 +234,13 @@
     }
 
     /// Returns the progress since the last sample, if it is enough for a new sample.
-    fn new_sample(&self, task: &TaskKey, enough_percent: u8) -> Option<ProgressSample> {
+    fn new_sample(&self, task: &TaskKey, min_progress_percent: u8) -> Option<ProgressSample> {
         let (at, from) = self.sampled_until()?;
         let gained = self.percent.checked_sub(from)?;
-        let is_enough = gained >= enough_percent && self.percent <= 100;
-        let took = self.reported_at - at;
+        let is_enough = gained >= min_progress_percent && self.percent <= 100;
+        let elapsed = self.reported_at - at;
         is_enough
-            .then(|| ProgressSample::new(self.sample_id(task), gained, took))
+            .then(|| ProgressSample::new(self.sample_id(task), gained, elapsed))
             .flatten()
     }
 
@@ -248,20 +253,21 @@
         ProgressSample::new(self.sample_id(task), left, at - since)
     }
 
-    /// Returns how long the whole work takes at the pace observed so far, if the run has worked long
-    /// enough to tell.
-    fn projected_total(&self, judged_after: Duration) -> Option<Duration> {
+    /// Returns how long the whole work takes at the pace observed so far, if the run has worked
+    /// long enough to tell.
+    fn projected_total(&self, min_judged_work: Duration) -> Option<Duration> {
         let (at, from) = self.began?;
         let gained = self.percent.checked_sub(from)?;
         let worked = self.reported_at - at;
-        let tells = gained >= MIN_PROGRESS_PERCENT && self.percent <= 100 && worked >= judged_after;
-        tells.then(|| Duration::from_millis(millis(worked) * 100 / u64::from(gained)))
+        let is_enough =
+            gained >= MIN_PROGRESS_PERCENT && self.percent <= 100 && worked >= min_judged_work;
+        is_enough.then(|| Duration::from_millis(millis(worked) * 100 / u64::from(gained)))
     }
 
     /// Returns a hash that identifies the run.
     fn sample_id(&self, task: &TaskKey) -> u64 {
         let name = task.group.job.as_str().as_bytes();
-        let place = u64::from(task.group.step) << 40 ^ u64::from(task.index) << 8;
-        xxhash_rust::xxh3::xxh3_64_with_seed(name, place ^ u64::from(self.number))
+        let salt = u64::from(task.group.step) << 40 ^ u64::from(task.index) << 8;
+        xxhash_rust::xxh3::xxh3_64_with_seed(name, salt ^ u64::from(self.number))
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -81,12 +81,12 @@
         if !step.gang {
             return self.total > 0;
         }
-        let most = if step.same_rack && scope.near {
+        let limit = if step.same_rack && scope.near {
             self.rack
         } else {
             self.total
         };
-        count <= most
+        count <= limit
     }
 }
 
@@ -100,8 +100,8 @@
 
     /// Records that tasks were placed, and how many free accelerators they use.
     pub(super) fn note_placed(&mut self, tasks: usize, accelerators: u32) {
-        if let Some(under_way) = &mut self.starts_in_flight {
-            *under_way += tasks;
+        if let Some(in_flight) = &mut self.starts_in_flight {
+            *in_flight += tasks;
         }
         if let Some(free) = &mut self.free_accelerators {
             *free = free.saturating_sub(accelerators);
@@ -119,7 +119,7 @@
         kind: CapacityKind,
         pass: &mut Pass,
     ) -> Ceiling {
-        let shape = CeilingKey {
+        let ceiling_key = CeilingKey {
             kind,
             service: self.service_of(key),
             needs: step.reserved_resources(),
@@ -127,29 +127,31 @@
             near_rack: step.near_rack.clone().filter(|_| near),
             max_per_worker: step.max_per_worker,
         };
-        if let Some(known) = pass.ceilings.get(&shape) {
-            return *known;
+        if let Some(cached) = pass.ceilings.get(&ceiling_key) {
+            return *cached;
         }
-        let ceiling = self.count_tasks(&shape, step, near);
-        pass.ceilings.insert(shape, ceiling);
+        let ceiling = self.count_tasks(&ceiling_key, step, near);
+        pass.ceilings.insert(ceiling_key, ceiling);
         ceiling
     }
 
-    fn count_tasks(&self, shape: &CeilingKey, step: &StepSpec, near: bool) -> Ceiling {
-        let most = step.max_per_worker.unwrap_or(u32::MAX);
+    fn count_tasks(&self, ceiling_key: &CeilingKey, step: &StepSpec, near: bool) -> Ceiling {
+        let limit = step.max_per_worker.unwrap_or(u32::MAX);
         let mut ceiling = Ceiling::default();
         let mut by_rack = BTreeMap::<&RackId, u32>::new();
         let workers = self
             .workers
             .values()
             .filter(|w| w.takes_tasks() && w.suits(step) && (!near || w.is_near(step)))
-            .filter(|w| shape.service.as_ref() == Some(&w.listed.service));
+            .filter(|w| ceiling_key.service.as_ref() == Some(&w.listed.service));
         for worker in workers {
-            let times = shape.needs.copies_in(&worker.capacity_of(shape.kind), most);
-            if times > 0 {
+            let copies = ceiling_key
+                .needs
+                .copies_in(&worker.capacity_of(ceiling_key.kind), limit);
+            if copies > 0 {
                 let rack = by_rack.entry(&worker.listed.rack).or_default();
-                *rack = rack.saturating_add(times);
-                ceiling.total = ceiling.total.saturating_add(times);
+                *rack = rack.saturating_add(copies);
+                ceiling.total = ceiling.total.saturating_add(copies);
                 ceiling.rack = ceiling.rack.max(*rack);
             }
         }
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -49,7 +49,8 @@
     /// The task that was last placed here for its last attempt. Until that run has worked for a
     /// while, nothing else starts here.
     pub(super) last_attempt: Option<TaskKey>,
-    /// Tasks whose runs were given up when the lease expired. The worker may have crashed under them.
+    /// Tasks whose runs were given up when the lease expired. The worker may have crashed under
+    /// them.
     pub(super) lost_tasks: Vec<TaskKey>,
     /// Since when the directory no longer lists it.
     unlisted_at: Option<Timestamp>,
@@ -119,12 +120,12 @@
         self.listed = listed;
     }
 
-    /// Returns whether the worker has left: it announced that it would leave, the announced time, if
-    /// any, has passed, it is no longer listed and it is unresponsive.
+    /// Returns whether the worker has left: it announced that it would leave, the announced time,
+    /// if any, has passed, it is no longer listed and it is unresponsive.
     ///
     /// An outstanding report request counts as contact, because its answer may list runs that ended
-    /// just before the worker left. A worker also becomes unresponsive because of an unanswered order
-    /// or because of other workers of its zone.
+    /// just before the worker left. A worker also becomes unresponsive because of an unanswered
+    /// order or because of other workers of its zone.
     pub(super) fn has_left(&self, at: Timestamp) -> bool {
         let is_due = self.listed.draining && self.leaves_at.is_none_or(|leaves| leaves <= at);
         is_due && !self.is_listed && !self.contact && !self.report_pending
@@ -165,10 +166,11 @@
         self.remaining_beside(&self.claimed)
     }
 
-    /// Returns the capacity that remains beside `used`. If any resource is overcommitted because the
-    /// capacity has shrunk, nothing remains of any resource.
+    /// Returns the capacity that remains beside `used`. If any resource is overcommitted because
+    /// the capacity has shrunk, nothing remains of any resource.
     ///
-    /// A worker that does not enforce its capacity would otherwise be overcommitted further by a start.
+    /// A worker that does not enforce its capacity would otherwise be overcommitted further by a
+    /// start.
     fn remaining_beside(&self, used: &Resources) -> Resources {
         if used.fits_in(&self.listed.capacity) {
             self.listed.capacity.saturating_sub(used)
@@ -184,8 +186,8 @@
             .saturating_sub(&self.claimed_after_stops())
     }
 
-    /// Returns the resources that the worker will lack once all stopping runs have ended, because its
-    /// capacity has shrunk.
+    /// Returns the resources that the worker will lack once all stopping runs have ended, because
+    /// its capacity has shrunk.
     pub(super) fn shortage(&self) -> Resources {
         if self.claimed.fits_in(&self.listed.capacity) {
             return Resources::default();
@@ -195,21 +197,21 @@
     }
 
     fn claimed_after_stops(&self) -> Resources {
-        let leaving = self.sum_resources(|run| run.state == RunState::Stopping);
-        self.claimed.saturating_sub(&leaving)
+        let stopping = self.sum_resources(|run| run.state == RunState::Stopping);
+        self.claimed.saturating_sub(&stopping)
     }
 
     /// Returns the capacity that is free once all runs that work of `rank` may preempt have ended.
     pub(super) fn free_for_rank(&self, rank: u8) -> Resources {
-        let stays = self
+        let remaining_runs = self
             .sum_resources(|run| run.state != RunState::Stopping && !run.is_preemptible_by(rank));
-        self.remaining_beside(&stays)
+        self.remaining_beside(&remaining_runs)
     }
 
     /// Returns the capacity that no run uses at this moment. Planned runs don't count.
     pub(super) fn free_now(&self) -> Resources {
-        let present = self.sum_resources(|run| run.state != RunState::Planned);
-        self.remaining_beside(&present)
+        let started = self.sum_resources(|run| run.state != RunState::Planned);
+        self.remaining_beside(&started)
     }
 
     fn sum_resources(&self, test: impl Fn(&Run) -> bool) -> Resources {
@@ -223,12 +225,12 @@
 
     /// Returns whether the worker may be given tasks.
     ///
-    /// Its directory entry must belong to its current incarnation, which may offer another service or
-    /// capacity than the previous one.
+    /// Its directory entry must belong to its current incarnation, which may offer another service
+    /// or capacity than the previous one.
     pub(super) fn takes_tasks(&self) -> bool {
-        let stays = !self.listed.draining && !self.in_evacuated_zone;
+        let is_open = !self.listed.draining && !self.in_evacuated_zone;
         let is_described = !self.incarnation_state.differs_from(self.listed.incarnation);
-        self.is_listed && is_described && self.incarnation_state.fenced && self.contact && stays
+        self.is_listed && is_described && self.incarnation_state.fenced && self.contact && is_open
     }
 
     pub(super) fn is_suspect(&self, at: Timestamp) -> bool {
@@ -238,8 +240,8 @@
     }
 
     /// Returns whether the worker meets a health requirement.
-    pub(super) fn is_healthy(&self, demand: RequiredHealth, at: Timestamp) -> bool {
-        match demand {
+    pub(super) fn is_healthy(&self, required: RequiredHealth, at: Timestamp) -> bool {
+        match required {
             RequiredHealth::Any => true,
             RequiredHealth::NotSuspect => !self.is_suspect(at),
             RequiredHealth::Proven => {
@@ -255,8 +257,8 @@
             .is_none_or(|label| self.listed.labels.contains(label))
     }
 
-    /// Returns whether the step may share the worker with its current runs: a step that uses spare CPU
-    /// and a step with a latency target would disturb each other.
+    /// Returns whether the step may share the worker with its current runs: a step that uses spare
+    /// CPU and a step with a latency target would disturb each other.
     pub(super) fn can_colocate(&self, step: &StepSpec) -> bool {
         self.runs.values().all(|run| {
             !(step.uses_spare_cpu && run.serves || step.has_latency_target() && run.fills)
@@ -278,8 +280,8 @@
         self.contact = contact;
     }
 
-    pub(super) const fn set_report_pending(&mut self, asked: bool) {
-        self.report_pending = asked;
+    pub(super) const fn set_report_pending(&mut self, pending: bool) {
+        self.report_pending = pending;
     }
 
     pub(super) fn extend_lease(&mut self, until: Timestamp) {
@@ -293,12 +295,12 @@
         self.incarnation_state.incarnation.is_some()
     }
 
-    /// Releases the resources of a stopped run that is kept only because its start may reach the next
-    /// incarnation.
+    /// Releases the resources of a stopped run that is kept only because its start may reach the
+    /// next incarnation.
     pub(super) fn release_resources(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
-            let room = std::mem::take(&mut run.room);
-            self.claimed = self.claimed.saturating_sub(&room);
+            let resources = std::mem::take(&mut run.room);
+            self.claimed = self.claimed.saturating_sub(&resources);
         }
     }
 
@@ -310,22 +312,22 @@
     /// Returns the next report request to send, or `None` if the worker need not be polled.
     pub(super) fn hold_request(
         &self,
-        last_seen: u64,
+        acknowledged_end: u64,
         deadline_ms: Option<u64>,
-        longest_wait: Duration,
+        max_wait: Duration,
     ) -> Option<ReportRequest> {
-        let asks_only = !self.incarnation_state.fenced || !self.contact;
-        let present = self.is_busy();
-        if !asks_only && !present && self.incarnation_state.all_ends_acknowledged() {
+        let identifies_only = !self.incarnation_state.fenced || !self.contact;
+        let started = self.is_busy();
+        if !identifies_only && !started && self.incarnation_state.all_ends_acknowledged() {
             return None;
         }
-        let waits = present && !asks_only && !self.incarnation_state.has_unstored_ends();
+        let waits = started && !identifies_only && !self.incarnation_state.has_unstored_ends();
         Some(ReportRequest {
             token: self.fence,
-            deadline_ms: if asks_only { None } else { deadline_ms },
+            deadline_ms: if identifies_only { None } else { deadline_ms },
             // After an unresponsive period, another incarnation with other run ends may answer.
-            acknowledged_end: if asks_only { 0 } else { last_seen },
-            max_wait: if waits { longest_wait } else { Duration::ZERO },
+            acknowledged_end: if identifies_only { 0 } else { acknowledged_end },
+            max_wait: if waits { max_wait } else { Duration::ZERO },
         })
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
@@ -89,13 +89,13 @@
         incarnation: Option<Incarnation>,
         has_left: bool,
     ) -> Self {
-        let earlier = PreviousIncarnation {
+        let previous = PreviousIncarnation {
             incarnation: self.incarnation,
             last_answer_at: self.last_answer_at.or(self.previous.last_answer_at),
             has_left,
         };
         Self {
-            previous: earlier,
+            previous,
             ..Self::new(incarnation)
         }
     }
@@ -109,30 +109,32 @@
 
     /// Returns whether a directory entry was written by an incarnation that began before this one.
     pub(in crate::batch::planner) fn is_newer_than(&self, written_by: Option<Incarnation>) -> bool {
-        let is_lower = self.incarnation > written_by;
-        self.differs_from(written_by) && (is_lower || self.is_previous(written_by))
+        let has_higher_id = self.incarnation > written_by;
+        self.differs_from(written_by) && (has_higher_id || self.is_previous(written_by))
     }
 
-    /// Returns whether the previous incarnation is named, whatever the wall clock was when it began.
-    fn is_previous(&self, named: Option<Incarnation>) -> bool {
-        named.is_some() && named == self.previous.incarnation
+    /// Returns whether the previous incarnation is named, whatever the wall clock was when it
+    /// began.
+    fn is_previous(&self, reported: Option<Incarnation>) -> bool {
+        reported.is_some() && reported == self.previous.incarnation
     }
 
     /// Returns which incarnation answered a request that was sent at `sent_at`.
     ///
-    /// Answers may overtake each other, and the wall clock may be set back between two incarnations.
-    /// But a request sent after the current incarnation had answered can't have reached an earlier one.
+    /// Answers may overtake each other, and the wall clock may be set back between two
+    /// incarnations. But a request sent after the current incarnation had answered can't have
+    /// reached an earlier one.
     pub(in crate::batch::planner) fn answer_source(
         &self,
-        named: Option<Incarnation>,
+        reported: Option<Incarnation>,
         sent_at: Timestamp,
     ) -> AnswerSource {
-        if !self.differs_from(named) {
+        if !self.differs_from(reported) {
             return AnswerSource::Known;
         }
-        let asked_after = self.first_report_at.is_some_and(|at| at <= sent_at);
-        let seems_later = named > self.incarnation && !self.is_previous(named);
-        if asked_after || seems_later {
+        let sent_after_report = self.first_report_at.is_some_and(|at| at <= sent_at);
+        let seems_newer = reported > self.incarnation && !self.is_previous(reported);
+        if sent_after_report || seems_newer {
             AnswerSource::Later
         } else {
             AnswerSource::Earlier
@@ -143,11 +145,11 @@
     /// own token.
     pub(in crate::batch::planner) fn note_report(
         &mut self,
-        named: Option<Incarnation>,
+        reported: Option<Incarnation>,
         is_fenced: bool,
         at: Timestamp,
     ) -> bool {
-        self.incarnation = self.incarnation.or(named);
+        self.incarnation = self.incarnation.or(reported);
         self.first_report_at.get_or_insert(at);
         is_fenced && !std::mem::replace(&mut self.fenced, true)
     }
@@ -163,8 +165,8 @@
         Some(clock_ms.saturating_add(millis(at - read_at)))
     }
 
-    /// Returns whether a clock value is so far behind that it can't be this incarnation's, whose clock
-    /// may be 2% slow.
+    /// Returns whether a clock value is so far behind that it can't be this incarnation's, whose
+    /// clock may be 2% slow.
     pub(in crate::batch::planner) fn is_clock_set_back(
         &self,
         clock_ms: u64,
@@ -172,9 +174,9 @@
     ) -> bool {
         self.clock.is_some_and(|(read_ms, read_at)| {
             let passed_ms = millis(at - read_at);
-            let least_ms = read_ms
+            let min_ms = read_ms
                 .saturating_add(passed_ms - passed_ms / u64::from(Planner::CLOCK_DRIFT_DIVISOR));
-            clock_ms.saturating_add(MAX_ANSWER_AGE_MS) < least_ms
+            clock_ms.saturating_add(MAX_ANSWER_AGE_MS) < min_ms
         })
     }
 
@@ -189,18 +191,18 @@
         self.unstored_ends.push_back(UnstoredEnd { number, change });
     }
 
-    /// Returns the highest run end that may be acknowledged, where `lasts` says which changes are
-    /// stored.
+    /// Returns the highest run end that may be acknowledged, where `is_change_stored` says
+    /// which changes are stored.
     pub(in crate::batch::planner) fn acknowledgeable(
         &mut self,
-        lasts: impl Fn(&JobId, u64) -> bool,
+        is_change_stored: impl Fn(&JobId, u64) -> bool,
     ) -> u64 {
         while let Some(first) = self.unstored_ends.front() {
-            let kept = first
+            let is_stored = first
                 .change
                 .as_ref()
-                .is_none_or(|(job, change)| lasts(job, *change));
-            if !kept {
+                .is_none_or(|(job, change)| is_change_stored(job, *change));
+            if !is_stored {
                 return first.number.saturating_sub(1);
             }
             self.unstored_ends.pop_front();
@@ -221,18 +223,22 @@
     /// Returns the run end to acknowledge in the next request, or 0 if it was acknowledged already.
     ///
     /// A request may reach a new incarnation. Some workers keep listing a run end whose number was
-    /// acknowledged before it occurred. A report lists at most 500 run ends, so later ones would not be
-    /// seen behind these.
-    pub(in crate::batch::planner) const fn next_acknowledgement(&self, forgettable: u64) -> u64 {
-        if forgettable > self.acknowledged_end {
-            forgettable
+    /// acknowledged before it occurred. A report lists at most 500 run ends, so later ones would
+    /// not be seen behind these.
+    pub(in crate::batch::planner) const fn next_acknowledgement(
+        &self,
+        acknowledgeable: u64,
+    ) -> u64 {
+        if acknowledgeable > self.acknowledged_end {
+            acknowledgeable
         } else {
             0
         }
     }
 
-    /// Records that the worker has answered a request that acknowledged run ends up to `last_seen`.
-    pub(in crate::batch::planner) fn record_acknowledged(&mut self, last_seen: u64) {
-        self.acknowledged_end = self.acknowledged_end.max(last_seen);
+    /// Records that the worker has answered a request that acknowledged run ends up to
+    /// `acknowledged_end`.
+    pub(in crate::batch::planner) fn record_acknowledged(&mut self, acknowledged_end: u64) {
+        self.acknowledged_end = self.acknowledged_end.max(acknowledged_end);
     }
 }
--- a/crates/stairstall-core/src/batch/planner/pool/run.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/run.rs
@@ -52,15 +52,15 @@
     pub(in crate::batch::planner) since: Timestamp,
     /// When the last order for it was sent.
     pub(in crate::batch::planner) ordered_at: Timestamp,
-    /// When the worker answered an order for it, or its start was given up without an answer. A report
-    /// requested later must list the run.
+    /// When the worker answered an order for it, or its start was given up without an answer. A
+    /// report requested later must list the run.
     pub(in crate::batch::planner) answered_at: Option<Timestamp>,
     /// Number of stop orders that were not answered.
     pub(in crate::batch::planner) stops: u8,
     /// Number of start orders that were sent.
     pub(in crate::batch::planner) tries: u8,
-    /// Until when its start may still be carried out, by this incarnation of its worker or the next.
-    /// `None` once that is ruled out, or if the worker gets a new ID on every restart.
+    /// Until when its start may still be carried out, by this incarnation of its worker or the
+    /// next. `None` once that is ruled out, or if the worker gets a new ID on every restart.
     pub(in crate::batch::planner) late_start_until: Option<Timestamp>,
     pub(in crate::batch::planner) percent: u8,
     /// When `percent` last increased.
@@ -73,8 +73,8 @@
     pub(in crate::batch::planner) began: Option<(Timestamp, u8)>,
     /// Time and percentage up to which its worker's pace was learned from it.
     pub(in crate::batch::planner) pace_sampled: Option<(Timestamp, u8)>,
-    /// Whether it continues from a checkpoint or was restored by a new planner, so that only its first
-    /// report tells where it began.
+    /// Whether it continues from a checkpoint or was restored by a new planner, so that only its
+    /// first report tells where it began.
     pub(in crate::batch::planner) resumes: bool,
     /// Whether it is known only from a placement stored by an earlier planner.
     pub(in crate::batch::planner) restored: bool,
@@ -85,7 +85,8 @@
     pub(in crate::batch::planner) start_confirmed: bool,
     /// The incarnation of its worker that was last ordered to start it, or that lists it.
     pub(in crate::batch::planner) incarnation: Option<Incarnation>,
-    /// Fencing token of its last start order; 0 for an adopted run, to which this planner sent none.
+    /// Fencing token of its last start order; 0 for an adopted run, to which this planner sent
+    /// none.
     pub(in crate::batch::planner) fence: u64,
     /// Whether a report of that incarnation has listed it.
     pub(in crate::batch::planner) is_listed: bool,
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -32,22 +32,23 @@
         !self.changed.is_empty()
     }
 
-    /// Removes and returns up to `most` progress writes that are due, urgent jobs first.
+    /// Removes and returns up to `max` progress writes that are due, urgent jobs first.
     ///
     /// Jobs in `busy` are skipped, because an earlier write of theirs is still in progress. Their
     /// writes stay due.
     pub fn take_writes(
         &mut self,
-        most: usize,
+        max: usize,
         busy: &BTreeSet<JobId>,
         now: Now,
     ) -> Vec<ProgressWrite> {
-        let free = self.changed.iter().filter(|id| !busy.contains(*id));
-        let mut free: Vec<(u8, &JobId)> = free.map(|id| (self.priority_of(id), id)).collect();
-        free.sort_unstable();
-        let ids: Vec<JobId> = free
+        let writable = self.changed.iter().filter(|id| !busy.contains(*id));
+        let mut writable: Vec<(u8, &JobId)> =
+            writable.map(|id| (self.priority_of(id), id)).collect();
+        writable.sort_unstable();
+        let ids: Vec<JobId> = writable
             .into_iter()
-            .take(most)
+            .take(max)
             .map(|(_, id)| id.clone())
             .collect();
         ids.into_iter()
@@ -84,22 +85,22 @@
         }
     }
 
-    /// Returns up to `most` jobs whose ends are stored, in the shortened form in which their records
-    /// should be stored from now on.
+    /// Returns up to `max` jobs whose ends are stored, in the shortened form in which their
+    /// records should be stored from now on.
     ///
-    /// Call [`Planner::job_trim_failed`] for a job that could not be stored in this form, so that it
-    /// is returned again.
-    pub fn take_jobs_to_trim(&mut self, most: usize) -> Vec<AcceptedJob> {
+    /// Call [`Planner::job_trim_failed`] for a job that could not be stored in this form, so that
+    /// it is returned again.
+    pub fn take_jobs_to_trim(&mut self, max: usize) -> Vec<AcceptedJob> {
         let ended = self.jobs.values_mut().filter(|job| job.may_be_trimmed());
-        let trims = ended.take(most).map(|job| {
+        let trims = ended.take(max).map(|job| {
             job.trim_state = TrimState::InProgress;
             job.accepted.trimmed()
         });
         trims.collect()
     }
 
-    /// Handles a job record that was stored in its shortened form: the job's specification and its
-    /// occurrences are also dropped from memory.
+    /// Handles a job record that was stored in its shortened form: the details of what the job ran
+    /// are also dropped from memory.
     pub fn job_trimmed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = Arc::new(job.accepted.trimmed());
@@ -130,8 +131,8 @@
     }
 
     pub(super) fn progress(&self, now: Now) -> Progress {
-        // The progress of its tasks is of no use once the job has ended, and every later planner would
-        // have to read it.
+        // The progress of its tasks is of no use once the job has ended, and every later planner
+        // would have to read it.
         let occurrences = self.occurrences.iter().filter(|_| self.outcome.is_none());
         Progress {
             outcome: self.outcome,
@@ -149,17 +150,17 @@
         self.ended_unix_ms = progress.ended_unix_ms;
         self.ended_at = progress.outcome.map(|_| now.at);
         self.has_started = progress.begun;
-        if let Some(kept) = &progress.story {
+        if let Some(stored) = &progress.story {
             let mut groups = progress.occurrences.iter().flatten();
-            let has_places = groups.any(|group| !group.places.is_empty());
-            self.timeline = JobTimeline::restore(kept, has_places, now);
+            let has_placements = groups.any(|group| !group.places.is_empty());
+            self.timeline = JobTimeline::restore(stored, has_placements, now);
         }
         while self.occurrences.len() < progress.occurrences.len() {
             self.add_occurrence();
         }
-        for (groups, kept) in self.occurrences.iter_mut().zip(&progress.occurrences) {
-            for (group, kept) in groups.iter_mut().zip(kept) {
-                group.restore(kept);
+        for (groups, stored) in self.occurrences.iter_mut().zip(&progress.occurrences) {
+            for (group, stored) in groups.iter_mut().zip(stored) {
+                group.restore(stored);
             }
         }
     }
@@ -198,37 +199,37 @@
         }
     }
 
-    fn restore(&mut self, kept: &GroupProgress) {
-        self.gang_failures = kept.gang_failures;
-        self.last_run = self.last_run.max(kept.last_run);
-        self.last_failed_gang_run = kept.counted_failure;
-        if kept.tasks == ALL_DONE {
+    fn restore(&mut self, stored: &GroupProgress) {
+        self.gang_failures = stored.gang_failures;
+        self.last_run = self.last_run.max(stored.last_run);
+        self.last_failed_gang_run = stored.counted_failure;
+        if stored.tasks == ALL_DONE {
             self.tasks.iter_mut().for_each(|task| task.done = true);
             return;
         }
-        for (task, mark) in self.tasks.iter_mut().zip(kept.tasks.chars()) {
+        for (task, mark) in self.tasks.iter_mut().zip(stored.tasks.chars()) {
             task.done = mark == DONE;
             task.failures = mark.to_digit(10).unwrap_or(0);
         }
-        for (index, place) in &kept.places {
+        for (index, placement) in &stored.places {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
-                task.place = Some(place.worker.clone());
-                task.run = place.run;
-                task.incarnation = place.incarnation;
-                task.start_confirmed = place.start_confirmed;
+                task.place = Some(placement.worker.clone());
+                task.run = placement.run;
+                task.incarnation = placement.incarnation;
+                task.start_confirmed = placement.start_confirmed;
             }
         }
-        for (index, run) in &kept.counted_runs {
+        for (index, run) in &stored.counted_runs {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.last_failed_run = *run;
             }
         }
-        for (index, losses) in &kept.losses {
+        for (index, losses) in &stored.losses {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.losses = losses.clone();
             }
         }
-        for (index, checkpoint) in &kept.checkpoints {
+        for (index, checkpoint) in &stored.checkpoints {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.checkpoint = Some(checkpoint.clone());
             }
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -11,15 +11,15 @@
 use crate::{CustomerId, JobId};
 
 impl Planner {
-    /// Runs a scheduling pass: places waiting tasks in the order of rank and scheduling key. Returns
-    /// whether any still wait.
+    /// Runs a scheduling pass: places waiting tasks in the order of rank and scheduling key.
+    /// Returns whether any still wait.
     pub(super) fn plan(&mut self, now: Now) -> bool {
-        let claims = self.guaranteed_jobs();
-        if self.ranked_guaranteed_jobs.as_ref() != Some(&claims) {
-            self.update_ranks(&claims);
-            self.ranked_guaranteed_jobs = Some(claims.clone());
+        let guaranteed = self.guaranteed_jobs();
+        if self.ranked_guaranteed_jobs.as_ref() != Some(&guaranteed) {
+            self.update_ranks(&guaranteed);
+            self.ranked_guaranteed_jobs = Some(guaranteed.clone());
         }
-        let mut candidates = self.candidates(&claims, now);
+        let mut candidates = self.candidates(&guaranteed, now);
         let mut pass = Pass::default();
         let aged = self.promote_oldest_aged(&mut candidates, &mut pass, now);
         pass.reserved = self.renew_reservations(&candidates, now);
@@ -34,8 +34,8 @@
             .any(|candidate| self.has_waiting_tasks(&candidate.key))
     }
 
-    /// Moves the oldest aged step ahead of all work that is not urgent, and returns it. Does nothing
-    /// until the minimum interval since the last such step has passed.
+    /// Moves the oldest aged step ahead of all work that is not urgent, and returns it. Does
+    /// nothing until the minimum interval since the last such step has passed.
     fn promote_oldest_aged(
         &self,
         candidates: &mut [Candidate],
@@ -43,31 +43,35 @@
         now: Now,
     ) -> Option<GroupKey> {
         let policy = &self.policy.turns;
-        let gap = policy.aged_interval;
-        if self.last_aged_at.is_some_and(|at| now.at - at < gap) {
+        let interval = policy.aged_interval;
+        if self.last_aged_at.is_some_and(|at| now.at - at < interval) {
             return None;
         }
-        let aged = candidates.iter().enumerate().filter_map(|(index, one)| {
-            let is_overdue = !policy.by_timeliness || one.turn.timeliness == Timeliness::Overdue;
-            let job = self.jobs.get(&one.key.job);
-            let job = job.filter(|_| is_overdue && one.rank > URGENT_RANK)?;
-            let (wanted, _) = self.job_objective(&one.key, job, now);
-            let since_unix_ms = wanted.aged_unix_ms(policy)?;
-            let key = one.key.clone();
-            let aged = AgedStep { since_unix_ms, key };
-            (since_unix_ms <= now.unix_ms).then_some((aged, index))
-        });
+        let aged = candidates
+            .iter()
+            .enumerate()
+            .filter_map(|(index, candidate)| {
+                let is_overdue =
+                    !policy.by_timeliness || candidate.turn.timeliness == Timeliness::Overdue;
+                let job = self.jobs.get(&candidate.key.job);
+                let job = job.filter(|_| is_overdue && candidate.rank > URGENT_RANK)?;
+                let (objective, _) = self.job_objective(&candidate.key, job, now);
+                let since_unix_ms = objective.aged_unix_ms(policy)?;
+                let key = candidate.key.clone();
+                let aged = AgedStep { since_unix_ms, key };
+                (since_unix_ms <= now.unix_ms).then_some((aged, index))
+            });
         // A step that fits on no current worker would block this for all others.
         let aged = aged.filter(|(aged, _)| self.fits_on_empty_fleet(&aged.key, pass));
         let (aged, index) = aged.min()?;
-        let first = candidates.partition_point(|one| one.rank <= URGENT_RANK);
+        let first = candidates.partition_point(|candidate| candidate.rank <= URGENT_RANK);
         candidates[index].turn = SchedulingKey::aged();
         candidates[first..=index].rotate_right(1);
         Some(aged.key)
     }
 
-    /// Returns whether a step would fit on the current workers if nothing else ran, and at least one
-    /// of its waiting tasks may start.
+    /// Returns whether a step would fit on the current workers if nothing else ran, and at least
+    /// one of its waiting tasks may start.
     fn fits_on_empty_fleet(&self, key: &GroupKey, pass: &mut Pass) -> bool {
         let Some((step, group)) = self.step(key).zip(self.jobs[&key.job].group(key)) else {
             return false;
@@ -99,26 +103,26 @@
             .collect();
         urgent.sort_by_key(|job| (job.accepted.accepted_unix_ms, &job.accepted.id));
         let mut used: BTreeMap<&CustomerId, u32> = BTreeMap::new();
-        let mut claims = BTreeSet::new();
+        let mut guaranteed = BTreeSet::new();
         for job in urgent {
             let Some(customer) = &job.accepted.customer else {
                 continue;
             };
             let sum = used.entry(customer).or_default();
-            let with = sum.saturating_add(max_accelerators(job));
-            if with <= self.catalog.guaranteed(customer) {
-                *sum = with;
-                claims.insert(job.accepted.id.clone());
+            let total = sum.saturating_add(max_accelerators(job));
+            if total <= self.catalog.guaranteed(customer) {
+                *sum = total;
+                guaranteed.insert(job.accepted.id.clone());
             }
         }
-        claims
+        guaranteed
     }
 
-    fn update_ranks(&mut self, claims: &BTreeSet<JobId>) {
+    fn update_ranks(&mut self, guaranteed: &BTreeSet<JobId>) {
         for worker in self.workers.values_mut() {
             for (task, run) in &mut worker.runs {
                 if run.rank <= URGENT_RANK {
-                    run.rank = if claims.contains(&task.group.job) {
+                    run.rank = if guaranteed.contains(&task.group.job) {
                         GUARANTEED_RANK
                     } else {
                         URGENT_RANK
@@ -128,8 +132,8 @@
         }
     }
 
-    fn candidates(&mut self, claims: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
-        let found = self.list_candidates(claims, now);
+    fn candidates(&mut self, guaranteed: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
+        let found = self.list_candidates(guaranteed, now);
         for candidate in &found {
             self.record_ready(&candidate.key, now);
         }
@@ -137,13 +141,13 @@
     }
 
     /// Returns the steps that wait for placements, in scheduling order.
-    pub(super) fn list_candidates(&self, claims: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
+    pub(super) fn list_candidates(&self, guaranteed: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
         let mut found = Vec::new();
         for (id, job) in &self.jobs {
             if job.outcome.is_some() {
                 continue;
             }
-            let rank = if claims.contains(id) {
+            let rank = if guaranteed.contains(id) {
                 GUARANTEED_RANK
             } else {
                 job.accepted.queue.priority.saturating_add(1)
@@ -168,11 +172,11 @@
 
 /// Returns the steps of a job that have waiting tasks and whose dependencies are done.
 fn ready_groups(id: &JobId, job: &Job) -> Vec<GroupKey> {
-    let waits = |key: &GroupKey| {
+    let has_waiting = |key: &GroupKey| {
         let group = job.group(key);
         group.is_some_and(|group| group.tasks.iter().any(super::job::Task::is_waiting))
     };
-    job.ready_keys(id).filter(waits).collect()
+    job.ready_keys(id).filter(has_waiting).collect()
 }
 
 /// Returns the largest number of accelerators that a job may use at a time.
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -10,23 +10,23 @@
     /// Repeats stop orders whose runs should have ended, stops redundant runs, and gives up planned
     /// runs that can't start where they were placed.
     pub(super) fn check_unsettled_runs(&mut self, now: Now) {
-        let patience = self.bounds.stop_max + self.policy.orders.stop_retry_after;
-        let mut again = Vec::new();
-        let mut in_vain = Vec::new();
-        let mut unwanted = Vec::new();
+        let stop_timeout = self.bounds.stop_max + self.policy.orders.stop_retry_after;
+        let mut to_retry = Vec::new();
+        let mut to_cancel = Vec::new();
+        let mut redundant = Vec::new();
         self.start_waits_of_stored_placements(now);
         for (id, worker) in self.workers.iter().filter(|(_, w)| w.has_unsettled) {
             for (task, run) in &worker.runs {
                 if run.state == RunState::Planned
                     && let Some(why) = self.cancel_reason(id, worker, task, run, now)
                 {
-                    in_vain.push((id.clone(), task.clone(), why));
+                    to_cancel.push((id.clone(), task.clone(), why));
                 }
-                let done_since = run.redundant_since.map(|since| now.at - since);
+                let redundant_for = run.redundant_since.map(|since| now.at - since);
                 if run.state != RunState::Stopping
-                    && done_since > Some(self.policy.orders.unwanted_grace)
+                    && redundant_for > Some(self.policy.orders.unwanted_grace)
                 {
-                    unwanted.push((id.clone(), task.clone()));
+                    redundant.push((id.clone(), task.clone()));
                 }
                 // A worker that answered the stop refuses the run, so only its next incarnation may
                 // still start it.
@@ -34,26 +34,26 @@
                 if run.state == RunState::Stopping
                     && !awaits_late_start
                     && worker.is_in_contact()
-                    && now.at - run.ordered_at > patience
+                    && now.at - run.ordered_at > stop_timeout
                 {
-                    again.push((id.clone(), task.clone(), run.number));
+                    to_retry.push((id.clone(), task.clone(), run.number));
                 }
             }
         }
-        for (id, task, run) in again {
+        for (id, task, run) in to_retry {
             self.report_overdue_stop(&id, &task, now);
             self.send_stop(&id, &task, run, now);
         }
-        for (id, task) in unwanted {
+        for (id, task) in redundant {
             self.stop_run(&id, &task, "the task is done", now);
         }
-        for (id, task, why) in in_vain {
+        for (id, task, why) in to_cancel {
             self.cancel_planned(&id, &task, why, now);
         }
     }
 
-    /// Reports a stopped run that has not ended. Other work waits for its resources, and nothing else
-    /// shows that they don't become free.
+    /// Reports a stopped run that has not ended. Other work waits for its resources, and nothing
+    /// else shows that they don't become free.
     fn report_overdue_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(run) = self.run_at(id, task) else {
             return;
@@ -73,11 +73,11 @@
         now: Now,
     ) -> Option<&'static str> {
         if !worker.takes_tasks() {
-            Some("its worker takes no tasks now")
+            Some("its worker does not accept tasks now")
         } else if self.lacks_ticket(id, &task.group, now) {
-            Some("its ticket is over")
+            Some("its ticket has expired")
         } else if now.at - run.since > self.bounds.stop_max + self.policy.orders.planned_margin {
-            Some("its room did not become free")
+            Some("its resources did not become free")
         } else {
             None
         }
@@ -94,10 +94,10 @@
                 if run.state != RunState::Planned {
                     continue;
                 }
-                let written = jobs
+                let stored = jobs
                     .get(&task.group.job)
                     .map_or(0, |job| job.stored_changes);
-                if run.placement_change > written {
+                if run.placement_change > stored {
                     run.since = now.at;
                 }
             }
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -1,9 +1,9 @@
 //! Workers that restart under the same ID.
 //!
 //! A new incarnation is detected from the directory or from a report, whichever comes first. It may
-//! carry out orders that were sent to the previous incarnation until it has seen a higher token (see
-//! `fencing`). So a run is known to be lost only if the previous incarnation had listed it, or if a
-//! report that answers the higher token does not list it.
+//! carry out orders that were sent to the previous incarnation until it has seen a higher token
+//! (see `fencing`). So a run is known to be lost only if the previous incarnation had listed it, or
+//! if a report that answers the higher token does not list it.
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
@@ -41,12 +41,12 @@
         let planned = worker.tasks_where(|run| run.state == RunState::Planned);
         let lost = worker.tasks_where(Run::is_lost_by_restart);
         self.workers_to_poll.push(id.clone());
-        let why = "its life is over: it has started again under its id";
+        let why = "its incarnation ended: it restarted under the same ID";
         self.decisions.push(Decision::of_worker(id, why));
         self.mark_timelines_changed_at(id);
         self.clear_worker_advice(id);
         for task in planned {
-            self.cancel_planned(id, &task, "its worker has started again", now);
+            self.cancel_planned(id, &task, "its worker restarted", now);
         }
         self.lose_runs_of_previous_incarnation(id, lost, now);
         self.replan = true;
@@ -62,16 +62,16 @@
         let Some(worker) = self.workers.get(id).filter(|_| !tasks.is_empty()) else {
             return;
         };
-        let earlier = worker.incarnation_state.previous;
+        let previous = worker.incarnation_state.previous;
         let runs = tasks.into_iter().filter_map(|task| {
             let run = worker.runs.get(&task)?.clone();
             Some((task, run))
         });
         let runs: Vec<(TaskKey, Run)> = runs.collect();
-        let suspects = if earlier.has_left {
+        let suspects = if previous.has_left {
             Vec::new()
         } else {
-            self.count_crash(id, earlier.last_answer_at, &runs)
+            self.count_crash(id, previous.last_answer_at, &runs)
         };
         for (task, _) in &runs {
             self.remove_run(id, task);
@@ -83,8 +83,8 @@
     /// Checks the worker's clock in the answer to a start, which does not name the incarnation that
     /// answers.
     ///
-    /// A clock that has gone back belongs to a new incarnation. The worker is polled immediately for
-    /// its incarnation ID, and it may hold the run for the longest lease.
+    /// A clock that has gone back belongs to a new incarnation. The worker is polled immediately
+    /// for its incarnation ID, and it may hold the run for the longest lease.
     pub(super) fn check_answer_clock(&mut self, order: &Order, clock_ms: u64, now: Now) {
         let id = &order.worker;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -106,9 +106,9 @@
     /// Drops the runs whose starts were sent to an incarnation that had already ended, so that no
     /// worker can have crashed under them.
     ///
-    /// These are the run whose start another incarnation refused and the runs started there after it.
-    /// When they were counted as crashes, four such starts within 45 ms failed a job under which only
-    /// one worker had crashed.
+    /// These are the run whose start another incarnation refused and the runs started there after
+    /// it. When they were counted as crashes, four such starts within 45 ms failed a job under
+    /// which only one worker had crashed.
     pub(super) fn drop_unstarted_runs(&mut self, refused: &Order, now: Now) {
         let Some(worker) = self.workers.get(&refused.worker) else {
             return;
@@ -121,9 +121,9 @@
         };
         let sent_at = refused_run.ordered_at;
         let is_first_try = |run: &Run| run.state == RunState::Starting && run.tries <= 1;
-        let never_begun = worker.tasks_where(|run| is_first_try(run) && run.ordered_at >= sent_at);
-        for task in never_begun {
-            let why = "its worker's life was over before";
+        let unstarted = worker.tasks_where(|run| is_first_try(run) && run.ordered_at >= sent_at);
+        for task in unstarted {
+            let why = "its worker's incarnation had already ended";
             self.end_unreported_run(&refused.worker, &task, RunEndKind::Stopped, why, now);
         }
     }
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -58,16 +58,17 @@
         self.estimated_work(key, Duration::from_millis(estimate_ms))
     }
 
-    /// Learns from a run whose work is done. The first end of a gang's members stands for all of them.
+    /// Learns from a run whose work is done. The first end of a gang's members stands for all of
+    /// them.
     pub(super) fn learn_run_time(&mut self, id: &WorkerId, task: &TaskKey, run: &Run, now: Now) {
         self.learn_run_times(|planner, run_times| {
-            let is_news = planner.task(task).is_some_and(|task| !task.done);
-            let worked = planner
+            let is_first_end = planner.task(task).is_some_and(|task| !task.done);
+            let work = planner
                 .undisturbed_work(id, task, run, now)
-                .filter(|_| is_news)?;
+                .filter(|_| is_first_end)?;
             run_times.record_completed(
                 &planner.work_of(&task.group)?,
-                worked.duration_at_typical_pace(now.at),
+                work.duration_at_typical_pace(now.at),
                 now.at,
             );
             Some(())
@@ -77,8 +78,8 @@
     /// Learns from a run that is about to be stopped, unless it is moved because of its own pace.
     pub(super) fn learn_from_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         self.learn_run_times(|planner, run_times| {
-            let so_far = planner.observe_run(id, task, now)?;
-            run_times.record_stopped(&planner.work_of(&task.group)?, so_far, now.at);
+            let observation = planner.observe_run(id, task, now)?;
+            run_times.record_stopped(&planner.work_of(&task.group)?, observation, now.at);
             Some(())
         });
     }
@@ -112,8 +113,8 @@
         let workers = self.workers.iter();
         let tasks = workers.flat_map(|(id, worker)| worker.runs.keys().map(move |task| (id, task)));
         tasks.filter_map(move |(id, task)| {
-            let so_far = self.observe_run(id, task, now)?;
-            Some((self.work_of(&task.group)?, so_far))
+            let observation = self.observe_run(id, task, now)?;
+            Some((self.work_of(&task.group)?, observation))
         })
     }
 
@@ -121,16 +122,16 @@
     /// member returns it.
     fn observe_run(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunTimeObservation> {
         let run = self.run_at(id, task)?;
-        let tells = run.state == RunState::Running && run.redundant_since.is_none();
-        if !tells || run.gang && task.index != 0 {
+        let is_observable = run.state == RunState::Running && run.redundant_since.is_none();
+        if !is_observable || run.gang && task.index != 0 {
             return None;
         }
         let entry = self.task(task)?;
         if entry.done || entry.moved_run == run.number {
             return None;
         }
-        let worked = self.undisturbed_work(id, task, run, now)?;
-        Some(worked.observation(self.policy.run_times.shown_percent))
+        let work = self.undisturbed_work(id, task, run, now)?;
+        Some(work.observation(self.policy.run_times.shown_percent))
     }
 
     /// Returns the undisturbed work of a run, or `None` if anything disturbed the run or its gang.
@@ -175,11 +176,11 @@
     /// not do so from its beginning.
     fn undisturbed_since(&self, id: &WorkerId, step: &StepSpec, run: &Run) -> Option<Timestamp> {
         let (began, from) = run.began?;
-        let is_whole = from == 0 && !run.resumes && !run.restored;
-        let heard_again_at = self.workers.get(id)?.contact_restored_at;
-        let was_silent = heard_again_at.is_some_and(|at| at > began);
-        let is_far = self.slowdown(step, id) > 1;
-        (is_whole && !was_silent && !is_far).then_some(began)
+        let from_start = from == 0 && !run.resumes && !run.restored;
+        let contact_restored_at = self.workers.get(id)?.contact_restored_at;
+        let was_unresponsive = contact_restored_at.is_some_and(|at| at > began);
+        let is_remote = self.slowdown(step, id) > 1;
+        (from_start && !was_unresponsive && !is_remote).then_some(began)
     }
 
     /// Returns the rack of a worker, if the worker is known.
@@ -196,12 +197,12 @@
 
     /// Returns what the progress in the last report says about the whole duration.
     fn observation(&self, shown_percent: u8) -> RunTimeObservation {
-        let worked = self.duration_at_typical_pace(self.run.reported_at);
+        let work = self.duration_at_typical_pace(self.run.reported_at);
         if self.run.percent < shown_percent.max(1) {
-            return RunTimeObservation::AtLeast(worked);
+            return RunTimeObservation::AtLeast(work);
         }
         // The reported percentage is rounded down to a whole number.
-        let done = (f64::from(self.run.percent) + 0.5) / 100.0;
-        RunTimeObservation::Projected(worked.div_f64(done))
+        let fraction = (f64::from(self.run.percent) + 0.5) / 100.0;
+        RunTimeObservation::Projected(work.div_f64(fraction))
     }
 }
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -25,7 +25,7 @@
                 self.emit_gang(&key, &members, now);
             } else {
                 for (id, task) in &members {
-                    if self.has_room_for(id, &[task]) {
+                    if self.has_free_resources(id, &[task]) {
                         self.emit_start(id, task, now);
                     }
                 }
@@ -40,7 +40,7 @@
         };
         let all_fit = members
             .iter()
-            .all(|(id, _)| self.has_room_for(id, &by_worker(id)));
+            .all(|(id, _)| self.has_free_resources(id, &by_worker(id)));
         let is_whole = self
             .jobs
             .get(&key.job)
@@ -72,11 +72,13 @@
         Some(self.run_at(id, task)?.state)
     }
 
-    fn has_room_for(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
+    fn has_free_resources(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
-        let is_recorded = tasks.iter().all(|task| self.is_recorded(worker, task));
+        let is_stored = tasks
+            .iter()
+            .all(|task| self.is_placement_stored(worker, task));
         let needed = tasks
             .iter()
             .filter_map(|task| worker.runs.get(*task))
@@ -84,14 +86,14 @@
                 sum.saturating_add(&run.room)
             });
         let takes_starts = worker.is_in_contact() && !worker.in_evacuated_zone;
-        is_recorded && takes_starts && needed.fits_in(&worker.free_now())
+        is_stored && takes_starts && needed.fits_in(&worker.free_now())
     }
 
     /// Returns whether a run's placement is stored, so that a later planner will know of the run.
-    fn is_recorded(&self, worker: &Worker, task: &TaskKey) -> bool {
-        let written = self.jobs.get(&task.group.job).map(|job| job.stored_changes);
+    fn is_placement_stored(&self, worker: &Worker, task: &TaskKey) -> bool {
+        let stored = self.jobs.get(&task.group.job).map(|job| job.stored_changes);
         let needed = worker.runs.get(task).map(|run| run.placement_change);
-        needed <= written
+        needed <= stored
     }
 
     pub(super) fn emit_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
@@ -142,7 +144,7 @@
             task,
             number,
             id,
-            format!("try {tries}, its room took {waited} ms"),
+            format!("try {tries}, waited {waited} ms for its resources"),
         ));
     }
 
--- a/crates/stairstall-core/src/batch/planner/stops.rs
+++ b/crates/stairstall-core/src/batch/planner/stops.rs
@@ -89,7 +89,7 @@
             }
             StopOutcome::Fenced => self.handle_fenced(&order.worker, order.token),
             StopOutcome::OtherLife => {
-                self.end_incarnation(&order.worker, "another life answered a stop", now);
+                self.end_incarnation(&order.worker, "another incarnation answered a stop", now);
             }
             StopOutcome::Unknown => self.retry_stop(order, now),
         }
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -22,7 +22,8 @@
 }
 
 impl Planner {
-    /// Stops runs that make no progress, or far too little, so that they continue on another worker.
+    /// Stops runs that make no progress, or far too little, so that they continue on another
+    /// worker.
     pub(super) fn move_stalled_runs(&mut self, now: Now) {
         // There is nothing new to check between two reports.
         let interval = self.policy.pace.interval.max(self.report_wait() / 2);
@@ -34,8 +35,8 @@
         }
         self.last_stall_check_at = Some(now.at);
         self.learn_paces_from_reports(now);
-        for misplaced in self.runs_to_move(now) {
-            self.move_run(&misplaced, now);
+        for to_move in self.runs_to_move(now) {
+            self.move_run(&to_move, now);
         }
     }
 
@@ -46,8 +47,8 @@
                 continue;
             }
             for (task, run) in &worker.runs {
-                let counts = run.state == RunState::Running && run.began.is_some();
-                if counts && !run.lasts && !run.restored {
+                let is_running = run.state == RunState::Running && run.began.is_some();
+                if is_running && !run.lasts && !run.restored {
                     let members = by_group.entry(&task.group).or_default();
                     members.push((id, task, run));
                 }
@@ -73,7 +74,7 @@
         let (Some(step), Some(group)) = (job.step(key), job.group(key)) else {
             return Vec::new();
         };
-        let is_whole = members.len() == group.tasks.len();
+        let is_complete = members.len() == group.tasks.len();
         // The members of a gang can work only once the last of them has begun.
         let together_since = members.iter().filter_map(|(_, _, run)| run.began);
         let together_since = together_since.map(|(at, _)| at).max();
@@ -86,8 +87,8 @@
             })
             .collect();
         let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
-        let any_moves = paces.iter().any(|pace| pace.gained > 0);
-        let is_sure = !step.gang || (is_whole && (any_moves || members.len() == 1));
+        let any_progress = paces.iter().any(|pace| pace.gained > 0);
+        let is_sure = !step.gang || (is_complete && (any_progress || members.len() == 1));
         members
             .iter()
             .zip(&paces)
@@ -95,7 +96,7 @@
                 let why =
                     match pace.verdict(is_sure, typical, self.bounds.stop_max, &self.policy.pace) {
                         Verdict::Fine => return None,
-                        Verdict::Stalled => "it stands still",
+                        Verdict::Stalled => "it has stalled",
                         Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
                             return None;
                         }
@@ -119,25 +120,28 @@
         self.paces.is_heterogeneous() && was_moved && self.pace_of(id, now).is_known
     }
 
-    fn move_run(&mut self, misplaced: &RunToMove, now: Now) {
-        let (id, task) = (&misplaced.worker, &misplaced.task);
-        if !self.may_move(task, misplaced.run) {
+    fn move_run(&mut self, to_move: &RunToMove, now: Now) {
+        let (id, task) = (&to_move.worker, &to_move.task);
+        if !self.may_move(task, to_move.run) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
             if !worker.is_suspect(now.at) {
-                let why = format!("a task there: {}; nothing new for a while", misplaced.why);
+                let why = format!(
+                    "a run is moved away: {}; no new tasks for a while",
+                    to_move.why
+                );
                 self.decisions.push(Decision::of_worker(id, why));
             }
             worker.incarnation_state.suspect_until =
                 Some(now.at + self.policy.health.suspect_after_stall);
         }
         self.record_setback(&task.group.job, Setback::Stalled);
-        self.stop_run(id, task, misplaced.why, now);
+        self.stop_run(id, task, to_move.why, now);
         self.stop_gang(
             task,
-            misplaced.run,
-            "a member of its gang stands still or is slow",
+            to_move.run,
+            "a member of its gang has stalled or is slow",
             now,
         );
     }
@@ -170,8 +174,8 @@
 impl Run {
     /// Returns the pace of the run.
     ///
-    /// The caller's estimate, not the learned run time, bounds how long the run may stall: that work
-    /// is known to take longer doesn't make a dead worker show any sooner.
+    /// How long the run may stall depends on the caller's estimate. A longer learned run time is
+    /// not used, because it would not reveal a dead worker any sooner.
     fn pace(&self, together_since: Option<Timestamp>, slowdown: f64, estimate_ms: u64) -> Pace {
         let (began, from) = self.began.unwrap_or((self.reported_at, self.percent));
         let since = together_since.unwrap_or(began).max(began);
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -75,28 +75,28 @@
     }
 
     fn stall_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
-        let (least, divisor) = match (is_sure, self.gained) {
+        let (min_stall, divisor) = match (is_sure, self.gained) {
             (false, _) => (policy.unconfirmed_stall, policy.unconfirmed_stall_divisor),
             (true, 0) => (policy.stall_from_start, policy.stall_divisor),
             (true, _) => (policy.stall_later, policy.stall_divisor),
         };
-        millis(least).max(self.expected_ms / divisor)
+        millis(min_stall).max(self.expected_ms / divisor)
     }
 
     /// Returns whether the run is far slower than similar runs and would end sooner if moved.
     fn is_slow(&self, typical_ms: u64, stop_max: Duration, policy: &PacePolicy) -> bool {
-        let Some(span_ms) = self.min_duration_ms(policy) else {
+        let Some(duration_ms) = self.min_duration_ms(policy) else {
             return false;
         };
-        let left_here = span_ms * u64::from(self.left) / 100;
-        let left_there = if self.is_resumable {
+        let remaining_here = duration_ms * u64::from(self.left) / 100;
+        let remaining_elsewhere = if self.is_resumable {
             typical_ms * u64::from(self.left) / 100
         } else {
             typical_ms
         };
-        let cost = millis(stop_max) + left_there;
-        without_slowdown(span_ms, self.slowdown) > typical_ms * policy.slow_factor
-            && left_here > cost + cost / policy.gain_divisor
+        let cost = millis(stop_max) + remaining_elsewhere;
+        without_slowdown(duration_ms, self.slowdown) > typical_ms * policy.slow_factor
+            && remaining_here > cost + cost / policy.gain_divisor
     }
 }
 
@@ -107,8 +107,8 @@
     clippy::cast_precision_loss,
     reason = "milliseconds of work are far below 2^52"
 )]
-fn without_slowdown(span_ms: u64, slowdown: f64) -> u64 {
-    (span_ms as f64 / slowdown) as u64
+fn without_slowdown(duration_ms: u64, slowdown: f64) -> u64 {
+    (duration_ms as f64 / slowdown) as u64
 }
 
 /// Returns how long work takes with a slowdown.
@@ -118,8 +118,8 @@
     clippy::cast_precision_loss,
     reason = "milliseconds of work are far below 2^52"
 )]
-pub(super) fn with_slowdown(span_ms: u64, slowdown: f64) -> u64 {
-    (span_ms as f64 * slowdown) as u64
+pub(super) fn with_slowdown(duration_ms: u64, slowdown: f64) -> u64 {
+    (duration_ms as f64 * slowdown) as u64
 }
 
 /// Returns the typical duration of the whole work of a step's runs, in milliseconds: the median
@@ -129,14 +129,14 @@
     done_ms: &[u64],
     policy: &PacePolicy,
 ) -> Option<u64> {
-    let mut spans: Vec<u64> = paces
+    let mut durations: Vec<u64> = paces
         .iter()
         .filter_map(|pace| pace.duration_ms(policy))
         .collect();
-    spans.extend(done_ms);
-    if spans.len() < 2 {
+    durations.extend(done_ms);
+    if durations.len() < 2 {
         return None;
     }
-    spans.sort_unstable();
-    Some(spans[(spans.len() - 1) / 2])
+    durations.sort_unstable();
+    Some(durations[(durations.len() - 1) / 2])
 }
--- a/crates/stairstall-core/src/batch/planner/timelines.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -41,12 +41,12 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let span = self.phase_of(&id, job);
+            let phase = self.phase_of(&id, job);
             let is_over = job.outcome.is_some() && job.is_stored();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.timeline.enter_phase(span, now.at);
+            job.timeline.enter_phase(phase, now.at);
             if is_over && job.timeline.mark_reported() {
                 let summary = summary(job, now);
                 self.summaries.extend(summary);
@@ -59,12 +59,13 @@
         std::mem::take(&mut self.summaries)
     }
 
-    /// Returns the phase that a job is in, or `None` if its end is stored or no step of it is ready.
+    /// Returns the phase that a job is in, or `None` if its end is stored or no step of it is
+    /// ready.
     fn phase_of(&self, id: &JobId, job: &Job) -> Option<JobPhase> {
         if job.outcome.is_some() {
             return (!job.is_stored()).then_some(JobPhase::RecordingOutcome);
         }
-        let mut least = None;
+        let mut least_advanced = None;
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
             for (step, group) in (0..).zip(groups) {
                 let key = GroupKey {
@@ -73,12 +74,12 @@
                     step,
                 };
                 if job.is_ready(occurrence, step as usize) {
-                    let span = self.span_of_group(&key, group, job);
-                    least = [least, span].into_iter().flatten().min();
+                    let phase = self.span_of_group(&key, group, job);
+                    least_advanced = [least_advanced, phase].into_iter().flatten().min();
                 }
             }
         }
-        least
+        least_advanced
     }
 
     pub(super) fn span_of_group(
@@ -91,11 +92,11 @@
             return Some(JobPhase::WaitingForCapacity);
         }
         let open = (0..).zip(&group.tasks).filter(|(_, task)| !task.done);
-        let spans = open.map(|(index, task)| match &task.place {
+        let phases = open.map(|(index, task)| match &task.place {
             None => JobPhase::WaitingForCapacity,
             Some(worker) => self.phase_of_run(worker, &key.task(index), job),
         });
-        spans.min()
+        phases.min()
     }
 
     fn phase_of_run(&self, worker: &WorkerId, task: &TaskKey, job: &Job) -> JobPhase {
@@ -103,13 +104,13 @@
         let Some((worker, run)) = worker.and_then(|w| Some((w, w.runs.get(task)?))) else {
             return job.timeline.running_phase();
         };
-        let is_silent = !worker.is_in_contact();
+        let is_unresponsive = !worker.is_in_contact();
         match run.state {
             RunState::Planned if run.placement_change > job.stored_changes => {
                 JobPhase::RecordingPlacement
             }
             RunState::Planned => JobPhase::WaitingForPreemption,
-            _ if is_silent => JobPhase::WorkerSilent,
+            _ if is_unresponsive => JobPhase::WorkerSilent,
             RunState::Starting => JobPhase::Starting,
             RunState::Running | RunState::Stopping => job.timeline.running_phase(),
         }
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -6,22 +6,22 @@
 use super::{Now, Planner};
 
 impl Planner {
-    /// Returns whether a scheduling pass is due. A pass that is requested too soon after the last one
-    /// is postponed.
+    /// Returns whether a scheduling pass is due. A pass that is requested too soon after the last
+    /// one is postponed.
     ///
-    /// A pass goes through the whole fleet. With thousands of workers, a pass for each run end would
-    /// take the processor time that reports need. Newly arrived urgent jobs are not delayed.
+    /// A pass goes through the whole fleet. With thousands of workers, a pass for each run end
+    /// would take the processor time that reports need. Newly arrived urgent jobs are not delayed.
     pub(super) fn is_pass_due(&mut self, now: Now) -> bool {
         let is_due = self.replan_at.is_some_and(|at| now.at >= at);
         if !self.replan || self.has_urgent_arrival {
             return is_due || self.has_urgent_arrival;
         }
         let gap = self.policy.flow.pass_interval(self.workers.len());
-        let may_from = self.last_pass_at.map(|at| at + gap);
-        let is_too_soon = may_from.is_some_and(|at| now.at < at);
+        let earliest = self.last_pass_at.map(|at| at + gap);
+        let is_too_soon = earliest.is_some_and(|at| now.at < at);
         if is_too_soon {
             self.replan = false;
-            self.replan_at = self.replan_at.min(may_from).or(may_from);
+            self.replan_at = self.replan_at.min(earliest).or(earliest);
         }
         !is_too_soon || is_due
     }
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -25,8 +25,8 @@
 }
 
 impl Planner {
-    /// Returns the customers with the highest recent usage, at most `most` of them, and the usage that
-    /// each would have if all had used equally much, in milliseconds of the whole fleet.
+    /// Returns the customers with the highest recent usage, at most `most` of them, and the usage
+    /// that each would have if all had used equally much, in milliseconds of the whole fleet.
     #[must_use]
     pub fn customer_usage(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
         (
@@ -47,11 +47,11 @@
         let Some(held) = self.usage.begin_charge_interval(fleet, now.at) else {
             return;
         };
-        for holding in self.running_shares() {
-            let customer = holding.customer.as_ref();
-            self.usage.charge(customer, holding.share_ppm, held, now.at);
+        for share in self.running_shares() {
+            let customer = share.customer.as_ref();
+            self.usage.charge(customer, share.share_ppm, held, now.at);
             self.usage
-                .add_commitment(customer, holding.share_ppm, holding.remaining);
+                .add_commitment(customer, share.share_ppm, share.remaining);
         }
     }
 
@@ -59,12 +59,12 @@
     fn running_shares(&self) -> Vec<RunningShare> {
         let groups = self.run_index.groups();
         let counted = groups.filter(|(key, _)| !self.is_guaranteed(key));
-        let holdings = counted.filter_map(|(key, runs)| {
+        let shares = counted.filter_map(|(key, runs)| {
             let job = self.jobs.get(&key.job)?;
-            let room = job.step(key)?.reserved_resources();
+            let resources = job.step(key)?.reserved_resources();
             let first = runs.first();
             let run = first.and_then(|(index, id)| self.run_at(id, &key.task(*index)));
-            let left_ms = run.map_or(0, |run| {
+            let remaining_ms = run.map_or(0, |run| {
                 run.remaining_ms(self.policy.places.min_progress_percent)
             });
             Some(RunningShare {
@@ -72,16 +72,16 @@
                 share_ppm: self
                     .usage
                     .fleet()
-                    .dominant_share_ppm(&room, runs.len() as u64),
-                remaining: Duration::from_millis(left_ms),
+                    .dominant_share_ppm(&resources, runs.len() as u64),
+                remaining: Duration::from_millis(remaining_ms),
             })
         });
-        holdings.collect()
+        shares.collect()
     }
 
     pub(super) fn is_guaranteed(&self, key: &GroupKey) -> bool {
-        let claims = self.ranked_guaranteed_jobs.as_ref();
-        claims.is_some_and(|claims| claims.contains(&key.job))
+        let guaranteed = self.ranked_guaranteed_jobs.as_ref();
+        guaranteed.is_some_and(|guaranteed| guaranteed.contains(&key.job))
     }
 
     /// Adds tasks that were just placed to their customer's committed usage.
@@ -96,7 +96,7 @@
             return;
         }
         let key = &candidate.key;
-        let takes = self.run_time(key, step, now).typical;
+        let run_time = self.run_time(key, step, now).typical;
         let share_ppm = self
             .usage
             .fleet()
@@ -104,31 +104,34 @@
         let customer = self.jobs.get(&key.job).map(|job| &job.accepted.customer);
         if let Some(customer) = customer {
             self.usage
-                .add_commitment(customer.as_ref(), share_ppm, takes);
+                .add_commitment(customer.as_ref(), share_ppm, run_time);
         }
     }
 
     /// Returns the scheduling key of a step among others of its rank, without its customer's usage.
     pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> SchedulingKey {
         // A job that was rejected before goes ahead of later work of its rank and customer.
-        let asked_before_ms = job.accepted.requested_before_ms();
+        let requested_before_ms = job.accepted.requested_before_ms();
         if rank <= URGENT_RANK {
             let objective_unix_ms = job
                 .objective_unix_ms(key.occurrence)
-                .saturating_sub(asked_before_ms);
+                .saturating_sub(requested_before_ms);
             return SchedulingKey {
                 objective_unix_ms,
                 start_by_unix_ms: objective_unix_ms,
                 ..SchedulingKey::default()
             };
         }
-        let (wanted, left_ms) = self.job_objective(key, job, now);
-        let mut turn = wanted.scheduling_key(left_ms, now.unix_ms, self.usage.policy());
+        let (objective, remaining_ms) = self.job_objective(key, job, now);
+        let mut scheduling_key =
+            objective.scheduling_key(remaining_ms, now.unix_ms, self.usage.policy());
         if job.step(key).is_some_and(|step| step.long_running) {
-            turn.timeliness = Timeliness::InTime;
+            scheduling_key.timeliness = Timeliness::InTime;
         }
-        turn.start_by_unix_ms = turn.start_by_unix_ms.saturating_sub(asked_before_ms);
-        turn
+        scheduling_key.start_by_unix_ms = scheduling_key
+            .start_by_unix_ms
+            .saturating_sub(requested_before_ms);
+        scheduling_key
     }
 
     /// Returns the objective of an occurrence of a job, and the time in milliseconds that the
@@ -139,27 +142,27 @@
         job: &Job,
         now: Now,
     ) -> (CompletionObjective, u64) {
-        let chains = job.accepted.spec.critical_paths_ms(|step| {
+        let critical_paths = job.accepted.spec.critical_paths_ms(|step| {
             if step.long_running {
                 return 0;
             }
             millis(self.run_time(key, step, now).typical)
         });
-        let whole_ms = chains.iter().max().copied().unwrap_or(0);
-        let from_here_ms = chains.get(key.step as usize).copied().unwrap_or(0);
-        let wanted = CompletionObjective {
+        let total_ms = critical_paths.iter().max().copied().unwrap_or(0);
+        let from_here_ms = critical_paths.get(key.step as usize).copied().unwrap_or(0);
+        let objective = CompletionObjective {
             eligible_unix_ms: job.due_unix_ms(key.occurrence),
-            span_ms: job.objective_span_ms(whole_ms),
+            span_ms: job.objective_span_ms(total_ms),
         };
         let saved_ms = self.saved_ms(key, job, now);
-        (wanted, from_here_ms.saturating_sub(saved_ms))
+        (objective, from_here_ms.saturating_sub(saved_ms))
     }
 
-    /// Returns how much of a step's work, in milliseconds, need not be repeated because all its open
-    /// tasks have checkpoints.
+    /// Returns how much of a step's work, in milliseconds, need not be repeated because all its
+    /// open tasks have checkpoints.
     fn saved_ms(&self, key: &GroupKey, job: &Job, now: Now) -> u64 {
-        let begun = job.group(key).filter(|group| group.percent > 0);
-        let Some((group, step)) = begun.zip(job.step(key)) else {
+        let started = job.group(key).filter(|group| group.percent > 0);
+        let Some((group, step)) = started.zip(job.step(key)) else {
             return 0;
         };
         let mut tasks = group.tasks.iter();
@@ -170,43 +173,44 @@
         step_ms * u64::from(group.percent.min(100)) / 100
     }
 
-    /// Sorts candidates into scheduling order. For each step, the work ahead of it in its customer's
-    /// own queue counts as usage.
+    /// Sorts candidates into scheduling order. For each step, the work ahead of it in its
+    /// customer's own queue counts as usage.
     pub(super) fn sort_candidates(&self, candidates: &mut [Candidate], now: Now) {
         candidates.sort_unstable();
         if !self.usage.policy().fair_share {
             return;
         }
-        let mut lines: BTreeMap<Option<&CustomerId>, (u64, u64)> = BTreeMap::new();
-        let mut line_of = (0, Timeliness::InTime);
+        let mut queues: BTreeMap<Option<&CustomerId>, (u64, u64)> = BTreeMap::new();
+        let mut queue_class = (0, Timeliness::InTime);
         for candidate in candidates.iter_mut().filter(|one| one.rank > URGENT_RANK) {
             let key = &candidate.key;
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
             };
             let class = (candidate.rank, candidate.turn.timeliness);
-            if class != line_of {
-                lines.clear();
-                line_of = class;
+            if class != queue_class {
+                queues.clear();
+                queue_class = class;
             }
             let customer = job.accepted.customer.as_ref();
-            let (used_ms, before_ms) = lines
+            let (used_ms, ahead_ms) = queues
                 .entry(customer)
                 .or_insert_with(|| (self.usage.used_ms(customer, now.at), 0));
-            candidate.turn.usage_level = self.usage.usage_level(*used_ms, *before_ms, WEIGHT);
-            *before_ms += self.cost_ms(key, job, now);
+            candidate.turn.usage_level = self.usage.usage_level(*used_ms, *ahead_ms, WEIGHT);
+            *ahead_ms += self.cost_ms(key, job, now);
         }
         candidates.sort_unstable();
     }
 
-    /// Returns the usage that the waiting tasks of a step would add, in milliseconds of the whole fleet.
+    /// Returns the usage that the waiting tasks of a step would add, in milliseconds of the whole
+    /// fleet.
     fn cost_ms(&self, key: &GroupKey, job: &Job, now: Now) -> u64 {
         let Some((step, group)) = job.step(key).zip(job.group(key)) else {
             return 0;
         };
         let waiting = group.tasks.iter().filter(|task| task.is_waiting()).count();
-        let takes = self.run_time(key, step, now).typical;
+        let run_time = self.run_time(key, step, now).typical;
         self.usage
-            .cost_ms(&step.reserved_resources(), waiting as u64, takes)
+            .cost_ms(&step.reserved_resources(), waiting as u64, run_time)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -18,8 +18,8 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Planner {
-    /// Returns how long a guaranteed job waits before it preempts other urgent work: as long as it can
-    /// still begin in time after a stop.
+    /// Returns how long a guaranteed job waits before it preempts other urgent work: as long as it
+    /// can still begin in time after a stop.
     pub(super) fn guaranteed_wait_limit(&self) -> Duration {
         if !self.policy.victims.claims_wait {
             return Duration::ZERO;
@@ -35,11 +35,11 @@
         Duration::from_millis(now.unix_ms.saturating_sub(accepted_unix_ms))
     }
 
-    /// Returns the rank up to which runs are exempt from preemption by work of `rank` that has waited
-    /// for `waited`.
+    /// Returns the rank up to which runs are exempt from preemption by work of `rank` that has
+    /// waited for `waited`.
     ///
-    /// Urgent work that is preempted by urgent work becomes late itself, so that one late job becomes
-    /// two.
+    /// Urgent work that is preempted by urgent work becomes late itself, so that one late job
+    /// becomes two.
     pub(super) fn protected_rank(&self, rank: u8, waited: Duration) -> u8 {
         if rank == GUARANTEED_RANK && waited < self.guaranteed_wait_limit() {
             URGENT_RANK
@@ -51,20 +51,21 @@
     /// Returns the cost of preempting each running gang: the discarded work, more if the gang was
     /// preempted before, and its whole work once more if only the preemption would make it late.
     pub(super) fn gang_preemption_costs(&self, now: Now) -> BTreeMap<GroupKey, u64> {
-        let mut losses = BTreeMap::new();
+        let mut costs = BTreeMap::new();
         for worker in self.workers.values() {
             for (task, run) in worker.runs.iter().filter(|(_, run)| run.gang) {
-                *losses.entry(task.group.clone()).or_insert(0) +=
+                *costs.entry(task.group.clone()).or_insert(0) +=
                     run.lost_work(now.at, self.policy.victims.restore_cost);
             }
         }
-        for (key, loss) in &mut losses {
-            *loss += self.extra_preemption_cost(key, now);
+        for (key, cost) in &mut costs {
+            *cost += self.extra_preemption_cost(key, now);
         }
-        losses
+        costs
     }
 
-    /// Returns the cost of preempting a gang in addition to the discarded work, in core-milliseconds.
+    /// Returns the cost of preempting a gang in addition to the discarded work, in
+    /// core-milliseconds.
     fn extra_preemption_cost(&self, key: &GroupKey, now: Now) -> u64 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
@@ -85,18 +86,19 @@
 
     /// Returns whether a running gang would be in time, but late if it were restarted.
     fn would_become_late(&self, key: &GroupKey, job: &Job, now: Now) -> bool {
-        let (wanted, anew_ms) = self.job_objective(key, job, now);
-        let objective_unix_ms = wanted.objective_unix_ms();
+        let (objective, restart_ms) = self.job_objective(key, job, now);
+        let objective_unix_ms = objective.objective_unix_ms();
         let runs = self.run_index.of_group(key);
         let run = runs.first().and_then(|(id, task)| self.run_at(id, task));
-        let left_ms = run.map_or(anew_ms, |run| {
+        let remaining_ms = run.map_or(restart_ms, |run| {
             run.remaining_ms(self.policy.places.min_progress_percent)
         });
-        now.unix_ms + left_ms <= objective_unix_ms && now.unix_ms + anew_ms > objective_unix_ms
+        now.unix_ms + remaining_ms <= objective_unix_ms
+            && now.unix_ms + restart_ms > objective_unix_ms
     }
 
     /// Returns whether the preemptions of a choice are worthwhile: what they discard is at most
-    /// `most_lost` times the work that they make way for. Each gang counts once and as a whole.
+    /// `max_lost_factor` times the work that they make way for. Each gang counts once and as a whole.
     ///
     /// For a guaranteed job that can't wait any longer, preemption is always worthwhile.
     pub(super) fn is_preemption_worthwhile(
@@ -107,12 +109,16 @@
         pass: &Pass,
         now: Now,
     ) -> bool {
-        let most = self.policy.victims.max_lost_factor;
-        let Some(losses) = pass.gang_preemption_costs.as_ref().filter(|_| most > 0) else {
+        let max_lost_factor = self.policy.victims.max_lost_factor;
+        let Some(costs) = pass
+            .gang_preemption_costs
+            .as_ref()
+            .filter(|_| max_lost_factor > 0)
+        else {
             return true;
         };
-        let takes = self.run_time(&candidate.key, step, now).typical;
-        if candidate.rank == GUARANTEED_RANK && self.must_start_now(candidate, takes, now) {
+        let run_time = self.run_time(&candidate.key, step, now).typical;
+        if candidate.rank == GUARANTEED_RANK && self.must_start_now(candidate, run_time, now) {
             return true;
         }
         let mut lost = 0_u64;
@@ -124,23 +130,23 @@
             if !run.gang {
                 lost += run.lost_work(now.at, self.policy.victims.restore_cost);
             } else if gangs.insert(&task.group) {
-                lost += losses.get(&task.group).copied().unwrap_or(0);
+                lost += costs.get(&task.group).copied().unwrap_or(0);
             }
         }
         let tasks = choice.places.len() as u64;
-        let work = step.reserved_resources().weight() * tasks * millis(takes) / 1000;
-        lost <= work.saturating_mul(most.into())
+        let work = step.reserved_resources().weight() * tasks * millis(run_time) / 1000;
+        lost <= work.saturating_mul(max_lost_factor.into())
     }
 
-    /// Returns whether a guaranteed job can't wait any longer for cheaper victims, because it has to
-    /// begin within its bound and to be in time.
-    fn must_start_now(&self, candidate: &Candidate, takes: Duration, now: Now) -> bool {
+    /// Returns whether a guaranteed job can't wait any longer for cheaper victims, because it has
+    /// to begin within its bound and to be in time.
+    fn must_start_now(&self, candidate: &Candidate, run_time: Duration, now: Now) -> bool {
         let waited = self.since_accepted(&candidate.key, now);
-        let ends_ms = now.unix_ms + millis(self.bounds.stop_max + takes);
-        let looks_again_ms = ends_ms + millis(RECHECK_INTERVAL);
+        let ends_ms = now.unix_ms + millis(self.bounds.stop_max + run_time);
+        let recheck_ms = ends_ms + millis(RECHECK_INTERVAL);
         let objective_unix_ms = candidate.turn.objective_unix_ms;
-        let is_last = ends_ms <= objective_unix_ms && looks_again_ms > objective_unix_ms;
-        is_last || waited >= self.guaranteed_wait_limit()
+        let is_last_chance_in_time = ends_ms <= objective_unix_ms && recheck_ms > objective_unix_ms;
+        is_last_chance_in_time || waited >= self.guaranteed_wait_limit()
     }
 
     /// Records a preemption of a step's runs. Runs that are preempted together count once.
@@ -155,14 +161,14 @@
         }
     }
 
-    /// Returns whether a preempted gang should wait before it starts again, because it might be
-    /// preempted from the free capacity as well. The back-off doubles with each preemption,
-    /// up to a limit.
+    /// Returns whether a preempted gang should wait before it starts again, because the capacity
+    /// that is free now may be taken from it as well. The back-off doubles with each preemption, up
+    /// to a limit.
     pub(super) fn in_preemption_backoff(&self, key: &GroupKey, now: Now) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
-        let stopped = group.and_then(|group| Some((group.preemptions, group.preempted_at?)));
-        stopped.is_some_and(|(times, at)| {
+        let preempted = group.and_then(|group| Some((group.preemptions, group.preempted_at?)));
+        preempted.is_some_and(|(times, at)| {
             let doublings = u32::from(times.saturating_sub(1)).min(MAX_BACKOFF_DOUBLINGS);
             now.at - at < self.policy.victims.restart_backoff * (1 << doublings)
         })
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -36,17 +36,17 @@
         })
     }
 
-    /// Returns the first open step that is waiting, and what it waits for if that isn't free capacity.
-    /// Returns `None` if no step is waiting.
+    /// Returns the first open step that is waiting, and what it waits for if that isn't free
+    /// capacity. Returns `None` if no step is waiting.
     fn first_waiting_step(&self, job: &Job, now: Now) -> Option<(GroupKey, Option<WaitReason>)> {
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
-            for (number, group) in groups.iter().enumerate() {
+            for (step, group) in groups.iter().enumerate() {
                 let key = GroupKey {
                     job: job.accepted.id.clone(),
                     occurrence,
-                    step: u32::try_from(number).unwrap_or(u32::MAX),
+                    step: u32::try_from(step).unwrap_or(u32::MAX),
                 };
-                if !job.is_ready(occurrence, number) {
+                if !job.is_ready(occurrence, step) {
                     return Some((key, Some(WaitReason::EarlierStep)));
                 }
                 if group.tasks.iter().any(Task::is_waiting) {
@@ -70,18 +70,18 @@
     }
 
     fn capacity_wait_reason(&self, candidate: &Candidate, now: Now) -> WaitReason {
-        if let Some(date) = self.expected_start(&candidate.key) {
-            return WaitReason::ReservedCapacity(date - now.at);
+        if let Some(expected_start) = self.expected_start(&candidate.key) {
+            return WaitReason::ReservedCapacity(expected_start - now.at);
         }
-        let width = self.step(&candidate.key).map_or(0, |step| {
+        let accelerators = self.step(&candidate.key).map_or(0, |step| {
             let tasks = if step.gang { step.count } else { 1 };
             step.needs.accelerators.saturating_mul(tasks)
         });
         let mut pass = Pass::default();
-        let is_kept = candidate.rank > URGENT_RANK
-            && self.free_accelerators(&mut pass) >= width
-            && self.accelerator_allowance(candidate, &mut pass, now) < width;
-        if is_kept {
+        let is_reserved = candidate.rank > URGENT_RANK
+            && self.free_accelerators(&mut pass) >= accelerators
+            && self.accelerator_allowance(candidate, &mut pass, now) < accelerators;
+        if is_reserved {
             WaitReason::UrgentReserve
         } else {
             WaitReason::Capacity
--- a/crates/stairstalld/tests/batch/leaving.rs
+++ b/crates/stairstalld/tests/batch/leaving.rs
@@ -98,8 +98,8 @@
     cluster.store.put("servers/i-next", &next);
     cluster.store.remove("servers/i-gone");
     let daemon = &cluster.daemons[0];
-    let is_over = || !daemon.log_lines("its life is over").is_empty();
-    until("its life is over", is_over).await;
+    let is_over = || !daemon.log_lines("its incarnation ended").is_empty();
+    until("its incarnation ended", is_over).await;
     tokio::time::sleep(DROPS_WITHIN).await;
     lock(&shared).may_tell = true;
     cluster.wait_for(&path, "completed").await;
