--- a/crates/stairstall-core/src/batch/planner/incarnations.rs
+++ b/crates/stairstall-core/src/batch/planner/incarnations.rs
@@ -1,4 +1,4 @@
-//! When a worker's life is over.
+//! The end of worker incarnations.
 
 use super::pool::Run;
 use super::{Now, Planner};
@@ -6,7 +6,7 @@
 use crate::batch::{Decision, Setback, TaskKey};
 
 impl Planner {
-    /// Takes word that this life of a worker is over: nothing of it runs.
+    /// Handles the end of a worker's current incarnation: none of its runs is running any more.
     pub fn end_incarnation(&mut self, id: &WorkerId, why: &str, now: Now) {
         let Some(mut worker) = self.workers.remove(id) else {
             return;
@@ -17,16 +17,18 @@
         } else {
             self.paces.forget(id);
         }
-        self.decisions
-            .push(Decision::of_worker(id, format!("its life is over: {why}")));
+        self.decisions.push(Decision::of_worker(
+            id,
+            format!("its incarnation ended: {why}"),
+        ));
         let runs: Vec<_> = std::mem::take(&mut worker.runs).into_iter().collect();
-        self.release_lost(id, &runs, now);
+        self.release_lost_runs(id, &runs, now);
         let mut suspects = std::mem::take(&mut worker.lost_tasks);
         if worker.is_leaving() {
             self.retract_losses(id, &suspects);
         } else {
-            // A crash lists no ends: uncounted, its tasks would start on worker after worker, each of
-            // which they may crash too.
+            // A crashed worker reports no run ends. If the crash were not counted, its tasks would
+            // be started on one worker after another and might crash each of them.
             self.confirm_crashes(id, &suspects);
             suspects.extend(self.count_crash(id, worker.incarnation_state.last_answer_at, &runs));
             self.fail_crashing_jobs(&suspects, now);
@@ -34,15 +36,15 @@
         self.replan = true;
     }
 
-    /// Gives the tasks of runs back that were lost with their worker, and stops what can't go on
-    /// without them.
+    /// Releases the tasks of runs that were lost with their worker, and stops the gangs that can't
+    /// continue without them.
     ///
-    /// Of a gang that has not begun, the members that are there would wait 3 s for the one that is lost.
-    pub(super) fn release_lost(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)], now: Now) {
+    /// In a gang that has not begun, the other members would wait 3 s for the lost one.
+    pub(super) fn release_lost_runs(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)], now: Now) {
         for (task, run) in runs {
             self.run_index.remove(task, id);
             self.record_setback(&task.group.job, Setback::Lost);
-            self.release_task(id, task, run, "its worker's life is over");
+            self.release_task(id, task, run, "its worker's incarnation ended");
         }
         for (task, run) in runs {
             self.stop_gang(
@@ -54,11 +56,12 @@
         }
     }
 
-    /// Drops a worker that is listed no longer and has nothing.
+    /// Removes a worker that is no longer listed and has no runs.
     ///
-    /// One that may have crashed under tasks is asked on for a while: its answer tells that it did not.
+    /// A worker that may have crashed under tasks is polled for a while longer, because an answer
+    /// proves that it did not crash.
     pub(super) fn remove_if_gone(&mut self, id: &WorkerId, now: Now) {
-        let vanished_after = self.policy.health.presumed_crashed_after;
+        let presumed_crashed_after = self.policy.health.presumed_crashed_after;
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -69,34 +72,34 @@
             self.workers.remove(id);
             self.worker_set_version += 1;
             self.paces.forget(id);
-        } else if worker.has_vanished(now.at, vanished_after) {
-            self.end_incarnation(id, "it is listed no longer and does not answer", now);
+        } else if worker.has_vanished(now.at, presumed_crashed_after) {
+            self.end_incarnation(id, "it is no longer listed and does not answer", now);
         }
     }
 
-    /// Takes the lives of silent workers for over that said when they leave and are listed no
-    /// longer: what they had starts elsewhere seconds before their leases end.
-    pub(super) fn end_lives_of_the_left(&mut self, now: Now) {
-        let left: Vec<WorkerId> = self
+    /// Ends the incarnations of workers that announced when they leave, are no longer listed and do
+    /// not answer. Their runs start elsewhere seconds before the leases would end.
+    pub(super) fn end_departed_incarnations(&mut self, now: Now) {
+        let departed: Vec<WorkerId> = self
             .workers
             .iter()
             .filter(|(_, w)| w.has_left(now.at))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in left {
+        for id in departed {
             self.end_incarnation(&id, "it has left", now);
         }
     }
 
-    /// Takes workers for crashed that were lost while they ran something, and have come back neither
-    /// to the directory nor to an answer.
-    pub(super) fn end_lives_of_the_vanished(&mut self, now: Now) {
-        let doubtful = self
+    /// Treats workers as crashed that became silent while they had runs and have since neither
+    /// answered nor been listed again.
+    pub(super) fn end_vanished_incarnations(&mut self, now: Now) {
+        let suspects = self
             .workers
             .iter()
             .filter(|(_, w)| !w.lost_tasks.is_empty());
-        let doubtful: Vec<WorkerId> = doubtful.map(|(id, _)| id.clone()).collect();
-        for id in doubtful {
+        let suspects: Vec<WorkerId> = suspects.map(|(id, _)| id.clone()).collect();
+        for id in suspects {
             self.remove_if_gone(&id, now);
         }
     }
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -1,4 +1,4 @@
-//! What of a job is written down, and how a job is restored from it.
+//! The stored progress of a job, and how a job is restored from it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,38 +13,42 @@
 const DONE: char = 'D';
 const ALL_DONE: &str = "*";
 
-/// One job's progress to write down.
+/// The progress of one job, to be written to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgressWrite {
-    /// The job.
+    /// The job that the progress belongs to.
     pub job: JobId,
-    /// Say this to [`Planner::progress_written`] once it lasts.
+    /// Number of the job's latest change that `progress` includes. Pass it to
+    /// [`Planner::progress_written`] once the write is stored.
     pub change: u64,
-    /// What to write.
+    /// The progress to write.
     pub progress: Progress,
 }
 
 impl Planner {
-    /// Tells whether something waits to be written down.
+    /// Returns whether any job's progress waits to be written.
     #[must_use]
     pub fn has_writes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Takes the progress of up to `most` jobs to be written down, urgent ones first, but of none
-    /// in `busy`: those are being written, and their turn comes after that.
+    /// Removes and returns up to `max` progress writes that are due, urgent jobs first.
+    ///
+    /// Jobs in `busy` are skipped, because an earlier write of theirs is still in progress. Their
+    /// writes stay due.
     pub fn take_writes(
         &mut self,
-        most: usize,
+        max: usize,
         busy: &BTreeSet<JobId>,
         now: Now,
     ) -> Vec<ProgressWrite> {
-        let free = self.changed.iter().filter(|id| !busy.contains(*id));
-        let mut free: Vec<(u8, &JobId)> = free.map(|id| (self.priority_of(id), id)).collect();
-        free.sort_unstable();
-        let ids: Vec<JobId> = free
+        let writable = self.changed.iter().filter(|id| !busy.contains(*id));
+        let mut writable: Vec<(u8, &JobId)> =
+            writable.map(|id| (self.priority_of(id), id)).collect();
+        writable.sort_unstable();
+        let ids: Vec<JobId> = writable
             .into_iter()
-            .take(most)
+            .take(max)
             .map(|(_, id)| id.clone())
             .collect();
         ids.into_iter()
@@ -65,7 +69,7 @@
         job.map_or(u8::MAX, |job| job.accepted.queue.priority)
     }
 
-    /// Takes word that a change lasts.
+    /// Handles the completion of a write: the changes of a job up to `change` are stored.
     pub fn progress_written(&mut self, id: &JobId, change: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stored_changes = job.stored_changes.max(change);
@@ -74,26 +78,29 @@
         }
     }
 
-    /// Takes word that a write may not have lasted: it is due again.
+    /// Handles a write that may not have been stored: it becomes due again.
     pub fn progress_write_failed(&mut self, id: &JobId) {
         if self.jobs.contains_key(id) {
             self.changed.insert(id.clone());
         }
     }
 
-    /// Takes up to `most` jobs whose ends are written down, as they should be kept from now on.
+    /// Returns up to `max` jobs whose ends are stored, in the shortened form in which their
+    /// records should be stored from now on.
     ///
-    /// What can't be kept so now is offered again by [`Planner::job_trim_failed`].
-    pub fn take_jobs_to_trim(&mut self, most: usize) -> Vec<AcceptedJob> {
+    /// Call [`Planner::job_trim_failed`] for a job that could not be stored in this form, so that
+    /// it is returned again.
+    pub fn take_jobs_to_trim(&mut self, max: usize) -> Vec<AcceptedJob> {
         let ended = self.jobs.values_mut().filter(|job| job.may_be_trimmed());
-        let trims = ended.take(most).map(|job| {
+        let trims = ended.take(max).map(|job| {
             job.trim_state = TrimState::InProgress;
             job.accepted.trimmed()
         });
         trims.collect()
     }
 
-    /// Takes word that a job is kept in its short form: what it ran is forgotten here too.
+    /// Handles a job record that was stored in its shortened form: the details of what the job ran
+    /// are also dropped from memory.
     pub fn job_trimmed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted = Arc::new(job.accepted.trimmed());
@@ -101,7 +108,7 @@
         }
     }
 
-    /// Takes word that a job may not be kept in its short form.
+    /// Handles a job record that may not have been stored in its shortened form.
     pub fn job_trim_failed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.trim_state = TrimState::Due;
@@ -124,7 +131,8 @@
     }
 
     pub(super) fn progress(&self, now: Now) -> Progress {
-        // What its tasks did is of no use once the job has ended, and every planner to come reads it.
+        // The progress of its tasks is of no use once the job has ended, and every later planner
+        // would have to read it.
         let occurrences = self.occurrences.iter().filter(|_| self.outcome.is_none());
         Progress {
             outcome: self.outcome,
@@ -142,17 +150,17 @@
         self.ended_unix_ms = progress.ended_unix_ms;
         self.ended_at = progress.outcome.map(|_| now.at);
         self.has_started = progress.begun;
-        if let Some(kept) = &progress.story {
+        if let Some(stored) = &progress.story {
             let mut groups = progress.occurrences.iter().flatten();
-            let has_places = groups.any(|group| !group.places.is_empty());
-            self.timeline = JobTimeline::restore(kept, has_places, now);
+            let has_placements = groups.any(|group| !group.places.is_empty());
+            self.timeline = JobTimeline::restore(stored, has_placements, now);
         }
         while self.occurrences.len() < progress.occurrences.len() {
             self.add_occurrence();
         }
-        for (groups, kept) in self.occurrences.iter_mut().zip(&progress.occurrences) {
-            for (group, kept) in groups.iter_mut().zip(kept) {
-                group.restore(kept);
+        for (groups, stored) in self.occurrences.iter_mut().zip(&progress.occurrences) {
+            for (group, stored) in groups.iter_mut().zip(stored) {
+                group.restore(stored);
             }
         }
     }
@@ -191,37 +199,37 @@
         }
     }
 
-    fn restore(&mut self, kept: &GroupProgress) {
-        self.gang_failures = kept.gang_failures;
-        self.last_run = self.last_run.max(kept.last_run);
-        self.last_failed_gang_run = kept.counted_failure;
-        if kept.tasks == ALL_DONE {
+    fn restore(&mut self, stored: &GroupProgress) {
+        self.gang_failures = stored.gang_failures;
+        self.last_run = self.last_run.max(stored.last_run);
+        self.last_failed_gang_run = stored.counted_failure;
+        if stored.tasks == ALL_DONE {
             self.tasks.iter_mut().for_each(|task| task.done = true);
             return;
         }
-        for (task, mark) in self.tasks.iter_mut().zip(kept.tasks.chars()) {
+        for (task, mark) in self.tasks.iter_mut().zip(stored.tasks.chars()) {
             task.done = mark == DONE;
             task.failures = mark.to_digit(10).unwrap_or(0);
         }
-        for (index, place) in &kept.places {
+        for (index, placement) in &stored.places {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
-                task.place = Some(place.worker.clone());
-                task.run = place.run;
-                task.incarnation = place.incarnation;
-                task.start_confirmed = place.start_confirmed;
+                task.place = Some(placement.worker.clone());
+                task.run = placement.run;
+                task.incarnation = placement.incarnation;
+                task.start_confirmed = placement.start_confirmed;
             }
         }
-        for (index, run) in &kept.counted_runs {
+        for (index, run) in &stored.counted_runs {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.last_failed_run = *run;
             }
         }
-        for (index, losses) in &kept.losses {
+        for (index, losses) in &stored.losses {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.losses = losses.clone();
             }
         }
-        for (index, checkpoint) in &kept.checkpoints {
+        for (index, checkpoint) in &stored.checkpoints {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.checkpoint = Some(checkpoint.clone());
             }
@@ -229,7 +237,7 @@
     }
 }
 
-/// Most failures that one character tells.
+/// Largest number of failures that one character can express.
 const MAX_FAILURES_MARK: u32 = 9;
 
 fn mark(task: &super::job::Task) -> char {
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -1,4 +1,4 @@
-//! Who is considered first, and whose claim on its own share it is.
+//! The order in which waiting steps are considered, and which jobs are guaranteed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,63 +11,68 @@
 use crate::{CustomerId, JobId};
 
 impl Planner {
-    /// Gives places to what waits, in order of rank and turn; true where something still does.
+    /// Runs a scheduling pass: places waiting tasks in the order of rank and scheduling key.
+    /// Returns whether any still wait.
     pub(super) fn plan(&mut self, now: Now) -> bool {
-        let claims = self.guaranteed_jobs();
-        if self.ranked_guaranteed_jobs.as_ref() != Some(&claims) {
-            self.renew_ranks(&claims);
-            self.ranked_guaranteed_jobs = Some(claims.clone());
+        let guaranteed = self.guaranteed_jobs();
+        if self.ranked_guaranteed_jobs.as_ref() != Some(&guaranteed) {
+            self.update_ranks(&guaranteed);
+            self.ranked_guaranteed_jobs = Some(guaranteed.clone());
         }
-        let mut candidates = self.candidates(&claims, now);
+        let mut candidates = self.candidates(&guaranteed, now);
         let mut pass = Pass::default();
-        let aged = self.let_oldest_first(&mut candidates, &mut pass, now);
+        let aged = self.promote_oldest_aged(&mut candidates, &mut pass, now);
         pass.reserved = self.renew_reservations(&candidates, now);
         for candidate in &candidates {
             self.place_step(candidate, &mut pass, now);
         }
-        if aged.is_some_and(|key| !self.still_waits(&key)) {
-            self.aged_turn_at = Some(now.at);
+        if aged.is_some_and(|key| !self.has_waiting_tasks(&key)) {
+            self.last_aged_at = Some(now.at);
         }
         candidates
             .iter()
-            .any(|candidate| self.still_waits(&candidate.key))
+            .any(|candidate| self.has_waiting_tasks(&candidate.key))
     }
 
-    /// Lets the step that has waited longest beyond all use come before other work that is not
-    /// urgent, if that turn has come; returns it.
-    fn let_oldest_first(
+    /// Moves the oldest aged step ahead of all work that is not urgent, and returns it. Does
+    /// nothing until the minimum interval since the last such step has passed.
+    fn promote_oldest_aged(
         &self,
         candidates: &mut [Candidate],
         pass: &mut Pass,
         now: Now,
     ) -> Option<GroupKey> {
         let policy = &self.policy.turns;
-        let gap = policy.aged_interval;
-        if self.aged_turn_at.is_some_and(|at| now.at - at < gap) {
+        let interval = policy.aged_interval;
+        if self.last_aged_at.is_some_and(|at| now.at - at < interval) {
             return None;
         }
-        let aged = candidates.iter().enumerate().filter_map(|(index, one)| {
-            let is_overdue = !policy.by_timeliness || one.turn.timeliness == Timeliness::Overdue;
-            let job = self.jobs.get(&one.key.job);
-            let job = job.filter(|_| is_overdue && one.rank > URGENT_RANK)?;
-            let (wanted, _) = self.job_objective(&one.key, job, now);
-            let since_unix_ms = wanted.aged_unix_ms(policy)?;
-            let key = one.key.clone();
-            let aged = AgedStep { since_unix_ms, key };
-            (since_unix_ms <= now.unix_ms).then_some((aged, index))
-        });
-        // What no worker could hold at this moment would keep the turn from all others.
-        let aged = aged.filter(|(aged, _)| self.could_be_held(&aged.key, pass));
+        let aged = candidates
+            .iter()
+            .enumerate()
+            .filter_map(|(index, candidate)| {
+                let is_overdue =
+                    !policy.by_timeliness || candidate.turn.timeliness == Timeliness::Overdue;
+                let job = self.jobs.get(&candidate.key.job);
+                let job = job.filter(|_| is_overdue && candidate.rank > URGENT_RANK)?;
+                let (objective, _) = self.job_objective(&candidate.key, job, now);
+                let since_unix_ms = objective.aged_unix_ms(policy)?;
+                let key = candidate.key.clone();
+                let aged = AgedStep { since_unix_ms, key };
+                (since_unix_ms <= now.unix_ms).then_some((aged, index))
+            });
+        // A step that fits on no current worker would block this for all others.
+        let aged = aged.filter(|(aged, _)| self.fits_on_empty_fleet(&aged.key, pass));
         let (aged, index) = aged.min()?;
-        let first = candidates.partition_point(|one| one.rank <= URGENT_RANK);
+        let first = candidates.partition_point(|candidate| candidate.rank <= URGENT_RANK);
         candidates[index].turn = SchedulingKey::aged();
         candidates[first..=index].rotate_right(1);
         Some(aged.key)
     }
 
-    /// Tells whether the workers that are there could hold a step if nothing else ran, and a task of
-    /// it may start.
-    fn could_be_held(&self, key: &GroupKey, pass: &mut Pass) -> bool {
+    /// Returns whether a step would fit on the current workers if nothing else ran, and at least
+    /// one of its waiting tasks may start.
+    fn fits_on_empty_fleet(&self, key: &GroupKey, pass: &mut Pass) -> bool {
         let Some((step, group)) = self.step(key).zip(self.jobs[&key.job].group(key)) else {
             return false;
         };
@@ -82,12 +87,13 @@
         may_start && ceiling.allows(step, count, scope)
     }
 
-    fn still_waits(&self, key: &GroupKey) -> bool {
+    fn has_waiting_tasks(&self, key: &GroupKey) -> bool {
         let group = self.jobs.get(&key.job).and_then(|job| job.group(key));
         group.is_some_and(|group| group.tasks.iter().any(super::job::Task::is_waiting))
     }
 
-    /// Returns the urgent jobs that stay within their customers' own shares, oldest first.
+    /// Returns the urgent jobs that fit within their customers' guaranteed shares, where older jobs
+    /// go first.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut urgent: Vec<&Job> = self
             .jobs
@@ -97,26 +103,26 @@
             .collect();
         urgent.sort_by_key(|job| (job.accepted.accepted_unix_ms, &job.accepted.id));
         let mut used: BTreeMap<&CustomerId, u32> = BTreeMap::new();
-        let mut claims = BTreeSet::new();
+        let mut guaranteed = BTreeSet::new();
         for job in urgent {
             let Some(customer) = &job.accepted.customer else {
                 continue;
             };
             let sum = used.entry(customer).or_default();
-            let with = sum.saturating_add(max_accelerators(job));
-            if with <= self.catalog.guaranteed(customer) {
-                *sum = with;
-                claims.insert(job.accepted.id.clone());
+            let total = sum.saturating_add(max_accelerators(job));
+            if total <= self.catalog.guaranteed(customer) {
+                *sum = total;
+                guaranteed.insert(job.accepted.id.clone());
             }
         }
-        claims
+        guaranteed
     }
 
-    fn renew_ranks(&mut self, claims: &BTreeSet<JobId>) {
+    fn update_ranks(&mut self, guaranteed: &BTreeSet<JobId>) {
         for worker in self.workers.values_mut() {
             for (task, run) in &mut worker.runs {
                 if run.rank <= URGENT_RANK {
-                    run.rank = if claims.contains(&task.group.job) {
+                    run.rank = if guaranteed.contains(&task.group.job) {
                         GUARANTEED_RANK
                     } else {
                         URGENT_RANK
@@ -126,22 +132,22 @@
         }
     }
 
-    fn candidates(&mut self, claims: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
-        let found = self.list_candidates(claims, now);
+    fn candidates(&mut self, guaranteed: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
+        let found = self.list_candidates(guaranteed, now);
         for candidate in &found {
-            self.note_ready(&candidate.key, now);
+            self.record_ready(&candidate.key, now);
         }
         found
     }
 
-    /// Returns the steps that wait for places, in their turn.
-    pub(super) fn list_candidates(&self, claims: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
+    /// Returns the steps that wait for placements, in scheduling order.
+    pub(super) fn list_candidates(&self, guaranteed: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
         let mut found = Vec::new();
         for (id, job) in &self.jobs {
             if job.outcome.is_some() {
                 continue;
             }
-            let rank = if claims.contains(id) {
+            let rank = if guaranteed.contains(id) {
                 GUARANTEED_RANK
             } else {
                 job.accepted.queue.priority.saturating_add(1)
@@ -151,12 +157,12 @@
                 found.push(Candidate { rank, turn, key });
             }
         }
-        self.put_in_order(&mut found, now);
+        self.sort_candidates(&mut found, now);
         found
     }
 
-    /// Notes since when a step could start.
-    fn note_ready(&mut self, key: &GroupKey, now: Now) {
+    /// Records since when a step has been ready to start.
+    fn record_ready(&mut self, key: &GroupKey, now: Now) {
         let job = self.jobs.get_mut(&key.job);
         if let Some(group) = job.and_then(|job| job.group_mut(key)) {
             group.ready_since.get_or_insert(now.at);
@@ -164,16 +170,16 @@
     }
 }
 
-/// Returns the steps that have waiting tasks and whose earlier steps are done.
+/// Returns the steps of a job that have waiting tasks and whose dependencies are done.
 fn ready_groups(id: &JobId, job: &Job) -> Vec<GroupKey> {
-    let waits = |key: &GroupKey| {
+    let has_waiting = |key: &GroupKey| {
         let group = job.group(key);
         group.is_some_and(|group| group.tasks.iter().any(super::job::Task::is_waiting))
     };
-    job.ready_keys(id).filter(waits).collect()
+    job.ready_keys(id).filter(has_waiting).collect()
 }
 
-/// Returns how many accelerators a job may take at a time, at most.
+/// Returns the largest number of accelerators that a job may use at a time.
 pub(super) fn max_accelerators(job: &Job) -> u32 {
     job.accepted.spec.steps.iter().fold(0, |sum: u32, step| {
         sum.saturating_add(step.needs.accelerators.saturating_mul(step.count))
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -1,4 +1,4 @@
-//! Starts that are sent to workers.
+//! Sending start orders to workers.
 
 use super::pool::{RunState, Worker};
 use super::{Now, Order, OrderKind, Planner};
@@ -7,7 +7,8 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Sends the starts whose room is free: of a gang all or none.
+    /// Sends the starts of planned runs whose resources are free. A gang's starts are sent all
+    /// together or not at all.
     pub(super) fn emit_starts(&mut self, now: Now) {
         if !self.has_fresh_evacuated_zones(now) || !self.jobs_are_current() {
             return;
@@ -24,7 +25,7 @@
                 self.emit_gang(&key, &members, now);
             } else {
                 for (id, task) in &members {
-                    if self.has_room_for(id, &[task]) {
+                    if self.has_free_resources(id, &[task]) {
                         self.emit_start(id, task, now);
                     }
                 }
@@ -39,7 +40,7 @@
         };
         let all_fit = members
             .iter()
-            .all(|(id, _)| self.has_room_for(id, &by_worker(id)));
+            .all(|(id, _)| self.has_free_resources(id, &by_worker(id)));
         let is_whole = self
             .jobs
             .get(&key.job)
@@ -71,11 +72,13 @@
         Some(self.run_at(id, task)?.state)
     }
 
-    fn has_room_for(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
+    fn has_free_resources(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
-        let is_recorded = tasks.iter().all(|task| self.is_recorded(worker, task));
+        let is_stored = tasks
+            .iter()
+            .all(|task| self.is_placement_stored(worker, task));
         let needed = tasks
             .iter()
             .filter_map(|task| worker.runs.get(*task))
@@ -83,14 +86,14 @@
                 sum.saturating_add(&run.room)
             });
         let takes_starts = worker.is_in_contact() && !worker.in_evacuated_zone;
-        is_recorded && takes_starts && needed.fits_in(&worker.free_now())
+        is_stored && takes_starts && needed.fits_in(&worker.free_now())
     }
 
-    /// Tells whether a run's place is written down, so that a later planner knows of it.
-    fn is_recorded(&self, worker: &Worker, task: &TaskKey) -> bool {
-        let written = self.jobs.get(&task.group.job).map(|job| job.stored_changes);
+    /// Returns whether a run's placement is stored, so that a later planner will know of the run.
+    fn is_placement_stored(&self, worker: &Worker, task: &TaskKey) -> bool {
+        let stored = self.jobs.get(&task.group.job).map(|job| job.stored_changes);
         let needed = worker.runs.get(task).map(|run| run.placement_change);
-        needed <= written
+        needed <= stored
     }
 
     pub(super) fn emit_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
@@ -141,11 +144,11 @@
             task,
             number,
             id,
-            format!("try {tries}, its room took {waited} ms"),
+            format!("try {tries}, waited {waited} ms for its resources"),
         ));
     }
 
-    /// Returns where a run continues from; all members of a gang from the same.
+    /// Returns the checkpoint that a run continues from. All members of a gang use the same one.
     fn start_checkpoint(&self, task: &TaskKey) -> Option<String> {
         let key = &task.group;
         let job = self.jobs.get(&key.job)?;
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still, or are far slower than their like, are moved to another worker.
+//! Moving runs to another worker that have stalled or are far slower than similar runs.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 
 use pace::{Pace, Verdict};
 
-/// A run that should go elsewhere.
-struct Misplaced {
+/// A run that should be moved to another worker.
+struct RunToMove {
     worker: WorkerId,
     task: TaskKey,
     run: u32,
@@ -22,32 +22,33 @@
 }
 
 impl Planner {
-    /// Stops runs that make no progress, or far too little, so that they go on elsewhere.
-    pub(super) fn find_stuck(&mut self, now: Now) {
-        // Between two reports nothing new is to be seen.
+    /// Stops runs that make no progress, or far too little, so that they continue on another
+    /// worker.
+    pub(super) fn move_stalled_runs(&mut self, now: Now) {
+        // There is nothing new to check between two reports.
         let interval = self.policy.pace.interval.max(self.report_wait() / 2);
         if self
-            .looked_for_stuck_at
+            .last_stall_check_at
             .is_some_and(|at| now.at - at < interval)
         {
             return;
         }
-        self.looked_for_stuck_at = Some(now.at);
+        self.last_stall_check_at = Some(now.at);
         self.learn_paces_from_reports(now);
-        for misplaced in self.misplaced(now) {
-            self.move_away(&misplaced, now);
+        for to_move in self.runs_to_move(now) {
+            self.move_run(&to_move, now);
         }
     }
 
-    fn misplaced(&self, now: Now) -> Vec<Misplaced> {
+    fn runs_to_move(&self, now: Now) -> Vec<RunToMove> {
         let mut by_group = BTreeMap::<&GroupKey, Vec<(&WorkerId, &TaskKey, &Run)>>::new();
         for (id, worker) in &self.workers {
             if !worker.is_in_contact() {
                 continue;
             }
             for (task, run) in &worker.runs {
-                let counts = run.state == RunState::Running && run.began.is_some();
-                if counts && !run.lasts && !run.restored {
+                let is_running = run.state == RunState::Running && run.began.is_some();
+                if is_running && !run.lasts && !run.restored {
                     let members = by_group.entry(&task.group).or_default();
                     members.push((id, task, run));
                 }
@@ -55,26 +56,26 @@
         }
         let mut found = Vec::new();
         for (key, members) in by_group {
-            found.extend(self.misplaced_of(key, &members, now));
+            found.extend(self.runs_to_move_in_step(key, &members, now));
         }
         found
     }
 
-    /// Finds those of one step's runs that stand still or are far behind the others.
-    fn misplaced_of(
+    /// Returns those runs of one step that have stalled or are far behind the others.
+    fn runs_to_move_in_step(
         &self,
         key: &GroupKey,
         members: &[(&WorkerId, &TaskKey, &Run)],
         now: Now,
-    ) -> Vec<Misplaced> {
+    ) -> Vec<RunToMove> {
         let Some(job) = self.jobs.get(&key.job) else {
             return Vec::new();
         };
         let (Some(step), Some(group)) = (job.step(key), job.group(key)) else {
             return Vec::new();
         };
-        let is_whole = members.len() == group.tasks.len();
-        // The members of a gang work from the moment on at which the last of them is there.
+        let is_complete = members.len() == group.tasks.len();
+        // The members of a gang can work only once the last of them has begun.
         let together_since = members.iter().filter_map(|(_, _, run)| run.began);
         let together_since = together_since.map(|(at, _)| at).max();
         let paces: Vec<Pace> = members
@@ -85,9 +86,9 @@
                 run.pace(since, slowdown, self.estimate_ms(step))
             })
             .collect();
-        let typical = pace::typical_span_ms(&paces, &group.durations_ms, &self.policy.pace);
-        let any_moves = paces.iter().any(|pace| pace.gained > 0);
-        let is_sure = !step.gang || (is_whole && (any_moves || members.len() == 1));
+        let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
+        let any_progress = paces.iter().any(|pace| pace.gained > 0);
+        let is_sure = !step.gang || (is_complete && (any_progress || members.len() == 1));
         members
             .iter()
             .zip(&paces)
@@ -95,13 +96,13 @@
                 let why =
                     match pace.verdict(is_sure, typical, self.bounds.stop_max, &self.policy.pace) {
                         Verdict::Fine => return None,
-                        Verdict::Still => "it stands still",
+                        Verdict::Stalled => "it has stalled",
                         Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
                             return None;
                         }
                         Verdict::Slow => "it is far slower than the others",
                     };
-                Some(Misplaced {
+                Some(RunToMove {
                     worker: (*id).clone(),
                     task: (*task).clone(),
                     run: run.number,
@@ -111,38 +112,41 @@
             .collect()
     }
 
-    /// Tells whether a task that was moved already, and is slow at a worker that is known too, is
-    /// itself the cause.
+    /// Returns whether a task is itself the cause of its slowness: it was moved before, and is slow
+    /// again on a worker of known pace.
     fn is_slow_anywhere(&self, group: &TaskGroup, id: &WorkerId, task: &TaskKey, now: Now) -> bool {
         let entry = group.tasks.get(task.index as usize);
         let was_moved = entry.is_some_and(|entry| entry.moves > 0);
         self.paces.is_heterogeneous() && was_moved && self.pace_of(id, now).is_known
     }
 
-    fn move_away(&mut self, misplaced: &Misplaced, now: Now) {
-        let (id, task) = (&misplaced.worker, &misplaced.task);
-        if !self.may_move(task, misplaced.run) {
+    fn move_run(&mut self, to_move: &RunToMove, now: Now) {
+        let (id, task) = (&to_move.worker, &to_move.task);
+        if !self.may_move(task, to_move.run) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
             if !worker.is_suspect(now.at) {
-                let why = format!("a task there: {}; nothing new for a while", misplaced.why);
+                let why = format!(
+                    "a run is moved away: {}; no new tasks for a while",
+                    to_move.why
+                );
                 self.decisions.push(Decision::of_worker(id, why));
             }
             worker.incarnation_state.suspect_until =
                 Some(now.at + self.policy.health.suspect_after_stall);
         }
         self.record_setback(&task.group.job, Setback::Stalled);
-        self.stop_run(id, task, misplaced.why, now);
+        self.stop_run(id, task, to_move.why, now);
         self.stop_gang(
             task,
-            misplaced.run,
-            "a member of its gang stands still or is slow",
+            to_move.run,
+            "a member of its gang has stalled or is slow",
             now,
         );
     }
 
-    /// Counts a move of the task, or of its gang once a run.
+    /// Counts a move of a task, or of its gang once per run. Returns whether the move is allowed.
     fn may_move(&mut self, task: &TaskKey, run: u32) -> bool {
         let key = &task.group;
         let max_moves = self.policy.pace.max_moves;
@@ -168,8 +172,10 @@
 }
 
 impl Run {
-    /// What the caller estimates bounds how long it may stand still: work that is known to take
-    /// longer tells of a dead worker no sooner.
+    /// Returns the pace of the run.
+    ///
+    /// How long the run may stall depends on the caller's estimate. A longer learned run time is
+    /// not used, because it would not reveal a dead worker any sooner.
     fn pace(&self, together_since: Option<Timestamp>, slowdown: f64, estimate_ms: u64) -> Pace {
         let (began, from) = self.began.unwrap_or((self.reported_at, self.percent));
         let since = together_since.unwrap_or(began).max(began);
@@ -177,10 +183,10 @@
             worked_ms: millis(self.reported_at - since),
             gained: self.percent.saturating_sub(from),
             left: 100_u8.saturating_sub(self.percent),
-            still_ms: millis(self.reported_at - self.progressed_at.max(since)),
-            expected_ms: pace::stretched(estimate_ms, slowdown),
+            stalled_ms: millis(self.reported_at - self.progressed_at.max(since)),
+            expected_ms: pace::with_slowdown(estimate_ms, slowdown),
             slowdown,
-            keeps: self.checkpoints,
+            is_resumable: self.checkpoints,
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -1,4 +1,4 @@
-//! Which runs give way, and what that costs.
+//! Which runs may be preempted, and the cost of preempting them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use crate::batch::{GroupKey, StepSpec};
 use crate::time::millis;
 
-/// Until when a claim is surely looked at again.
-const LOOKS_AGAIN: Duration = Planner::IDLE_TICK;
+/// Time within which a waiting guaranteed job is certain to be considered again.
+const RECHECK_INTERVAL: Duration = Planner::IDLE_TICK;
 
-/// How often the time doubles after which a gang returns that gave way again and again.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum number of times that the back-off of a repeatedly preempted gang doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Planner {
-    /// Returns how long a claim lets other urgent work go on: as long as it can still begin in
-    /// time after a stop.
+    /// Returns how long a guaranteed job waits before it preempts other urgent work: as long as it
+    /// can still begin in time after a stop.
     pub(super) fn guaranteed_wait_limit(&self) -> Duration {
         if !self.policy.victims.claims_wait {
             return Duration::ZERO;
@@ -28,16 +28,18 @@
         self.bounds.reclaim.saturating_sub(needed)
     }
 
-    /// Returns how long ago a job was accepted, by the time of day.
+    /// Returns the time since a job was accepted, by the wall clock.
     pub(super) fn since_accepted(&self, key: &GroupKey, now: Now) -> Duration {
         let job = self.jobs.get(&key.job);
         let accepted_unix_ms = job.map_or(now.unix_ms, |job| job.accepted.accepted_unix_ms);
         Duration::from_millis(now.unix_ms.saturating_sub(accepted_unix_ms))
     }
 
-    /// Returns the rank up to which nothing gives way to work of `rank` that has waited so long.
+    /// Returns the rank up to which runs are exempt from preemption by work of `rank` that has
+    /// waited for `waited`.
     ///
-    /// Urgent work that gives way to urgent work is late itself, so that one late job becomes two.
+    /// Urgent work that is preempted by urgent work becomes late itself, so that one late job
+    /// becomes two.
     pub(super) fn protected_rank(&self, rank: u8, waited: Duration) -> u8 {
         if rank == GUARANTEED_RANK && waited < self.guaranteed_wait_limit() {
             URGENT_RANK
@@ -46,24 +48,25 @@
         }
     }
 
-    /// Returns what stopping each gang that runs would cost: the work that is thrown away, more for one
-    /// that was stopped before, and its whole work once more where only that would make it late.
+    /// Returns the cost of preempting each running gang: the discarded work, more if the gang was
+    /// preempted before, and its whole work once more if only the preemption would make it late.
     pub(super) fn gang_preemption_costs(&self, now: Now) -> BTreeMap<GroupKey, u64> {
-        let mut losses = BTreeMap::new();
+        let mut costs = BTreeMap::new();
         for worker in self.workers.values() {
             for (task, run) in worker.runs.iter().filter(|(_, run)| run.gang) {
-                *losses.entry(task.group.clone()).or_insert(0) +=
+                *costs.entry(task.group.clone()).or_insert(0) +=
                     run.lost_work(now.at, self.policy.victims.restore_cost);
             }
         }
-        for (key, loss) in &mut losses {
-            *loss += self.cost_of_stopping(key, now);
+        for (key, cost) in &mut costs {
+            *cost += self.extra_preemption_cost(key, now);
         }
-        losses
+        costs
     }
 
-    /// Returns what stopping a gang costs beside the work that is thrown away, in core-milliseconds.
-    fn cost_of_stopping(&self, key: &GroupKey, now: Now) -> u64 {
+    /// Returns the cost of preempting a gang in addition to the discarded work, in
+    /// core-milliseconds.
+    fn extra_preemption_cost(&self, key: &GroupKey, now: Now) -> u64 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
         };
@@ -81,20 +84,23 @@
         weight.saturating_mul(again_ms + late_ms) / 1000
     }
 
-    /// Tells whether a gang that runs would be in time, and late if it started anew.
+    /// Returns whether a running gang would be in time, but late if it were restarted.
     fn would_become_late(&self, key: &GroupKey, job: &Job, now: Now) -> bool {
-        let (wanted, anew_ms) = self.job_objective(key, job, now);
-        let objective_unix_ms = wanted.objective_unix_ms();
+        let (objective, restart_ms) = self.job_objective(key, job, now);
+        let objective_unix_ms = objective.objective_unix_ms();
         let runs = self.run_index.of_group(key);
         let run = runs.first().and_then(|(id, task)| self.run_at(id, task));
-        let left_ms = run.map_or(anew_ms, |run| {
+        let remaining_ms = run.map_or(restart_ms, |run| {
             run.remaining_ms(self.policy.places.min_progress_percent)
         });
-        now.unix_ms + left_ms <= objective_unix_ms && now.unix_ms + anew_ms > objective_unix_ms
+        now.unix_ms + remaining_ms <= objective_unix_ms
+            && now.unix_ms + restart_ms > objective_unix_ms
     }
 
-    /// Tells whether what gives way is worth less than what it makes room for, each gang counted whole
-    /// and once. A claim on a customer's own share does not wait for longer than it may.
+    /// Returns whether the preemptions of a choice are worthwhile: what they discard is at most
+    /// `max_lost_factor` times the work that they make way for. Each gang counts once and as a whole.
+    ///
+    /// For a guaranteed job that can't wait any longer, preemption is always worthwhile.
     pub(super) fn is_preemption_worthwhile(
         &self,
         candidate: &Candidate,
@@ -103,12 +109,16 @@
         pass: &Pass,
         now: Now,
     ) -> bool {
-        let most = self.policy.victims.max_lost_factor;
-        let Some(losses) = pass.gang_preemption_costs.as_ref().filter(|_| most > 0) else {
+        let max_lost_factor = self.policy.victims.max_lost_factor;
+        let Some(costs) = pass
+            .gang_preemption_costs
+            .as_ref()
+            .filter(|_| max_lost_factor > 0)
+        else {
             return true;
         };
-        let takes = self.run_time(&candidate.key, step, now).typical;
-        if candidate.rank == GUARANTEED_RANK && self.must_begin(candidate, takes, now) {
+        let run_time = self.run_time(&candidate.key, step, now).typical;
+        if candidate.rank == GUARANTEED_RANK && self.must_start_now(candidate, run_time, now) {
             return true;
         }
         let mut lost = 0_u64;
@@ -120,26 +130,26 @@
             if !run.gang {
                 lost += run.lost_work(now.at, self.policy.victims.restore_cost);
             } else if gangs.insert(&task.group) {
-                lost += losses.get(&task.group).copied().unwrap_or(0);
+                lost += costs.get(&task.group).copied().unwrap_or(0);
             }
         }
         let tasks = choice.places.len() as u64;
-        let work = step.reserved_resources().weight() * tasks * millis(takes) / 1000;
-        lost <= work.saturating_mul(most.into())
+        let work = step.reserved_resources().weight() * tasks * millis(run_time) / 1000;
+        lost <= work.saturating_mul(max_lost_factor.into())
     }
 
-    /// Tells whether a claim can't wait any longer for others to give way that lose less: it has to begin
-    /// within its bound, and to be in time.
-    fn must_begin(&self, candidate: &Candidate, takes: Duration, now: Now) -> bool {
+    /// Returns whether a guaranteed job can't wait any longer for cheaper victims, because it has
+    /// to begin within its bound and to be in time.
+    fn must_start_now(&self, candidate: &Candidate, run_time: Duration, now: Now) -> bool {
         let waited = self.since_accepted(&candidate.key, now);
-        let ends_ms = now.unix_ms + millis(self.bounds.stop_max + takes);
-        let looks_again_ms = ends_ms + millis(LOOKS_AGAIN);
+        let ends_ms = now.unix_ms + millis(self.bounds.stop_max + run_time);
+        let recheck_ms = ends_ms + millis(RECHECK_INTERVAL);
         let objective_unix_ms = candidate.turn.objective_unix_ms;
-        let is_last = ends_ms <= objective_unix_ms && looks_again_ms > objective_unix_ms;
-        is_last || waited >= self.guaranteed_wait_limit()
+        let is_last_chance_in_time = ends_ms <= objective_unix_ms && recheck_ms > objective_unix_ms;
+        is_last_chance_in_time || waited >= self.guaranteed_wait_limit()
     }
 
-    /// Notes that runs of a step give way, once for all that do so together.
+    /// Records a preemption of a step's runs. Runs that are preempted together count once.
     pub(super) fn record_preemption(&mut self, key: &GroupKey, now: Now) {
         let job = self.jobs.get_mut(&key.job);
         let Some(group) = job.and_then(|job| job.group_mut(key)) else {
@@ -151,19 +161,20 @@
         }
     }
 
-    /// Tells whether a gang that gave way should wait, because the room that is free now may be taken
-    /// back from it as well: for longer each time.
+    /// Returns whether a preempted gang should wait before it starts again, because the capacity
+    /// that is free now may be taken from it as well. The back-off doubles with each preemption, up
+    /// to a limit.
     pub(super) fn in_preemption_backoff(&self, key: &GroupKey, now: Now) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
-        let stopped = group.and_then(|group| Some((group.preemptions, group.preempted_at?)));
-        stopped.is_some_and(|(times, at)| {
-            let doublings = u32::from(times.saturating_sub(1)).min(MOST_DOUBLINGS);
+        let preempted = group.and_then(|group| Some((group.preemptions, group.preempted_at?)));
+        preempted.is_some_and(|(times, at)| {
+            let doublings = u32::from(times.saturating_sub(1)).min(MAX_BACKOFF_DOUBLINGS);
             now.at - at < self.policy.victims.restart_backoff * (1 << doublings)
         })
     }
 
-    /// Tells whether a gang gave way before.
+    /// Returns whether a gang was preempted before.
     pub(super) fn was_preempted(&self, key: &GroupKey) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
