--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -1,12 +1,14 @@
-//! Jobs made of steps of tasks, and the planner that runs them on workers of all zones.
+//! Batch jobs made of steps of tasks, and the planner that schedules them on the workers of all
+//! zones.
 //!
-//! A job is a list of [`StepSpec`]s; each step is a number of like tasks. The
-//! [`Planner`] decides for one tenure which task starts where, which gives way
-//! and what is written down. It has no input or output: the daemon feeds it
-//! records, the workers' reports and the time, and carries out its [`Order`]s.
+//! A job is a list of [`StepSpec`]s; each step is a number of identical tasks. During one tenure of
+//! the planner role, the [`Planner`] decides which task starts on which worker, which run is
+//! preempted and what is stored. It does no I/O itself: the daemon passes it records, worker
+//! reports and the current time, and carries out the [`Order`]s that it returns.
 //!
-//! What must last is the [`AcceptedJob`], written once before the caller hears
-//! of it, and the [`Progress`], written before a worker may forget an end.
+//! Two kinds of records have to be durable: the [`AcceptedJob`], which is stored once before the
+//! caller gets its reply, and the [`Progress`], which is stored before the end of a run is
+//! acknowledged and its worker may forget it.
 
 mod admission;
 mod catalog;
--- a/crates/stairstall-core/src/batch/explanation.rs
+++ b/crates/stairstall-core/src/batch/explanation.rs
@@ -1,3 +1,5 @@
+//! Explanation of where a job stands, for operators and callers.
+
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -7,68 +9,68 @@
 use crate::time::millis;
 use crate::{CustomerId, JobId, ZoneId};
 
-/// Where a job stands and what it waits for, as its planner sees it.
+/// Where a job stands and what it waits for, as known to the planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobExplanation {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its queue.
+    /// Name of the job's queue.
     pub queue: String,
-    /// Its queue's priority; 0 is urgent.
+    /// Priority of the queue; 0 is urgent.
     pub priority: u8,
-    /// Whose it is.
+    /// Customer that the job belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerId>,
-    /// The zone that it was handed in at.
+    /// Zone that the job was submitted to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneId>,
-    /// What its caller is told.
+    /// State reported to the caller.
     pub state: CallerState,
-    /// How long ago it was accepted, in milliseconds.
+    /// Time since the job was accepted, in milliseconds.
     pub age_ms: u64,
-    /// What its time was spent on until now, in milliseconds.
+    /// Time spent in each phase until now, in milliseconds.
     pub spent_ms: BTreeMap<JobPhase, u64>,
-    /// What went wrong on the way.
+    /// Setbacks so far, by cause.
     pub setbacks: Setbacks,
-    /// What it waits for, where anything of it waits.
+    /// What the job waits for, if any part of it waits.
     #[serde(rename = "waits", default, skip_serializing_if = "Option::is_none")]
     pub wait: Option<WaitExplanation>,
-    /// Its steps that have begun or could begin, and are not done.
+    /// Steps that have started or may start, and are not done.
     pub steps: Vec<StepExplanation>,
 }
 
-/// What a job waits for, and whose turn it is.
+/// What a job waits for, and what decides its place in the scheduling order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitExplanation {
-    /// What it waits for, in words.
+    /// What the job waits for, as text.
     #[serde(rename = "on")]
     pub reason: String,
-    /// 0 for a claim on its customer's own share, 1 for other urgent work, then by priority.
+    /// Rank: 0 for a guaranteed job, 1 for other urgent work, then by priority.
     pub rank: u8,
-    /// What a start now would still be worth.
+    /// Whether the job can still end in time if it starts now.
     pub timeliness: Timeliness,
-    /// What its customer has used lately and is committed to, as time of the whole fleet, in milliseconds.
+    /// Recent and committed usage of its customer, in milliseconds of the whole fleet.
     pub used_ms: u64,
-    /// What each customer would have used if all had used alike, in milliseconds.
+    /// Mean usage of all customers, in milliseconds of the whole fleet.
     pub fair_ms: u64,
-    /// After what time room that is kept for it should be free, in milliseconds.
+    /// Time until capacity reserved for the job should be free, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub room_in_ms: Option<u64>,
 }
 
 impl From<WaitStatus> for WaitExplanation {
-    fn from(waiting: WaitStatus) -> Self {
-        let room_in = match waiting.reason {
-            WaitReason::ReservedCapacity(room_in) => Some(room_in),
+    fn from(status: WaitStatus) -> Self {
+        let free_in = match status.reason {
+            WaitReason::ReservedCapacity(free_in) => Some(free_in),
             _ => None,
         };
         Self {
-            reason: waiting.reason.as_str().to_owned(),
-            rank: waiting.rank,
-            timeliness: waiting.timeliness,
-            used_ms: millis(waiting.customer_usage),
-            fair_ms: millis(waiting.mean_usage),
-            room_in_ms: room_in.map(millis),
+            reason: status.reason.as_str().to_owned(),
+            rank: status.rank,
+            timeliness: status.timeliness,
+            used_ms: millis(status.customer_usage),
+            fair_ms: millis(status.mean_usage),
+            room_in_ms: free_in.map(millis),
         }
     }
 }
@@ -76,34 +78,34 @@
 /// Where one step of a job stands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepExplanation {
-    /// Which time of a scheduled job, from 0; 0 for others.
+    /// Occurrence of a scheduled job, from 0; 0 for other jobs.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// Index of the step, from 0.
     pub step: u32,
-    /// What it spends time on now; the least advanced of its tasks counts.
+    /// Current phase of the step: the earliest phase of its tasks.
     #[serde(rename = "on")]
     pub phase: JobPhase,
-    /// Its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// How many of them have no place.
+    /// Number of tasks without a placement.
     pub waiting: u32,
-    /// How many of them are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// How long it has waited for places, in milliseconds.
+    /// How long the step has waited for placements, in milliseconds.
     pub waited_ms: u64,
-    /// Waiting steps whose turn comes before its own.
+    /// Number of waiting steps that are scheduled before it.
     #[serde(rename = "behind")]
     pub steps_ahead: u32,
 }
 
 impl StepExplanation {
-    /// Describes a step of which nothing but its name is known.
+    /// Creates the explanation of a step with all counts zero.
     #[must_use]
-    pub const fn new(key: &GroupKey, on: JobPhase) -> Self {
+    pub const fn new(key: &GroupKey, phase: JobPhase) -> Self {
         Self {
             occurrence: key.occurrence,
             step: key.step,
-            phase: on,
+            phase,
             tasks: 0,
             waiting: 0,
             done: 0,
--- a/crates/stairstall-core/src/batch/learned.rs
+++ b/crates/stairstall-core/src/batch/learned.rs
@@ -1,48 +1,49 @@
-//! What a planner has learnt that the next one should know at once.
+//! Estimates that one planner learned and the next one should start with.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::run_time::is_news;
+use super::run_time::differ_significantly;
 use super::{StoredPace, StoredRatios};
 
-/// What the paces of two workers must differ by to be news, in percent of the usual time.
+/// Difference from which the pace of a worker counts as changed, in percent of the typical time.
 const PACE_CHANGE_PERCENT: u16 = 12;
-/// Part of the workers, as a divisor, whose paces must have changed to be written anew.
+/// Paces are stored again once at least one in this many workers has changed.
 const CHANGED_DIVISOR: usize = 8;
-/// The pace of a worker that is not named.
-const USUAL_PERCENT: u16 = 100;
+/// Pace assumed for a worker without a stored entry.
+const TYPICAL_PERCENT: u16 = 100;
 
-/// What a planner has learnt, as it is written down.
+/// Learned estimates in the form in which they are stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedEstimates {
-    /// When it was so, in milliseconds since the Unix epoch.
+    /// When the estimates were taken, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// How long work takes beside its estimates.
+    /// Run times relative to the callers' estimates.
     pub run_times: Vec<StoredRatios>,
-    /// How fast workers are.
+    /// Paces of individual workers.
     pub paces: Vec<StoredPace>,
 }
 
 impl LearnedEstimates {
-    /// Tells whether a planner that reads this would know more than one that reads what was
-    /// written before.
+    /// Returns whether these estimates differ enough from `before`, which was stored earlier, to be
+    /// worth storing again.
     #[must_use]
     pub fn differs_significantly_from(&self, before: &Self) -> bool {
-        is_news(&self.run_times, &before.run_times) || are_news(&self.paces, &before.paces)
+        differ_significantly(&self.run_times, &before.run_times)
+            || paces_differ_significantly(&self.paces, &before.paces)
     }
 }
 
-/// Tells whether the paces of a good part of the workers have changed.
-fn are_news(now: &[StoredPace], then: &[StoredPace]) -> bool {
-    let then: BTreeMap<_, _> = then
+/// Returns whether the pace of a large enough part of the workers has changed.
+fn paces_differ_significantly(now: &[StoredPace], before: &[StoredPace]) -> bool {
+    let before: BTreeMap<_, _> = before
         .iter()
         .map(|pace| (&pace.worker, pace.factor_percent))
         .collect();
     let changed = now.iter().filter(|pace| {
-        let earlier = then.get(&pace.worker).copied().unwrap_or(USUAL_PERCENT);
+        let earlier = before.get(&pace.worker).copied().unwrap_or(TYPICAL_PERCENT);
         earlier.abs_diff(pace.factor_percent) > PACE_CHANGE_PERCENT
     });
     let changed = changed.count();
--- a/crates/stairstall-core/src/batch/run_time.rs
+++ b/crates/stairstall-core/src/batch/run_time.rs
@@ -11,7 +11,7 @@
 mod ratios;
 
 pub use kept::StoredRatios;
-pub(in crate::batch) use kept::is_news;
+pub(in crate::batch) use kept::differ_significantly;
 use ratios::{Curve, Ratios};
 
 /// Which part of the work takes no longer than its typical time.
--- a/crates/stairstall-core/src/batch/run_time/kept.rs
+++ b/crates/stairstall-core/src/batch/run_time/kept.rs
@@ -64,7 +64,7 @@
 }
 
 /// Tells whether a planner that reads `now` would know more than one that reads `then`.
-pub(in crate::batch) fn is_news(now: &[StoredRatios], then: &[StoredRatios]) -> bool {
+pub(in crate::batch) fn differ_significantly(now: &[StoredRatios], then: &[StoredRatios]) -> bool {
     now.iter().any(|kept| {
         let earlier = then.iter().find(|other| other.is_of(kept));
         earlier.is_none_or(|earlier| kept.says_else_than(earlier))
--- a/crates/stairstall-core/src/batch/scheduling.rs
+++ b/crates/stairstall-core/src/batch/scheduling.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is where there is too little room for all.
+//! Scheduling order of steps that compete for capacity.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,23 +10,23 @@
 pub use usage::{CustomerUsage, CustomerUsageTotal, FleetCapacity};
 pub use waiting::{WaitReason, WaitStatus};
 
-/// What a start now would still be worth to its caller.
+/// Whether work that starts now can still end in time for its caller.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Timeliness {
-    /// It can still be done by its objective.
+    /// It can still end by its objective.
     #[default]
     InTime,
-    /// It can still be done by its late bound.
+    /// It can only end after its objective, but by its late bound.
     Late,
-    /// Nobody waits for it any more.
+    /// It can only end after its late bound, when the result is of no use any more.
     Overdue,
 }
 
 impl Timeliness {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -37,21 +37,22 @@
     }
 }
 
-/// What decides between steps of one rank: the smaller comes first.
+/// Sort key of a step among the steps of its rank; the smallest key is scheduled first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SchedulingKey {
-    /// What it would still be worth.
+    /// Whether the step can still end in time.
     pub timeliness: Timeliness,
-    /// How much its customer has had lately beside its weight; 0 where customers are not compared.
+    /// Level of the customer's recent usage relative to its weight; 0 if customers are not
+    /// compared.
     pub usage_level: u64,
-    /// Until when it has to start to be worth that, in milliseconds since the Unix epoch.
+    /// Latest start at which the step keeps its timeliness, in milliseconds since the Unix epoch.
     pub start_by_unix_ms: u64,
-    /// Until when it should be done, in milliseconds since the Unix epoch.
+    /// Objective of the step, in milliseconds since the Unix epoch.
     pub objective_unix_ms: u64,
 }
 
 impl SchedulingKey {
-    /// The turn of the oldest aged step: nothing that is not urgent comes before it.
+    /// Key of the oldest aged step; it sorts before all other work that is not urgent.
     #[must_use]
     pub const fn aged() -> Self {
         Self {
@@ -62,19 +63,20 @@
         }
     }
 
-    /// Tells whether it is the turn of the oldest aged step.
+    /// Returns whether this is the key of the oldest aged step.
     #[must_use]
     pub const fn is_aged(&self) -> bool {
         self.start_by_unix_ms == 0
     }
 }
 
-/// Until when a caller wants a result.
+/// Time at which work becomes eligible, and the time after that by which its result should be
+/// there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CompletionObjective {
-    /// When it could first be worked on, in milliseconds since the Unix epoch.
+    /// When the work may first start, in milliseconds since the Unix epoch.
     pub eligible_unix_ms: u64,
-    /// From then to the objective, in milliseconds.
+    /// Time from then to the objective, in milliseconds.
     pub span_ms: u64,
 }
 
@@ -85,13 +87,15 @@
         self.eligible_unix_ms.saturating_add(self.span_ms)
     }
 
-    /// Returns until when a late result is still of use, in milliseconds since the Unix epoch.
+    /// Returns the latest time at which a result is still of use, in milliseconds since the Unix
+    /// epoch.
     #[must_use]
     pub const fn late_bound_unix_ms(&self, policy: &TurnPolicy) -> u64 {
         self.after_spans(policy.late_bound)
     }
 
-    /// Returns from when on it is aged, in milliseconds since the Unix epoch; none where nothing ages.
+    /// Returns the time from which the work counts as aged, in milliseconds since the Unix epoch;
+    /// `None` if aging is switched off.
     #[must_use]
     pub const fn aged_unix_ms(&self, policy: &TurnPolicy) -> Option<u64> {
         if policy.aged_after == 0 {
@@ -105,7 +109,8 @@
         self.eligible_unix_ms.saturating_add(wait_ms)
     }
 
-    /// Returns the turn of work that still takes `left_ms`, as if it started at `at_unix_ms`.
+    /// Returns the scheduling key of work that takes another `left_ms` and would start at
+    /// `at_unix_ms`.
     #[must_use]
     pub const fn scheduling_key(
         &self,
@@ -115,14 +120,14 @@
     ) -> SchedulingKey {
         let objective_unix_ms = self.objective_unix_ms();
         let late_bound_unix_ms = self.late_bound_unix_ms(policy);
-        let ends_unix_ms = at_unix_ms.saturating_add(left_ms);
+        let end_unix_ms = at_unix_ms.saturating_add(left_ms);
         let (timeliness, start_by_unix_ms) =
-            if !policy.by_timeliness || ends_unix_ms <= objective_unix_ms {
-                let start_by = objective_unix_ms.saturating_sub(left_ms);
-                (Timeliness::InTime, start_by)
-            } else if ends_unix_ms <= late_bound_unix_ms {
-                let start_by = late_bound_unix_ms.saturating_sub(left_ms);
-                (Timeliness::Late, start_by)
+            if !policy.by_timeliness || end_unix_ms <= objective_unix_ms {
+                let latest_start = objective_unix_ms.saturating_sub(left_ms);
+                (Timeliness::InTime, latest_start)
+            } else if end_unix_ms <= late_bound_unix_ms {
+                let latest_start = late_bound_unix_ms.saturating_sub(left_ms);
+                (Timeliness::Late, latest_start)
             } else {
                 (Timeliness::Overdue, self.eligible_unix_ms)
             };
@@ -135,11 +140,12 @@
     }
 }
 
-/// A step that has waited for longer than its caller ever would.
+/// A step that has waited past its aging limit, longer than any caller would wait. Sorts the oldest
+/// first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AgedStep {
-    /// Since when, in milliseconds since the Unix epoch; the oldest has its turn first.
+    /// Since when it has been aged, in milliseconds since the Unix epoch.
     pub since_unix_ms: u64,
-    /// The step.
+    /// Key of the step.
     pub key: GroupKey,
 }
--- a/crates/stairstall-core/src/batch/scheduling/usage.rs
+++ b/crates/stairstall-core/src/batch/scheduling/usage.rs
@@ -1,4 +1,4 @@
-//! What each customer has used lately.
+//! Recent resource usage of each customer, for fair sharing between customers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,13 +7,14 @@
 use crate::batch::{Resources, TurnPolicy};
 use crate::{CustomerId, Timestamp};
 
-/// A whole fleet, in millionths.
-const WHOLE_PPM: u64 = 1_000_000;
+/// The whole fleet, in millionths.
+const WHOLE_FLEET_PPM: u64 = 1_000_000;
 
-/// Use that makes no difference any more, in milliseconds of the whole fleet.
-const FORGOTTEN_MS: f64 = 0.5;
+/// Usage below which an account is dropped, in milliseconds of the whole fleet; so little makes no
+/// difference to the scheduling order.
+const NEGLIGIBLE_MS: f64 = 0.5;
 
-/// What all workers have together.
+/// Total resources of all workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FleetCapacity {
     cpu_millis: u64,
@@ -22,7 +23,7 @@
 }
 
 impl FleetCapacity {
-    /// Adds a worker.
+    /// Returns the capacity with one more worker.
     #[must_use]
     pub const fn plus(self, capacity: &Resources) -> Self {
         Self {
@@ -32,43 +33,44 @@
         }
     }
 
-    /// Returns the dominant share of `tasks` tasks: the largest of what they take of processors, memory
-    /// and accelerators, in millionths of the fleet.
+    /// Returns the dominant share of `tasks` tasks, in millionths: the largest of their shares of
+    /// the fleet's processors, memory and accelerators.
     #[must_use]
-    pub fn dominant_share_ppm(&self, room: &Resources, tasks: u64) -> u64 {
-        let share = |need: u32, has: u64| {
-            let taken = u64::from(need).saturating_mul(tasks);
-            taken
-                .saturating_mul(WHOLE_PPM)
-                .checked_div(has)
+    pub fn dominant_share_ppm(&self, per_task: &Resources, tasks: u64) -> u64 {
+        let share = |needed: u32, available: u64| {
+            let total = u64::from(needed).saturating_mul(tasks);
+            total
+                .saturating_mul(WHOLE_FLEET_PPM)
+                .checked_div(available)
                 .unwrap_or(0)
         };
-        share(room.cpu_millis, self.cpu_millis)
-            .max(share(room.memory_mb, self.memory_mb))
-            .max(share(room.accelerators, self.accelerators))
+        share(per_task.cpu_millis, self.cpu_millis)
+            .max(share(per_task.memory_mb, self.memory_mb))
+            .max(share(per_task.accelerators, self.accelerators))
     }
 }
 
-/// One customer's account, in milliseconds of the whole fleet.
+/// Usage account of one customer, in milliseconds of the whole fleet.
 #[derive(Debug, Clone, Copy, Default)]
 struct Account {
-    /// What was used up to `at`, with the decay up to then.
+    /// Usage up to `at`, decayed to that time.
     used_ms: f64,
     at: Timestamp,
-    /// What its running work still takes.
+    /// Usage still expected of its running work.
     committed_ms: f64,
 }
 
-/// What one customer has used lately and is committed to.
+/// Recent and committed usage of one customer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CustomerUsageTotal {
-    /// The customer; none for all that is nobody's.
+    /// The customer; `None` for all work without a customer.
     pub customer: Option<CustomerId>,
-    /// As time of the whole fleet, in milliseconds.
+    /// Usage in milliseconds of the whole fleet.
     pub used_ms: u64,
 }
 
-/// What each customer has used lately; who has no customer stands together.
+/// Recent usage of each customer, decaying with a half-life. Work without a customer shares one
+/// account.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerUsage {
     policy: TurnPolicy,
@@ -78,7 +80,7 @@
 }
 
 impl CustomerUsage {
-    /// Creates the account of a planner that has seen nobody.
+    /// Creates an instance without accounts.
     #[must_use]
     pub fn new(policy: TurnPolicy) -> Self {
         Self {
@@ -87,16 +89,18 @@
         }
     }
 
-    /// Begins a new charge of all that runs; returns for how long it is, or none where it is too soon.
+    /// Begins a new charge interval and clears all commitments. Returns the time since the previous
+    /// one, to be charged to all running work, or `None` if it is too early or fair sharing is
+    /// switched off.
     pub fn begin_charge_interval(
         &mut self,
         fleet: impl FnOnce() -> FleetCapacity,
         at: Timestamp,
     ) -> Option<Duration> {
-        let held = self
+        let interval = self
             .charged_at
             .map_or(Duration::ZERO, |charged| at - charged);
-        let is_due = self.charged_at.is_none() || held >= self.policy.usage_interval;
+        let is_due = self.charged_at.is_none() || interval >= self.policy.usage_interval;
         if !self.policy.fair_share || !is_due {
             return None;
         }
@@ -104,20 +108,20 @@
         self.fleet = fleet();
         let half_life = self.policy.usage_half_life;
         self.accounts
-            .retain(|_, account| account.decayed_ms(half_life, at) >= FORGOTTEN_MS);
+            .retain(|_, account| account.decayed_ms(half_life, at) >= NEGLIGIBLE_MS);
         for account in self.accounts.values_mut() {
             account.committed_ms = 0.0;
         }
-        Some(held)
+        Some(interval)
     }
 
-    /// Returns the fleet as it was at the last charge.
+    /// Returns the capacity of the fleet at the beginning of the current charge interval.
     #[must_use]
     pub const fn fleet(&self) -> &FleetCapacity {
         &self.fleet
     }
 
-    /// Adds what a customer holds, in millionths of the fleet, for a time.
+    /// Charges a customer for holding a share of the fleet, in millionths, for some time.
     pub fn charge(
         &mut self,
         customer: Option<&CustomerId>,
@@ -129,10 +133,10 @@
         let account = self.account(customer);
         account.used_ms = account.decayed_ms(half_life, at) + fleet_ms(share_ppm, held);
         account.at = at;
-        self.forget_least_used();
+        self.drop_least_used();
     }
 
-    /// Adds what work that runs, or is about to, will still take.
+    /// Adds the usage that is still expected of work that runs or is about to start.
     pub fn add_commitment(
         &mut self,
         customer: Option<&CustomerId>,
@@ -143,21 +147,22 @@
             return;
         }
         self.account(customer).committed_ms += fleet_ms(share_ppm, left);
-        self.forget_least_used();
+        self.drop_least_used();
     }
 
-    /// Returns what a customer has used lately and is committed to, in milliseconds of the whole fleet.
+    /// Returns the recent and committed usage of a customer, in milliseconds of the whole fleet.
     #[must_use]
     pub fn used_ms(&self, customer: Option<&CustomerId>, at: Timestamp) -> u64 {
         let account = self.accounts.get(&customer.cloned());
-        let used = account.map_or(0.0, |account| {
+        let used_ms = account.map_or(0.0, |account| {
             account.decayed_ms(self.policy.usage_half_life, at) + account.committed_ms
         });
-        whole(used)
+        as_whole_ms(used_ms)
     }
 
-    /// Returns in which step of use a customer's next work would be, where `before_ms` of its own
-    /// stands before that; 0 where customers are not compared.
+    /// Returns the usage level of a customer's next work, in steps of `usage_step`: its usage and
+    /// the `before_ms` of its own work that is scheduled first, divided by its weight. 0 if
+    /// customers are not compared.
     #[must_use]
     pub fn usage_level(&self, used_ms: u64, before_ms: u64, weight: u32) -> u64 {
         if !self.policy.fair_share {
@@ -167,14 +172,14 @@
         virtual_cost(used_ms.saturating_add(before_ms), weight) / step_ms
     }
 
-    /// Returns what work would take, in milliseconds of the whole fleet.
+    /// Returns the usage that tasks would add, in milliseconds of the whole fleet.
     #[must_use]
-    pub fn cost_ms(&self, room: &Resources, tasks: u64, takes: Duration) -> u64 {
-        whole(fleet_ms(self.fleet.dominant_share_ppm(room, tasks), takes))
+    pub fn cost_ms(&self, per_task: &Resources, tasks: u64, run_time: Duration) -> u64 {
+        let share_ppm = self.fleet.dominant_share_ppm(per_task, tasks);
+        as_whole_ms(fleet_ms(share_ppm, run_time))
     }
 
-    /// Returns what each customer would have used by now if all had used alike, in milliseconds of
-    /// the whole fleet.
+    /// Returns the mean usage of all customers with an account, in milliseconds of the whole fleet.
     #[must_use]
     pub fn mean_used_ms(&self, at: Timestamp) -> u64 {
         let customers = self.accounts.keys();
@@ -184,34 +189,34 @@
         sum.checked_div(self.accounts.len() as u64).unwrap_or(0)
     }
 
-    /// Returns the customers that have used most, the first of them first.
+    /// Returns the customers with the highest usage, highest first, at most `max`.
     #[must_use]
-    pub fn top_customers(&self, most: usize, at: Timestamp) -> Vec<CustomerUsageTotal> {
+    pub fn top_customers(&self, max: usize, at: Timestamp) -> Vec<CustomerUsageTotal> {
         let customers = self.accounts.keys().cloned();
-        let mut uses: Vec<CustomerUsageTotal> = customers
+        let mut totals: Vec<CustomerUsageTotal> = customers
             .map(|customer| CustomerUsageTotal {
                 used_ms: self.used_ms(customer.as_ref(), at),
                 customer,
             })
             .collect();
-        uses.sort_by(|a, b| (b.used_ms, &a.customer).cmp(&(a.used_ms, &b.customer)));
-        uses.truncate(most);
-        uses
+        totals.sort_by(|a, b| (b.used_ms, &a.customer).cmp(&(a.used_ms, &b.customer)));
+        totals.truncate(max);
+        totals
     }
 
-    /// Returns how many accounts are kept.
+    /// Returns the number of accounts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Tells whether nobody has used anything.
+    /// Returns whether there are no accounts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// Returns the policy.
+    /// Returns the policy in use.
     #[must_use]
     pub const fn policy(&self) -> &TurnPolicy {
         &self.policy
@@ -221,8 +226,9 @@
         self.accounts.entry(customer.cloned()).or_default()
     }
 
-    /// Keeps the accounts bounded: to forget the least used one changes least.
-    fn forget_least_used(&mut self) {
+    /// Bounds the number of accounts by dropping the one with the least usage, which distorts the
+    /// comparison least.
+    fn drop_least_used(&mut self) {
         if self.accounts.len() <= self.policy.max_customers as usize {
             return;
         }
@@ -250,14 +256,14 @@
     reason = "shares and times of work are far below 2^52"
 )]
 fn fleet_ms(share_ppm: u64, held: Duration) -> f64 {
-    share_ppm as f64 / WHOLE_PPM as f64 * held.as_secs_f64() * 1_000.0
+    share_ppm as f64 / WHOLE_FLEET_PPM as f64 * held.as_secs_f64() * 1_000.0
 }
 
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "it is not negative"
+    reason = "usage is never negative"
 )]
-const fn whole(ms: f64) -> u64 {
+const fn as_whole_ms(ms: f64) -> u64 {
     ms as u64
 }
--- a/crates/stairstall-core/src/batch/scheduling/waiting.rs
+++ b/crates/stairstall-core/src/batch/scheduling/waiting.rs
@@ -1,4 +1,4 @@
-//! Why a job waits, as operators and callers may be told.
+//! Why a job waits, as reported to operators and callers.
 
 use std::time::Duration;
 
@@ -7,22 +7,23 @@
 /// What a job waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
-    /// Its time has not come.
+    /// The time of its next scheduled occurrence.
     ScheduledTime,
-    /// An earlier step of its own.
+    /// An earlier step of the same job.
     EarlierStep,
-    /// Room: others come before it.
+    /// Capacity; other work is scheduled first.
     Capacity,
-    /// Room that is kept for it, expected to be free after so long.
+    /// Capacity reserved for it, which should be free after this time.
     ReservedCapacity(Duration),
-    /// Room that is kept for urgent work.
+    /// Capacity that is free but kept as headroom for urgent work.
     UrgentReserve,
-    /// Its places are kept; what they still hold is being stopped, or the record is being written.
+    /// Its start: it has placements, but runs are still being stopped there or the record is still
+    /// being stored.
     PendingStart,
 }
 
 impl WaitReason {
-    /// Returns the words used for operators.
+    /// Returns the text shown to operators.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -36,19 +37,19 @@
     }
 }
 
-/// Where a waiting job stands.
+/// Scheduling state of a waiting job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitStatus {
-    /// 0 for a claim on its customer's own share, 1 for other urgent work, then by priority.
+    /// Rank: 0 for a guaranteed job, 1 for other urgent work, then by priority.
     pub rank: u8,
-    /// What a start now would still be worth.
+    /// Whether the job can still end in time if it starts now.
     pub timeliness: Timeliness,
-    /// What its customer has used lately and is committed to, as time of the whole fleet.
+    /// Recent and committed usage of its customer, as time of the whole fleet.
     pub customer_usage: Duration,
-    /// What each customer would have used if all had used alike.
+    /// Mean usage of all customers, as time of the whole fleet.
     pub mean_usage: Duration,
-    /// For how long it could have started.
+    /// For how long it has been eligible to start.
     pub eligible_for: Duration,
-    /// What it waits for.
+    /// What the job waits for.
     pub reason: WaitReason,
 }
--- a/crates/stairstall-core/src/batch/timeline.rs
+++ b/crates/stairstall-core/src/batch/timeline.rs
@@ -1,4 +1,4 @@
-//! Where a job's time went.
+//! Accounting of where a job's time goes: phases, setbacks and the summary of an ended job.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,41 +10,41 @@
 use crate::time::millis;
 use crate::{CustomerId, JobId, Timestamp, ZoneId};
 
-/// What a job spent time on. Where its tasks are at different points, the least advanced counts.
+/// What a job spends time on. If its tasks are in different phases, the earliest phase counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobPhase {
-    /// From its acceptance until the planner knew of it, by the time of day.
+    /// Accepted, but not yet known to the planner, by wall-clock time.
     #[serde(rename = "known")]
     Accepted,
-    /// A task had no place.
+    /// A task has no placement.
     #[serde(rename = "room")]
     WaitingForCapacity,
-    /// A task had a place whose room others still had.
+    /// A task has a placement whose resources are still held by preempted runs.
     #[serde(rename = "stops")]
     WaitingForPreemption,
-    /// A task's place was not yet written down.
+    /// The placement of a task is not stored yet.
     #[serde(rename = "record")]
     RecordingPlacement,
-    /// A start was sent and not yet answered.
+    /// A start order was sent and has not been answered yet.
     #[serde(rename = "start")]
     Starting,
-    /// Everything ran, for the first time.
+    /// All tasks run, and there was no setback before.
     #[serde(rename = "run")]
     Running,
-    /// Everything ran, after a setback.
+    /// All tasks run again after a setback.
     #[serde(rename = "rerun")]
     Rerunning,
-    /// A worker that had a run of it did not answer.
+    /// A worker with a run of the job does not answer.
     #[serde(rename = "silent")]
     WorkerSilent,
-    /// It had ended, and that was not yet written down.
+    /// The job has ended and its outcome is not stored yet.
     #[serde(rename = "write")]
     RecordingOutcome,
 }
 
 impl JobPhase {
-    /// All of them, in the order of a job's life.
+    /// All phases, in the order in which a job passes through them.
     pub const ALL: [Self; 9] = [
         Self::Accepted,
         Self::WaitingForCapacity,
@@ -57,7 +57,7 @@
         Self::RecordingOutcome,
     ];
 
-    /// Returns the word used in logs and figures.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -74,30 +74,30 @@
     }
 }
 
-/// What made a task of a job start again, or look for another place.
+/// Why a task of a job had to start again or needed another placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Setback {
     /// A run failed.
     Failed,
-    /// A run lapsed, or was lost with its worker.
+    /// The lease of a run expired, or the run was lost with its worker.
     Lost,
-    /// A run gave way to work of a higher rank.
+    /// A run was preempted by work of a better rank.
     #[serde(rename = "gave-way")]
     Preempted,
-    /// A run stood still or was slow.
+    /// A run stalled or was a straggler.
     Stalled,
-    /// A run's worker left.
+    /// The worker of a run left.
     WorkerLeft,
-    /// A start was refused or not answered.
+    /// A start order was refused or not answered.
     NotStarted,
-    /// A place was given up before its room was free.
+    /// A placement was abandoned before its resources were free.
     #[serde(rename = "place-given-up")]
     PlacementAbandoned,
 }
 
 impl Setback {
-    /// Returns the word used in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -112,17 +112,17 @@
     }
 }
 
-/// How often each setback happened.
+/// Number of setbacks by cause.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Setbacks(BTreeMap<Setback, u32>);
 
 impl Setbacks {
-    /// Counts one.
+    /// Counts one setback.
     pub fn note(&mut self, setback: Setback) {
         *self.0.entry(setback).or_default() += 1;
     }
 
-    /// Tells whether there was none.
+    /// Returns whether there was no setback.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -130,7 +130,7 @@
 }
 
 impl fmt::Display for Setbacks {
-    /// Writes them as `failed:1,gave-way:2`, or `none`.
+    /// Formats the counts as `failed:1,gave-way:2`, or `none`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
             return f.write_str("none");
@@ -143,120 +143,124 @@
     }
 }
 
-/// A job's time so far as it is written down, so that a later planner can go on with it.
+/// Timeline of a job in the form in which it is stored, so that a later planner can continue it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredTimeline {
-    /// What time was spent on, in milliseconds.
+    /// Time spent in each phase, in milliseconds.
     #[serde(
         rename = "spans_ms",
         default,
         skip_serializing_if = "BTreeMap::is_empty"
     )]
     pub phases_ms: BTreeMap<JobPhase, u64>,
-    /// What it spent time on when this was written.
+    /// Phase of the job when this was stored.
     #[serde(rename = "span", default, skip_serializing_if = "Option::is_none")]
     pub phase: Option<JobPhase>,
-    /// When this was written, in milliseconds since the Unix epoch.
+    /// When this was stored, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// Time that everything ran since the last setback, in milliseconds.
+    /// Time for which all tasks have run since the last setback, in milliseconds.
     #[serde(default)]
     pub work_ms: u64,
-    /// Starts that were sent.
+    /// Number of start orders sent.
     #[serde(default)]
     pub starts: u32,
-    /// What went wrong.
+    /// Setbacks so far.
     #[serde(default)]
     pub setbacks: Setbacks,
 }
 
-/// A job's time so far.
+/// Timeline of a job that the planner has in memory.
 #[derive(Debug, Clone, Default)]
 pub(super) struct JobTimeline {
-    now_at: Option<(JobPhase, Timestamp)>,
-    spans: BTreeMap<JobPhase, Duration>,
-    /// Time that everything ran since the last setback.
+    /// The current phase and when it began.
+    current: Option<(JobPhase, Timestamp)>,
+    phases: BTreeMap<JobPhase, Duration>,
+    /// Time for which all tasks have run since the last setback.
     work: Duration,
-    /// Whether there was a setback in the present span, whose work does not count.
-    is_void: bool,
+    /// Whether there was a setback in the current phase, so that its time does not count as work.
+    has_setback_in_phase: bool,
     setbacks: Setbacks,
     pub(super) starts: u32,
-    /// Whether an earlier planner had the job: what happened after its last write is not known.
+    /// Whether an earlier planner had the job: what happened after its last write is unknown.
     pub(super) taken_over: bool,
-    is_told: bool,
+    is_reported: bool,
 }
 
 impl JobTimeline {
-    pub(super) fn add_time(&mut self, span: JobPhase, spent: Duration) {
-        *self.spans.entry(span).or_default() += spent;
-        let is_void = std::mem::take(&mut self.is_void);
-        if matches!(span, JobPhase::Running | JobPhase::Rerunning) && !is_void {
+    pub(super) fn add_time(&mut self, phase: JobPhase, spent: Duration) {
+        *self.phases.entry(phase).or_default() += spent;
+        let had_setback = std::mem::take(&mut self.has_setback_in_phase);
+        if matches!(phase, JobPhase::Running | JobPhase::Rerunning) && !had_setback {
             self.work += spent;
         }
     }
 
-    /// Counts a setback: what ran has to run again.
+    /// Counts a setback; work done so far has to be repeated.
     pub(super) fn record_setback(&mut self, setback: Setback) {
         self.setbacks.note(setback);
         self.work = Duration::ZERO;
-        self.is_void = self.now_at.is_some();
+        self.has_setback_in_phase = self.current.is_some();
     }
 
-    /// Goes on to a span; none where nothing is to be waited for.
-    pub(super) fn enter_phase(&mut self, span: Option<JobPhase>, at: Timestamp) {
-        if let Some((before, since)) = self.now_at {
-            if span == Some(before) {
+    /// Switches to another phase; `None` if the job waits for nothing.
+    pub(super) fn enter_phase(&mut self, phase: Option<JobPhase>, at: Timestamp) {
+        if let Some((before, since)) = self.current {
+            if phase == Some(before) {
                 return;
             }
             self.add_time(before, at - since);
         }
-        self.now_at = span.map(|span| (span, at));
+        self.current = phase.map(|phase| (phase, at));
     }
 
-    /// Returns what is written down of it.
+    /// Returns the form in which the timeline is stored.
     pub(super) fn to_stored(&self, now: Now) -> StoredTimeline {
-        let mut whole = self.clone();
-        whole.enter_phase(None, now.at);
-        let spans = whole.spans.iter();
+        let mut closed = self.clone();
+        closed.enter_phase(None, now.at);
+        let phases = closed.phases.iter();
         StoredTimeline {
-            phases_ms: spans.map(|(span, spent)| (*span, millis(*spent))).collect(),
-            phase: self.now_at.map(|(span, _)| span),
+            phases_ms: phases
+                .map(|(phase, spent)| (*phase, millis(*spent)))
+                .collect(),
+            phase: self.current.map(|(phase, _)| phase),
             at_unix_ms: now.unix_ms,
-            work_ms: millis(whole.work),
+            work_ms: millis(closed.work),
             starts: self.starts,
             setbacks: self.setbacks.clone(),
         }
     }
 
-    /// Goes on with what an earlier planner wrote down. A place is written before it is used, so
-    /// that with places the time since then counts as running, else as more of the same.
-    pub(super) fn restore(kept: &StoredTimeline, has_places: bool, now: Now) -> Self {
-        let spans = kept.phases_ms.iter();
-        let mut story = Self {
-            now_at: None,
-            spans: spans
-                .map(|(span, ms)| (*span, Duration::from_millis(*ms)))
+    /// Continues the timeline that an earlier planner stored. Placements are stored before they are
+    /// used, so with placements the time since then counts as running, and otherwise as the stored
+    /// phase.
+    pub(super) fn restore(stored: &StoredTimeline, has_placements: bool, now: Now) -> Self {
+        let phases = stored.phases_ms.iter();
+        let mut timeline = Self {
+            current: None,
+            phases: phases
+                .map(|(phase, ms)| (*phase, Duration::from_millis(*ms)))
                 .collect(),
-            work: Duration::from_millis(kept.work_ms),
-            is_void: false,
-            setbacks: kept.setbacks.clone(),
-            starts: kept.starts,
+            work: Duration::from_millis(stored.work_ms),
+            has_setback_in_phase: false,
+            setbacks: stored.setbacks.clone(),
+            starts: stored.starts,
             taken_over: true,
-            is_told: false,
+            is_reported: false,
         };
-        let span = if has_places {
-            Some(story.running_phase())
+        let phase = if has_placements {
+            Some(timeline.running_phase())
         } else {
-            kept.phase
+            stored.phase
         };
-        if let Some(span) = span {
-            let since = now.unix_ms.saturating_sub(kept.at_unix_ms);
-            story.add_time(span, Duration::from_millis(since));
-            story.now_at = Some((span, now.at));
+        if let Some(phase) = phase {
+            let since = now.unix_ms.saturating_sub(stored.at_unix_ms);
+            timeline.add_time(phase, Duration::from_millis(since));
+            timeline.current = Some((phase, now.at));
         }
-        story
+        timeline
     }
 
-    /// Returns the span that a job is in whose tasks all run.
+    /// Returns the phase of a job whose tasks all run.
     pub(super) fn running_phase(&self) -> JobPhase {
         if self.setbacks.is_empty() {
             JobPhase::Running
@@ -265,64 +269,64 @@
         }
     }
 
-    /// Tells, once, that the story is over.
+    /// Marks the summary of the job as reported; returns whether it was not reported before.
     pub(super) const fn mark_reported(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_told, true)
+        !std::mem::replace(&mut self.is_reported, true)
     }
 
     pub(super) fn phases(&self) -> BTreeMap<JobPhase, Duration> {
-        self.spans.clone()
+        self.phases.clone()
     }
 
     pub(super) fn setbacks(&self) -> Setbacks {
         self.setbacks.clone()
     }
 
-    /// Returns how long everything ran since the last setback.
+    /// Returns for how long all tasks have run since the last setback.
     pub(super) const fn work(&self) -> Duration {
         self.work
     }
 }
 
-/// Where the time of an ended job went.
+/// Summary of an ended job: its outcome, the time spent in each phase and its setbacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSummary {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its queue.
+    /// Name of the job's queue.
     pub queue: String,
-    /// Its queue's priority; 0 is urgent.
+    /// Priority of the queue; 0 is urgent.
     pub priority: u8,
-    /// Whose it was.
+    /// Customer that the job belongs to, if any.
     pub customer: Option<CustomerId>,
-    /// The zone that it was handed in at.
+    /// Zone that the job was submitted to.
     pub zone: Option<ZoneId>,
-    /// How it ended.
+    /// How the job ended.
     pub outcome: Outcome,
-    /// From its acceptance until its end was written down, by the time of day.
+    /// Time from the job's acceptance until its outcome was stored, by wall-clock time.
     pub total: Duration,
-    /// Time that everything ran after the last setback: the work as it turned out.
+    /// Time for which all tasks ran after the last setback: the actual duration of the work.
     pub work: Duration,
-    /// The longest chain of its steps, as its caller estimates it.
+    /// Length of the critical path through the steps, by the caller's estimates.
     pub estimate: Duration,
-    /// Within what time of its acceptance it should have been shown, by that work.
+    /// Target for the time from acceptance to the result, derived from `work`.
     pub target: Duration,
-    /// What it was spent on, as far as this planner saw it.
+    /// Time spent in each phase, as far as this planner observed it.
     pub phases: BTreeMap<JobPhase, Duration>,
-    /// Starts that were sent.
+    /// Number of start orders sent.
     pub starts: u32,
-    /// What went wrong on the way.
+    /// Setbacks by cause.
     pub setbacks: Setbacks,
-    /// Whether an earlier planner had the job: what happened between its last write and the first
-    /// look of the next planner counts as more of the same.
+    /// Whether an earlier planner had the job. The time between the last write of that planner and
+    /// the takeover counts as the phase in which the job was taken over.
     pub taken_over: bool,
 }
 
 impl JobSummary {
-    /// Returns the time spent on something, in milliseconds.
+    /// Returns the time spent in a phase, in milliseconds.
     #[must_use]
-    pub fn phase_ms(&self, span: JobPhase) -> u64 {
-        let spent = self.phases.get(&span).copied().unwrap_or_default();
+    pub fn phase_ms(&self, phase: JobPhase) -> u64 {
+        let spent = self.phases.get(&phase).copied().unwrap_or_default();
         millis(spent)
     }
 }
