--- a/crates/stairstall-core/src/batch/worker_pace.rs
+++ b/crates/stairstall-core/src/batch/worker_pace.rs
@@ -1,4 +1,4 @@
-//! How fast workers are beside each other, learnt from what runs there do.
+//! Pace of each worker relative to the others, learned from the progress of its runs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,46 +9,48 @@
 
 use super::{GroupKey, WorkerPacePolicy};
 
+mod baseline;
 mod estimate;
-mod level;
-
-use estimate::{Estimate, Sample, UNKNOWN_VARIANCE, percent};
-use level::{Level, Levels};
-pub use level::{ProgressSample, RunProgress};
-
-/// Workers that are known at most; others are of usual pace.
-const MOST_WORKERS: usize = 4_096;
-/// Paces that are written down at most: some 100 bytes each.
-const MOST_KEPT: usize = 512;
-/// Workers that must differ, whatever the size of the fleet, for it to be uneven.
-const LEAST_UNEVEN: usize = 3;
-/// Workers from which on a median says what is usual.
-const LEAST_FOR_USUAL: usize = 8;
-/// Part of the way that what counts as usual is drawn to the median at a time: a median of two kinds
-/// of workers may jump from one to the other.
-const DRAWN_TO_USUAL: f64 = 0.1;
-/// Variance of the logarithm of a time beside what its queue's work should take: a half and more.
-const REFERENCE_VARIANCE: f64 = 0.25;
-/// What samples beside such a time can't say better together: never enough to rely on.
-const REFERENCE_FLOOR: f64 = 0.12;
-
-/// How many times as long work takes at a worker as at one of usual pace.
+
+use baseline::{Baseline, Baselines};
+pub use baseline::{ProgressSample, RunProgress};
+use estimate::{Estimate, PaceSample, UNKNOWN_VARIANCE, percent};
+
+/// Maximum number of workers with an estimate; all others count as of typical pace.
+const MAX_WORKERS: usize = 4_096;
+/// Maximum number of paces that are stored, at about 100 bytes each.
+const MAX_STORED: usize = 512;
+/// Number of differing workers below which a fleet of any size counts as homogeneous.
+const MIN_DIFFERING_WORKERS: usize = 3;
+/// Number of workers from which the median of their paces is taken as the typical pace.
+const MIN_WORKERS_FOR_MEDIAN: usize = 8;
+/// Part of the distance to the median by which the typical pace moves at each recentering. With two
+/// kinds of workers, the median may jump from one kind to the other.
+const RECENTERING_RATE: f64 = 0.1;
+/// Variance of the logarithm of a run's time relative to the expected time of its queue's work,
+/// which is off by half or more.
+const EXPECTED_TIME_VARIANCE: f64 = 0.25;
+/// Lowest variance that samples relative to an expected time can reach, however many there are. It
+/// is too high for a pace to count as known.
+const EXPECTED_TIME_VARIANCE_FLOOR: f64 = 0.12;
+
+/// Pace of a worker: how many times as long work takes there as at a worker of typical pace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WorkerPace {
-    /// 1 is usual, more is slower; exactly 1 where no difference is sure.
+    /// 1 is typical, more is slower; exactly 1 if no difference is certain.
     pub factor: f64,
-    /// Whether enough is known of the worker to rely on it.
+    /// Whether there is enough evidence to rely on the factor.
     pub is_known: bool,
 }
 
 impl WorkerPace {
-    /// Of a worker that nothing is known of.
+    /// Pace of a worker without any evidence.
     pub const UNKNOWN: Self = Self {
         factor: 1.0,
         is_known: false,
     };
 
-    /// Returns how long work takes there that takes `usual_ms` elsewhere.
+    /// Returns how long work takes at this worker that takes `typical_ms` at one of typical pace.
     #[must_use]
     #[allow(
         clippy::cast_possible_truncation,
@@ -56,19 +58,19 @@
         clippy::cast_precision_loss,
         reason = "milliseconds of work are far below 2^52"
     )]
-    pub fn scale_ms(&self, usual_ms: u64) -> u64 {
-        (usual_ms as f64 * self.factor) as u64
+    pub fn scale_ms(&self, typical_ms: u64) -> u64 {
+        (typical_ms as f64 * self.factor) as u64
     }
 
-    /// Tells whether it is known to take longer than usual.
+    /// Returns whether the worker is known to be slower than typical.
     #[must_use]
     pub fn is_slow(&self) -> bool {
         self.factor > 1.0
     }
 
-    /// Tells whether it is known to differ from the usual pace.
+    /// Returns whether the worker is known to differ from the typical pace.
     #[must_use]
-    #[allow(clippy::float_cmp, reason = "it is exactly 1 where nothing is known")]
+    #[allow(clippy::float_cmp, reason = "it is exactly 1 without evidence")]
     pub fn differs_from_typical(&self) -> bool {
         self.factor != 1.0
     }
@@ -80,45 +82,45 @@
     }
 }
 
-/// What is written down of a worker's pace, for a planner that follows.
+/// Pace of a worker in the form in which it is stored for the next planner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredPace {
-    /// Which worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// How long work takes there, in percent of the usual time.
+    /// How long work takes there, in percent of the typical time.
     pub factor_percent: u16,
-    /// How sure that is: the deviation of its logarithm, in hundredths.
+    /// Uncertainty of the factor: the standard deviation of its logarithm, in hundredths.
     pub spread_percent: u16,
-    /// How many runs have told of it, at most 255.
+    /// Number of runs that it was learned from, at most 255.
     pub runs: u8,
 }
 
-/// How many workers are known, and how.
+/// Number of workers of known pace, and how they differ.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PaceSummary {
-    /// Workers whose pace is known.
+    /// Workers of known pace.
     pub known: usize,
-    /// Workers that are surely slower than usual.
+    /// Workers that are certainly slower than typical.
     pub slow: usize,
-    /// Workers that are surely faster than usual.
+    /// Workers that are certainly faster than typical.
     pub fast: usize,
-    /// Whether so many differ that places are chosen by it.
+    /// Whether enough workers differ for placements to be chosen by pace.
     pub is_heterogeneous: bool,
 }
 
-/// What is known of the pace of all workers.
+/// Learned paces of all workers.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerPaces {
     policy: WorkerPacePolicy,
     workers: HashMap<WorkerId, Estimate>,
-    levels: Levels,
+    baselines: Baselines,
     summary: PaceSummary,
-    /// Whether it has said that a run told nonsense.
-    has_complained: bool,
+    /// Whether an invalid sample was already logged.
+    has_logged_invalid: bool,
 }
 
 impl WorkerPaces {
-    /// Creates the knowledge of a planner that has seen no run.
+    /// Creates an instance without any evidence.
     #[must_use]
     pub fn new(policy: WorkerPacePolicy) -> Self {
         Self {
@@ -127,73 +129,78 @@
         }
     }
 
-    /// Returns the pace of a worker as far as it is known.
+    /// Returns the pace of a worker, or [`WorkerPace::UNKNOWN`] without evidence or with learning
+    /// switched off.
     #[must_use]
     pub fn pace(&self, worker: &WorkerId, at: Timestamp) -> WorkerPace {
         let Some(estimate) = self.workers.get(worker).filter(|_| self.is_enabled()) else {
             return WorkerPace::UNKNOWN;
         };
         WorkerPace {
-            factor: estimate.differing(at, &self.policy).unwrap_or(1.0),
+            factor: estimate.significant_factor(at, &self.policy).unwrap_or(1.0),
             is_known: estimate.is_known(at, &self.policy),
         }
     }
 
-    /// Learns from the runs of one step's tasks, each of which works alone.
+    /// Learns from the runs of one step whose tasks work independently.
     ///
-    /// All that get on are to be named, also those of which nothing is new: they tell how long the
-    /// step's work takes.
+    /// `runs` has to contain all runs that make progress, including those without a new sample:
+    /// they determine how long the step's work takes.
     pub fn learn_from_step(&mut self, step: &GroupKey, runs: &[RunProgress<'_>], at: Timestamp) {
         if !self.is_enabled() {
             return;
         }
-        let level = self.level_of(step, runs, at);
+        let baseline = self.baseline_of(step, runs, at);
         for run in runs {
-            let Some(stretch) = run.sample else {
+            let Some(progress) = run.sample else {
                 continue;
             };
-            if self.is_nonsense(&stretch) {
+            if self.is_invalid(&progress) {
                 continue;
             }
-            match level {
-                Some(level) => self.learn(run.worker, &stretch.beside(&level, &self.policy), at),
-                None => self.learn_beside(run.worker, &stretch, run.expected, at),
+            match baseline {
+                Some(baseline) => {
+                    let sample = progress.relative_to(&baseline, &self.policy);
+                    self.learn(run.worker, &sample, at);
+                }
+                None => self.learn_from_expected(run.worker, &progress, run.expected, at),
             }
         }
     }
 
-    /// Learns from a gang that has ended, which went at the pace of its slowest member.
+    /// Learns from a gang that has ended; a gang runs at the pace of its slowest member.
     pub fn learn_from_gang(
         &mut self,
         members: &[&WorkerId],
-        stretch: &ProgressSample,
-        usual: Duration,
+        progress: &ProgressSample,
+        expected: Duration,
         at: Timestamp,
     ) {
-        if !self.is_enabled() || self.is_nonsense(stretch) || usual.is_zero() {
+        if !self.is_enabled() || self.is_invalid(progress) || expected.is_zero() {
             return;
         }
-        let sample = sample_beside(stretch, usual);
-        for id in self.told_of_by(members, &sample, at) {
+        let sample = relative_to_expected(progress, expected);
+        for id in self.members_to_update(members, &sample, at) {
             self.learn(id, &sample, at);
         }
     }
 
-    /// Names the members of a gang of which its time says something: those that can't be as slow as
-    /// was thought, and one that isn't known where all others are known to be faster.
-    fn told_of_by<'a>(
+    /// Returns the members of a gang that its time is evidence for: those that can't be as slow as
+    /// estimated, and a single member of unknown pace if the gang was slow and all others are
+    /// faster.
+    fn members_to_update<'a>(
         &self,
         members: &[&'a WorkerId],
-        sample: &Sample,
+        sample: &PaceSample,
         at: Timestamp,
     ) -> Vec<&'a WorkerId> {
         let ln_of = |id: &WorkerId| self.workers.get(id).map_or(0.0, Estimate::ln);
         let is_known = |id: &WorkerId| {
             let estimate = self.workers.get(id);
-            estimate.is_some_and(|known| known.is_known(at, &self.policy))
+            estimate.is_some_and(|estimate| estimate.is_known(at, &self.policy))
         };
         let all = members.iter().copied();
-        let mut told: Vec<&WorkerId> = all.clone().filter(|id| ln_of(id) > sample.ln).collect();
+        let mut updated: Vec<&WorkerId> = all.clone().filter(|id| ln_of(id) > sample.ln).collect();
         let unknown: Vec<&WorkerId> = all.clone().filter(|id| !is_known(id)).collect();
         let is_slow = sample.ln >= percent(self.policy.slow_percent).ln();
         let are_faster = all.clone().all(|id| ln_of(id) < sample.ln / 2.0);
@@ -201,186 +208,189 @@
             && is_slow
             && are_faster
         {
-            told.push(only);
+            updated.push(only);
         }
-        told
+        updated
     }
 
-    /// Draws what counts as usual to the median, and counts what is known.
+    /// Moves the typical pace toward the median of the workers' paces and updates the summary.
     pub fn recenter(&mut self, at: Timestamp) {
         if !self.is_enabled() || self.workers.is_empty() {
             return;
         }
-        self.levels.forget_old(at);
+        self.baselines.remove_expired(at);
         let policy = self.policy;
-        let told = self.workers.values().filter(|w| w.is_told(&policy));
-        let mut lns: Vec<f64> = told.map(Estimate::ln).collect();
-        if lns.len() >= LEAST_FOR_USUAL {
+        let known = self.workers.values().filter(|w| w.was_known(&policy));
+        let mut lns: Vec<f64> = known.map(Estimate::ln).collect();
+        if lns.len() >= MIN_WORKERS_FOR_MEDIAN {
             let middle = lns.len() / 2;
             let (_, median, _) = lns.select_nth_unstable_by(middle, f64::total_cmp);
-            let by = *median * DRAWN_TO_USUAL;
+            let by = *median * RECENTERING_RATE;
             self.workers.values_mut().for_each(|w| w.shift(by));
-            self.levels.shift(by);
+            self.baselines.shift(by);
         }
-        self.summary = self.count(at);
+        self.summary = self.summarize(at);
     }
 
-    fn count(&self, at: Timestamp) -> PaceSummary {
+    fn summarize(&self, at: Timestamp) -> PaceSummary {
         let mut summary = PaceSummary::default();
         let late = percent(self.policy.late_pace_percent);
-        let mut late_by_pace = 0;
+        let mut strongly_differing = 0;
         for estimate in self.workers.values() {
-            let differing = estimate.differing(at, &self.policy);
+            let factor = estimate.significant_factor(at, &self.policy);
             summary.known += usize::from(estimate.is_known(at, &self.policy));
-            summary.slow += usize::from(differing.is_some_and(|factor| factor > 1.0));
-            summary.fast += usize::from(differing.is_some_and(|factor| factor < 1.0));
+            summary.slow += usize::from(factor.is_some_and(|factor| factor > 1.0));
+            summary.fast += usize::from(factor.is_some_and(|factor| factor < 1.0));
             let is_late = |factor: f64| factor >= late || factor <= 1.0 / late;
-            late_by_pace += usize::from(differing.is_some_and(is_late));
+            strongly_differing += usize::from(factor.is_some_and(is_late));
         }
-        let differ = if summary.known <= usize::from(self.policy.small_fleet_workers) {
+        let differing = if summary.known <= usize::from(self.policy.small_fleet_workers) {
             summary.slow + summary.fast
         } else {
-            late_by_pace
+            strongly_differing
         };
-        let least = summary.known * usize::from(self.policy.heterogeneous_percent) / 100;
-        // Not to go to and fro at the threshold.
-        let least = if self.summary.is_heterogeneous {
-            least / 2
+        let threshold = summary.known * usize::from(self.policy.heterogeneous_percent) / 100;
+        // Hysteresis, so that the result does not alternate at the threshold.
+        let threshold = if self.summary.is_heterogeneous {
+            threshold / 2
         } else {
-            least
+            threshold
         };
-        summary.is_heterogeneous = differ >= least.max(LEAST_UNEVEN);
+        summary.is_heterogeneous = differing >= threshold.max(MIN_DIFFERING_WORKERS);
         summary
     }
 
-    /// Returns how many workers were known when it was last brought up to date.
+    /// Returns the summary as of the last recentering or restore.
     #[must_use]
     pub const fn summary(&self) -> PaceSummary {
         self.summary
     }
 
-    /// Tells whether workers are seen to be so unlike that places are to be chosen by it.
+    /// Returns whether workers differ enough for placements to be chosen by pace.
     #[must_use]
     pub const fn is_heterogeneous(&self) -> bool {
         self.policy.enabled && self.summary.is_heterogeneous
     }
 
-    /// Returns the policy.
+    /// Returns the policy in use.
     #[must_use]
     pub const fn policy(&self) -> &WorkerPacePolicy {
         &self.policy
     }
 
-    /// Returns what a planner that follows should know: the workers that surely differ, then those
-    /// that are surely usual, as many as may be written down.
+    /// Returns the paces to store for the next planner: the workers that certainly differ, then
+    /// those that are certainly typical, up to the maximum number.
     #[must_use]
     pub fn to_stored(&self, at: Timestamp) -> Vec<StoredPace> {
         let policy = &self.policy;
         let known = self.workers.iter();
         let known =
             known.filter(|(_, estimate)| self.is_enabled() && estimate.is_known(at, policy));
-        let mut kept: Vec<(bool, StoredPace)> = known
+        let mut stored: Vec<(bool, StoredPace)> = known
             .map(|(id, estimate)| {
-                let is_usual = estimate.differing(at, policy).is_none();
-                (is_usual, estimate.kept(id, at, policy))
+                let is_typical = estimate.significant_factor(at, policy).is_none();
+                (is_typical, estimate.stored(id, at, policy))
             })
             .collect();
-        kept.sort_by(|a, b| (a.0, &a.1.worker).cmp(&(b.0, &b.1.worker)));
-        kept.truncate(MOST_KEPT);
-        kept.into_iter().map(|(_, pace)| pace).collect()
+        stored.sort_by(|a, b| (a.0, &a.1.worker).cmp(&(b.0, &b.1.worker)));
+        stored.truncate(MAX_STORED);
+        stored.into_iter().map(|(_, pace)| pace).collect()
     }
 
-    /// Takes what an earlier planner wrote down so long ago. What this one has seen itself stands; nonsense
-    /// is left out.
-    pub fn restore(&mut self, kept: Vec<StoredPace>, age: Duration, at: Timestamp) {
+    /// Adopts paces that an earlier planner stored `age` ago. Estimates of this planner take
+    /// precedence; invalid entries are skipped.
+    pub fn restore(&mut self, stored: Vec<StoredPace>, age: Duration, at: Timestamp) {
         if !self.is_enabled() {
             return;
         }
-        for pace in kept.into_iter().take(MOST_KEPT) {
-            let Some(estimate) = Estimate::restored(&pace, age, at, &self.policy) else {
+        for pace in stored.into_iter().take(MAX_STORED) {
+            let Some(estimate) = Estimate::from_stored(&pace, age, at, &self.policy) else {
                 continue;
             };
-            if self.workers.len() < MOST_WORKERS {
+            if self.workers.len() < MAX_WORKERS {
                 self.workers.entry(pace.worker).or_insert(estimate);
             }
         }
-        self.summary = self.count(at);
+        self.summary = self.summarize(at);
     }
 
-    /// Takes word that another life of a worker has begun.
+    /// Records that a worker has restarted, which makes its estimate less certain.
     pub fn record_restart(&mut self, worker: &WorkerId, at: Timestamp) {
         if let Some(estimate) = self.workers.get_mut(worker) {
-            estimate.begin_life(at, &self.policy);
+            estimate.record_restart(at, &self.policy);
         }
     }
 
-    /// Forgets a worker that is gone.
+    /// Removes a worker that no longer exists.
     pub fn forget(&mut self, worker: &WorkerId) {
         self.workers.remove(worker);
     }
 
-    /// Tells whether paces are learnt and used.
+    /// Returns whether paces are learned and used.
     #[must_use]
     pub const fn is_enabled(&self) -> bool {
         self.policy.enabled
     }
 
-    /// Returns the level of a step's work as far as its runs, or those that were seen before, tell.
-    fn level_of(
+    /// Returns the baseline of a step from its runs, or the one found earlier if that is more
+    /// certain.
+    fn baseline_of(
         &mut self,
         step: &GroupKey,
         runs: &[RunProgress<'_>],
         at: Timestamp,
-    ) -> Option<Level> {
-        let parts = runs.iter().filter_map(|run| {
-            let known = self.workers.get(run.worker);
-            let ln = known.map_or(0.0, Estimate::ln);
-            let variance = known.map_or(UNKNOWN_VARIANCE, |w| w.variance(at, &self.policy));
-            run.part(ln, variance)
+    ) -> Option<Baseline> {
+        let evidence = runs.iter().filter_map(|run| {
+            let estimate = self.workers.get(run.worker);
+            let ln = estimate.map_or(0.0, Estimate::ln);
+            let variance = estimate.map_or(UNKNOWN_VARIANCE, |w| w.variance(at, &self.policy));
+            run.baseline_evidence(ln, variance)
         });
-        let found = Level::of(parts.collect(), &self.policy);
-        self.levels.take(step, found, at)
+        let found = Baseline::from_evidence(evidence.collect(), &self.policy);
+        self.baselines.update(step, found, at)
     }
 
-    /// Learns from a run beside what work like it should take, which says little.
-    fn learn_beside(
+    /// Learns from a run relative to the expected time of such work, which is weak evidence.
+    fn learn_from_expected(
         &mut self,
         worker: &WorkerId,
-        stretch: &ProgressSample,
-        usual: Duration,
+        progress: &ProgressSample,
+        expected: Duration,
         at: Timestamp,
     ) {
-        if !usual.is_zero() {
-            self.learn(worker, &sample_beside(stretch, usual), at);
+        if !expected.is_zero() {
+            self.learn(worker, &relative_to_expected(progress, expected), at);
         }
     }
 
-    fn learn(&mut self, worker: &WorkerId, sample: &Sample, at: Timestamp) {
+    fn learn(&mut self, worker: &WorkerId, sample: &PaceSample, at: Timestamp) {
         let policy = self.policy;
         if let Some(estimate) = self.workers.get_mut(worker) {
             estimate.learn(sample, at, &policy);
-        } else if self.workers.len() < MOST_WORKERS {
+        } else if self.workers.len() < MAX_WORKERS {
             let mut estimate = Estimate::unknown(at);
             estimate.learn(sample, at, &policy);
             self.workers.insert(worker.clone(), estimate);
         }
     }
 
-    fn is_nonsense(&mut self, stretch: &ProgressSample) -> bool {
-        let is_nonsense = !stretch.is_sound();
-        if is_nonsense && !std::mem::replace(&mut self.has_complained, true) {
-            log::debug!(target: "planner", "a run told no sound progress; nothing is learnt from such");
+    /// Returns whether a sample can't be learned from; logs only the first such sample.
+    fn is_invalid(&mut self, progress: &ProgressSample) -> bool {
+        let is_invalid = !progress.is_valid();
+        if is_invalid && !std::mem::replace(&mut self.has_logged_invalid, true) {
+            log::debug!(target: "planner",
+                "invalid progress sample of a run ignored; further ones are not logged");
         }
-        is_nonsense
+        is_invalid
     }
 }
 
-/// What a stretch says beside a time that is known roughly.
-fn sample_beside(stretch: &ProgressSample, usual: Duration) -> Sample {
-    Sample {
-        ln: stretch.projected_total.as_secs_f64().ln() - usual.as_secs_f64().ln(),
-        variance: REFERENCE_VARIANCE / stretch.fraction,
-        floor: REFERENCE_FLOOR,
-        run: stretch.run,
+/// Returns the pace sample that progress gives relative to a roughly known expected time.
+fn relative_to_expected(progress: &ProgressSample, expected: Duration) -> PaceSample {
+    PaceSample {
+        ln: progress.projected_total.as_secs_f64().ln() - expected.as_secs_f64().ln(),
+        variance: EXPECTED_TIME_VARIANCE / progress.fraction,
+        floor: EXPECTED_TIME_VARIANCE_FLOOR,
+        run: progress.run,
     }
 }
