--- a/crates/stairstall-core/src/batch/run_time.rs
+++ b/crates/stairstall-core/src/batch/run_time.rs
@@ -1,5 +1,5 @@
-//! How long the work of a queue takes beside what its callers estimate, learnt from what ended and
-//! from how far what runs has come.
+//! Run times of each queue relative to the callers' estimates, learned from ended runs and from the
+//! progress of running ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,34 +7,36 @@
 use super::RunTimePolicy;
 use crate::{CustomerId, Timestamp};
 
-mod kept;
-mod ratios;
+mod histogram;
+mod stored;
 
-pub use kept::StoredRatios;
-pub(in crate::batch) use kept::differ_significantly;
-use ratios::{Curve, Ratios};
+use histogram::{CompletionCurve, RatioHistogram};
+pub use stored::StoredRatios;
+pub(in crate::batch) use stored::differ_significantly;
 
-/// Which part of the work takes no longer than its typical time.
-const TYPICAL_PART: f64 = 0.5;
-/// Which part takes no longer than its long time.
-const LONG_PART: f64 = 0.9;
-/// Most queues that are told apart, and most customers over all queues: some 200 KB together.
+/// Fraction of the work that takes no longer than its typical time.
+const TYPICAL_FRACTION: f64 = 0.5;
+/// Fraction of the work that takes no longer than its 90th percentile.
+const P90_FRACTION: f64 = 0.9;
+/// Maximum number of queues with evidence of their own. Together with the customers, they take
+/// about 200 KB.
 const MAX_QUEUES: usize = 64;
+/// Maximum number of customers with evidence of their own, over all queues.
 const MAX_CUSTOMERS: usize = 256;
-/// Most of them that are written down: some 6 KB.
-const MAX_KEPT: usize = 128;
+/// Maximum number of queues and customers that are stored, which takes about 6 KB.
+const MAX_STORED: usize = 128;
 
-/// How long a task should take at a worker of usual pace, near its data.
+/// Expected run time of a task at a worker of typical pace near its data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunTime {
-    /// What half of the tasks like it take at most.
+    /// Time that half of such tasks take at most.
     pub typical: Duration,
-    /// What nearly all of them take at most.
+    /// Time that 90% of such tasks take at most.
     pub p90: Duration,
 }
 
 impl RunTime {
-    /// A time of which nothing but the estimate is known.
+    /// Creates the run time of work of which only the caller's estimate is known.
     #[must_use]
     pub const fn from_estimate(estimate: Duration) -> Self {
         Self {
@@ -44,146 +46,149 @@
     }
 }
 
-/// Work as its caller describes it.
+/// Work as described by its caller.
 #[derive(Debug, Clone, Copy)]
 pub struct EstimatedWork<'a> {
-    /// The queue's name.
+    /// Name of the queue.
     pub queue: &'a str,
-    /// Whose it is.
+    /// Customer that the work belongs to, if any.
     pub customer: Option<&'a CustomerId>,
-    /// The caller's guess of how long a task takes.
+    /// The caller's estimate of how long a task takes.
     pub estimate: Duration,
 }
 
-/// What is known of work that has not ended.
+/// Observation of work that has not completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunTimeObservation {
-    /// It takes so long in all, at the pace that it has shown.
+    /// Total time projected from the progress so far.
     Projected(Duration),
-    /// It takes at least so long.
+    /// Lower bound of the total time.
     AtLeast(Duration),
 }
 
-/// What is known of the run times of all queues.
+/// Learned run times of all queues.
 #[derive(Debug, Clone, Default)]
 pub struct RunTimes {
     policy: RunTimePolicy,
     queues: BTreeMap<String, Queue>,
-    /// When what runs was last looked through.
-    looked_at: Option<Timestamp>,
+    /// When running work was last sampled.
+    sampled_at: Option<Timestamp>,
 }
 
-/// What is known of a queue.
+/// Evidence of one queue and of its customers.
 #[derive(Debug, Clone, Default)]
 struct Queue {
-    all: Seen,
-    by_customer: BTreeMap<CustomerId, Seen>,
+    all: Evidence,
+    by_customer: BTreeMap<CustomerId, Evidence>,
 }
 
-/// What was seen of some work.
+/// Evidence of how long work of a queue or a customer takes.
 #[derive(Debug, Clone, Default)]
-struct Seen {
-    /// Of what has ended.
-    ended: Ratios,
-    /// Of what ran when it was last looked through.
-    running: Ratios,
-    /// The moment as of which the evidence of what has ended counts.
+struct Evidence {
+    /// Ratios of ended work.
+    ended: RatioHistogram,
+    /// Ratios of work that ran when it was last sampled.
+    running: RatioHistogram,
+    /// Time up to which the evidence of ended work has been aged.
     at: Timestamp,
-    known: Option<Known>,
+    learned: Option<LearnedRatios>,
 }
 
-/// The ratios that are told.
+/// Ratios of run time to estimate that are learned from the evidence.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct LearnedRatios {
     typical: f64,
-    long: f64,
-    /// Until when there is enough evidence, if no more comes.
+    p90: f64,
+    /// Time until which the evidence suffices if there is no more.
     until: Timestamp,
 }
 
 impl RunTimes {
-    /// Creates the knowledge of a planner that has seen nothing end.
+    /// Creates an instance without any evidence.
     #[must_use]
     pub const fn new(policy: RunTimePolicy) -> Self {
         Self {
             policy,
             queues: BTreeMap::new(),
-            looked_at: None,
+            sampled_at: None,
         }
     }
 
-    /// Takes the time that a task, or a gang, took that nothing had disturbed, as it would have
-    /// taken at a worker of usual pace near its data.
+    /// Records the time that a task or gang took without any disturbance, converted to a worker of
+    /// typical pace near its data.
     pub fn record_completed(&mut self, work: &EstimatedWork<'_>, took: Duration, at: Timestamp) {
         let ratio = ratio(took, work.estimate);
-        self.add(work, at, |ended| ended.add_whole(ratio));
+        self.add(work, at, |ended| ended.add_complete(ratio));
     }
 
-    /// Takes how far work had come that was stopped for another reason than its own pace.
+    /// Records the progress of work that was stopped for another reason than its own pace.
     pub fn record_stopped(
         &mut self,
         work: &EstimatedWork<'_>,
-        so_far: RunTimeObservation,
+        observation: RunTimeObservation,
         at: Timestamp,
     ) {
         if self.policy.counts_unfinished {
-            self.add(work, at, |ended| ended.add_so_far(so_far, work.estimate));
+            self.add(work, at, |ended| {
+                ended.add_observation(observation, work.estimate);
+            });
         }
     }
 
-    /// Tells whether what runs should be looked through.
+    /// Returns whether it is time to sample running work again.
     #[must_use]
     pub fn is_sampling_due(&self, at: Timestamp) -> bool {
         let interval = self.policy.scan_interval;
-        let is_due = self.looked_at.is_none_or(|last| at - last >= interval);
+        let is_due = self.sampled_at.is_none_or(|last| at - last >= interval);
         self.is_enabled() && self.policy.counts_unfinished && is_due
     }
 
-    /// Takes how far everything has come that runs, in place of what was told before.
+    /// Replaces the samples of running work by the current progress of everything that runs.
     pub fn sample_running<'a>(
         &mut self,
         running: impl IntoIterator<Item = (EstimatedWork<'a>, RunTimeObservation)>,
         at: Timestamp,
     ) {
-        self.looked_at = Some(at);
-        for seen in self.all_seen() {
-            seen.running = Ratios::default();
+        self.sampled_at = Some(at);
+        for evidence in self.all_evidence() {
+            evidence.running = RatioHistogram::default();
         }
-        for (work, so_far) in running {
-            for seen in self.seen_of(&work, at) {
-                seen.running.add_so_far(so_far, work.estimate);
+        for (work, observation) in running {
+            for evidence in self.evidence_of(&work, at) {
+                evidence.running.add_observation(observation, work.estimate);
             }
         }
         self.learn(at);
     }
 
-    /// Returns how long such work should take.
+    /// Returns the learned run time of such work, or the caller's estimate if there is none.
     #[must_use]
     pub fn run_time(&self, work: &EstimatedWork<'_>, at: Timestamp) -> RunTime {
-        let known = self.learned_run_time(work, at);
-        known.unwrap_or_else(|| RunTime::from_estimate(work.estimate))
+        let learned = self.learned_run_time(work, at);
+        learned.unwrap_or_else(|| RunTime::from_estimate(work.estimate))
     }
 
-    /// Returns how long such work should take where enough was seen of it.
+    /// Returns the learned run time of such work; `None` without enough evidence. Evidence of the
+    /// customer takes precedence over that of the whole queue.
     #[must_use]
     pub fn learned_run_time(&self, work: &EstimatedWork<'_>, at: Timestamp) -> Option<RunTime> {
         let queue = self.queues.get(work.queue).filter(|_| self.is_enabled())?;
         let own = work.customer.and_then(|name| queue.by_customer.get(name));
-        let of_customer = own.and_then(|seen| seen.known_at(at));
-        let known = of_customer.or_else(|| queue.all.known_at(at))?;
+        let of_customer = own.and_then(|evidence| evidence.learned_at(at));
+        let learned = of_customer.or_else(|| queue.all.learned_at(at))?;
         Some(RunTime {
-            typical: work.estimate.mul_f64(known.typical),
-            p90: work.estimate.mul_f64(known.long),
+            typical: work.estimate.mul_f64(learned.typical),
+            p90: work.estimate.mul_f64(learned.p90),
         })
     }
 
-    /// Tells whether run times are learnt and used.
+    /// Returns whether run times are learned and used.
     #[must_use]
     pub const fn is_enabled(&self) -> bool {
         self.policy.enabled
     }
 
-    /// Returns what a later planner should know, where most is known first.
+    /// Returns the evidence to store for the next planner, that with the highest weight first.
     #[must_use]
     pub fn to_stored(&self, at: Timestamp) -> Vec<StoredRatios> {
         let half_life = self.policy.half_life;
@@ -192,28 +197,29 @@
             .iter()
             .flat_map(|(name, queue)| {
                 let own = queue.by_customer.iter();
-                let own = own.map(move |(customer, seen)| (name, Some(customer), seen));
+                let own = own.map(move |(customer, evidence)| (name, Some(customer), evidence));
                 std::iter::once((name, None, &queue.all)).chain(own)
             })
-            .filter(|(_, _, seen)| seen.known_at(at).is_some())
-            .map(|(name, customer, seen)| {
-                let ended = seen.ended_by(at, half_life);
-                let kept = StoredRatios::of(name, customer, &ended);
-                (ended.known_weight(), kept)
+            .filter(|(_, _, evidence)| evidence.learned_at(at).is_some())
+            .map(|(name, customer, evidence)| {
+                let ended = evidence.ended_by(at, half_life);
+                let stored = StoredRatios::new(name, customer, &ended);
+                (ended.complete_weight(), stored)
             })
             .collect();
         all.sort_by(|one, two| two.0.total_cmp(&one.0));
-        all.truncate(MAX_KEPT);
-        all.into_iter().map(|(_, kept)| kept).collect()
+        all.truncate(MAX_STORED);
+        all.into_iter().map(|(_, stored)| stored).collect()
     }
 
-    /// Takes what an earlier planner knew so long ago; what is known here already stands.
-    pub fn restore(&mut self, kept: &[StoredRatios], age: Duration, at: Timestamp) {
+    /// Adopts the evidence that an earlier planner stored `age` ago. Evidence of this planner takes
+    /// precedence.
+    pub fn restore(&mut self, stored: &[StoredRatios], age: Duration, at: Timestamp) {
         if !self.is_enabled() {
             return;
         }
         let policy = self.policy;
-        for entry in kept.iter().take(MAX_KEPT) {
+        for entry in stored.iter().take(MAX_STORED) {
             if entry.customer.is_some() && policy.customer_known_from == 0 {
                 continue;
             }
@@ -222,55 +228,56 @@
                 customer: entry.customer.as_ref(),
                 estimate: Duration::ZERO,
             };
-            let seen = self.seen_of(&work, at).pop();
-            if let Some(seen) = seen.filter(|seen| seen.ended.weight() <= 0.0) {
-                seen.ended = entry.ratios();
-                seen.ended.scale(part_left(age, policy.half_life));
-                seen.ended.keep_within(policy.max_sample_weight);
+            let evidence = self.evidence_of(&work, at).pop();
+            if let Some(evidence) = evidence.filter(|evidence| evidence.ended.weight() <= 0.0) {
+                evidence.ended = entry.histogram();
+                evidence.ended.scale(decay(age, policy.half_life));
+                evidence.ended.limit_weight(policy.max_sample_weight);
             }
         }
         self.learn(at);
     }
 
-    /// Works out everything that is told from now on.
+    /// Updates the learned ratios of all queues and customers.
     fn learn(&mut self, at: Timestamp) {
         let policy = self.policy;
         for queue in self.queues.values_mut() {
             queue.all.learn(policy.known_from, at, &policy);
-            for seen in queue.by_customer.values_mut() {
-                seen.learn(policy.customer_known_from, at, &policy);
+            for evidence in queue.by_customer.values_mut() {
+                evidence.learn(policy.customer_known_from, at, &policy);
             }
         }
     }
 
-    fn add(&mut self, work: &EstimatedWork<'_>, at: Timestamp, add: impl Fn(&mut Ratios)) {
+    fn add(&mut self, work: &EstimatedWork<'_>, at: Timestamp, add: impl Fn(&mut RatioHistogram)) {
         if !self.is_enabled() {
             return;
         }
         let policy = self.policy;
         let known_from = [policy.known_from, policy.customer_known_from];
-        let found = self.seen_of(work, at);
-        for (seen, known_from) in found.into_iter().zip(known_from) {
-            seen.age(at, policy.half_life);
-            add(&mut seen.ended);
-            seen.ended.keep_within(policy.max_sample_weight);
-            seen.learn(known_from, at, &policy);
+        let found = self.evidence_of(work, at);
+        for (evidence, known_from) in found.into_iter().zip(known_from) {
+            evidence.age(at, policy.half_life);
+            add(&mut evidence.ended);
+            evidence.ended.limit_weight(policy.max_sample_weight);
+            evidence.learn(known_from, at, &policy);
         }
     }
 
-    /// Returns what is seen of a queue, and of the customer where customers are told apart.
-    fn seen_of(&mut self, work: &EstimatedWork<'_>, at: Timestamp) -> Vec<&mut Seen> {
+    /// Returns the evidence of the queue, followed by that of the customer if there is one and
+    /// customers are distinguished. Creates what is missing.
+    fn evidence_of(&mut self, work: &EstimatedWork<'_>, at: Timestamp) -> Vec<&mut Evidence> {
         if !self.queues.contains_key(work.queue) {
-            self.make_room_for_queue();
-            self.queues.insert(work.queue.to_owned(), Queue::begun(at));
+            self.evict_queue_if_full();
+            self.queues.insert(work.queue.to_owned(), Queue::empty(at));
         }
         let customer = work
             .customer
             .filter(|_| self.policy.customer_known_from > 0);
         if let Some(customer) = customer {
-            let known = self.queues.get(work.queue);
-            if known.is_some_and(|queue| !queue.by_customer.contains_key(customer)) {
-                self.make_room_for_customer();
+            let queue = self.queues.get(work.queue);
+            if queue.is_some_and(|queue| !queue.by_customer.contains_key(customer)) {
+                self.evict_customer_if_full();
             }
         }
         let Some(queue) = self.queues.get_mut(work.queue) else {
@@ -279,19 +286,19 @@
         let mut found = vec![&mut queue.all];
         if let Some(customer) = customer {
             let own = queue.by_customer.entry(customer.clone());
-            found.push(own.or_insert_with(|| Seen::begun(at)));
+            found.push(own.or_insert_with(|| Evidence::empty(at)));
         }
         found
     }
 
-    fn all_seen(&mut self) -> impl Iterator<Item = &mut Seen> {
+    fn all_evidence(&mut self) -> impl Iterator<Item = &mut Evidence> {
         let queues = self.queues.values_mut();
         queues
             .flat_map(|queue| std::iter::once(&mut queue.all).chain(queue.by_customer.values_mut()))
     }
 
-    /// Forgets the queue of which least was seen, where there are too many.
-    fn make_room_for_queue(&mut self) {
+    /// Evicts the queue with the least evidence if the maximum number is reached.
+    fn evict_queue_if_full(&mut self) {
         if self.queues.len() < MAX_QUEUES {
             return;
         }
@@ -305,11 +312,11 @@
         }
     }
 
-    /// Forgets the customer of which least was seen, where there are too many.
-    fn make_room_for_customer(&mut self) {
+    /// Evicts the customer with the least evidence if the maximum number is reached.
+    fn evict_customer_if_full(&mut self) {
         let customers = self.queues.iter().flat_map(|(name, queue)| {
             let own = queue.by_customer.iter();
-            own.map(move |(customer, seen)| (seen.weight(), name, customer))
+            own.map(move |(customer, evidence)| (evidence.weight(), name, customer))
         });
         if customers.clone().count() < MAX_CUSTOMERS {
             return;
@@ -325,90 +332,95 @@
 }
 
 impl Queue {
-    fn begun(at: Timestamp) -> Self {
+    fn empty(at: Timestamp) -> Self {
         Self {
-            all: Seen::begun(at),
+            all: Evidence::empty(at),
             by_customer: BTreeMap::new(),
         }
     }
 }
 
-impl Seen {
-    fn begun(at: Timestamp) -> Self {
+impl Evidence {
+    fn empty(at: Timestamp) -> Self {
         Self {
             at,
             ..Self::default()
         }
     }
 
-    fn known_at(&self, at: Timestamp) -> Option<Known> {
-        self.known.filter(|known| at <= known.until)
+    fn learned_at(&self, at: Timestamp) -> Option<LearnedRatios> {
+        self.learned.filter(|learned| at <= learned.until)
     }
 
     fn weight(&self) -> f32 {
         self.ended.weight() + self.running.weight()
     }
 
-    /// Returns what the evidence of what has ended counts at a later time.
-    fn ended_by(&self, at: Timestamp, half_life: Duration) -> Ratios {
+    /// Returns the evidence of ended work, aged to a later time.
+    fn ended_by(&self, at: Timestamp, half_life: Duration) -> RatioHistogram {
         let mut ended = self.ended;
-        ended.scale(part_left(at - self.at, half_life));
+        ended.scale(decay(at - self.at, half_life));
         ended
     }
 
-    /// Lets the evidence of what has ended count as of a later time.
+    /// Ages the evidence of ended work to a later time.
     fn age(&mut self, at: Timestamp, half_life: Duration) {
         self.ended = self.ended_by(at, half_life);
         self.at = self.at.max(at);
     }
 
-    /// Works out what is told from now on.
+    /// Updates the learned ratios from the evidence; there are none while it is insufficient.
     fn learn(&mut self, known_from: u16, at: Timestamp, policy: &RunTimePolicy) {
         self.age(at, policy.half_life);
-        let weight = f64::from(self.ended.known_weight() + self.running.known_weight());
+        let weight = f64::from(self.ended.complete_weight() + self.running.complete_weight());
         let enough = f64::from(known_from.max(1));
-        // What is known stays known for one more half-life, or it would come and go.
+        // Learned ratios stay valid for one more half-life, as they would come and go otherwise.
         let least = enough / 2.0;
-        if weight < if self.known.is_some() { least } else { enough } {
-            self.known = None;
+        let threshold = if self.learned.is_some() {
+            least
+        } else {
+            enough
+        };
+        if weight < threshold {
+            self.learned = None;
             return;
         }
-        let curve = Curve::of(&self.ended, &self.running);
-        // Each half-life halves the evidence.
-        let lasts = policy.half_life.mul_f64((weight / least).log2());
-        self.known = Some(Known {
-            typical: curve.ratio_at(TYPICAL_PART),
-            long: curve.ratio_at(LONG_PART),
-            until: self.at + lasts,
+        let curve = CompletionCurve::of(&self.ended, &self.running);
+        // The evidence halves with each half-life.
+        let valid_for = policy.half_life.mul_f64((weight / least).log2());
+        self.learned = Some(LearnedRatios {
+            typical: curve.quantile(TYPICAL_FRACTION),
+            p90: curve.quantile(P90_FRACTION),
+            until: self.at + valid_for,
         });
     }
 }
 
-impl Ratios {
-    fn add_so_far(&mut self, so_far: RunTimeObservation, estimate: Duration) {
-        match so_far {
-            RunTimeObservation::Projected(whole) => self.add_whole(ratio(whole, estimate)),
-            RunTimeObservation::AtLeast(least) => self.add_cut(ratio(least, estimate)),
+impl RatioHistogram {
+    fn add_observation(&mut self, observation: RunTimeObservation, estimate: Duration) {
+        match observation {
+            RunTimeObservation::Projected(total) => self.add_complete(ratio(total, estimate)),
+            RunTimeObservation::AtLeast(least) => self.add_censored(ratio(least, estimate)),
         }
     }
 
-    /// Lets everything count for less where it is more than so many runs.
-    fn keep_within(&mut self, most_runs: u16) {
+    /// Scales all weights down if the total exceeds `max_weight`.
+    fn limit_weight(&mut self, max_weight: u16) {
         let weight = self.weight();
-        if weight > f32::from(most_runs) {
-            self.scale(f32::from(most_runs) / weight);
+        if weight > f32::from(max_weight) {
+            self.scale(f32::from(max_weight) / weight);
         }
     }
 }
 
-/// Returns how many times its estimate work took; an estimate of nothing counts as a millisecond.
+/// Returns the ratio of run time to estimate; an estimate below a millisecond counts as one.
 fn ratio(took: Duration, estimate: Duration) -> f64 {
     took.as_secs_f64() / estimate.max(Duration::from_millis(1)).as_secs_f64()
 }
 
-/// Returns which part of the evidence is left after a while.
-#[allow(clippy::cast_possible_truncation, reason = "a part of one")]
-fn part_left(after: Duration, half_life: Duration) -> f32 {
+/// Returns the factor by which evidence has decayed after a time.
+#[allow(clippy::cast_possible_truncation, reason = "a factor of at most 1")]
+fn decay(after: Duration, half_life: Duration) -> f32 {
     let half_lives = after.as_secs_f64() / half_life.as_secs_f64().max(0.001);
     (-half_lives).exp2() as f32
 }
--- a/crates/stairstall-core/src/batch/worker_pace/baseline.rs
+++ b/crates/stairstall-core/src/batch/worker_pace/baseline.rs
@@ -173,7 +173,7 @@
 pub(super) struct Baselines(HashMap<GroupKey, Baseline>);
 
 impl Baselines {
-    /// Stores a newly found baseline of a step unless an earlier one has a lower variance; returns
+    /// Records a newly found baseline of a step unless an earlier one has a lower variance; returns
     /// the one that holds.
     pub(super) fn update(
         &mut self,
