--- a/crates/stairstall-core/src/batch/load.rs
+++ b/crates/stairstall-core/src/batch/load.rs
@@ -1,7 +1,7 @@
-//! How full the fleet is, and when work handed in now would start.
+//! Load of the fleet, and forecasts of when newly submitted work would start.
 //!
-//! The planner makes a [`LoadSummary`] of its work and workers; any daemon makes a
-//! [`StartForecast`] from it for the [`ResourceRequest`] that a caller hands in.
+//! The planner summarizes its work and workers in a [`LoadSummary`]. From that, any daemon derives
+//! the [`StartForecast`] of a [`ResourceRequest`] that a caller submits.
 
 use std::time::Duration;
 
@@ -17,38 +17,39 @@
 pub use fleet::FleetHistory;
 pub use work::{CustomerBacklog, ResourceTime, ResourceTotal, RunningWork, WaitingWork};
 
-/// Most entries of each list of a summary; what is left out makes a forecast more hopeful.
+/// Maximum number of entries in each list of a summary. Omitted entries make forecasts more
+/// optimistic.
 pub(super) const MAX_SUMMARY_ENTRIES: usize = 16;
-/// Most labels that a summary names.
+/// Maximum number of labels in a summary.
 pub(super) const MAX_LABELS: usize = 64;
 
-/// When work would start, from the moment of the forecast on.
+/// Forecast of the time until work starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartForecast {
-    /// No sooner than this, whatever goes well, unless work that comes first is cancelled or gives way
-    /// to urgent work.
+    /// Lower bound of the time until the start. It holds unless work that is scheduled first is
+    /// cancelled or preempted by urgent work.
     pub earliest: Duration,
-    /// When it should start.
+    /// Expected time until the start.
     pub likely: Duration,
 }
 
-/// Work that a caller would hand in.
+/// Resources that submitted work requests for its start.
 #[derive(Debug, Clone, Copy)]
 pub struct ResourceRequest<'a> {
-    /// Whose workers would run it.
+    /// Service whose workers run the work.
     pub service: &'a ServiceId,
-    /// The queue's priority.
+    /// Priority of the queue.
     pub priority: u8,
-    /// Whose it would be.
+    /// Customer that the work belongs to, if any.
     pub customer: Option<&'a CustomerId>,
-    /// What each task takes.
+    /// Resources of each task.
     pub needs: Resources,
-    /// How many tasks have to start together.
+    /// Number of tasks that have to start together.
     pub gang_size: u32,
 }
 
 impl<'a> ResourceRequest<'a> {
-    /// Returns the shape of a step of a job.
+    /// Creates the request of a step of a job.
     #[must_use]
     pub const fn for_step(step: &StepSpec, job: &'a AcceptedJob) -> Self {
         Self {
@@ -60,26 +61,26 @@
         }
     }
 
-    /// Returns the room that has to be free for its start.
+    /// Returns the total resources that have to be free for the start.
     #[must_use]
     pub fn total(&self) -> ResourceTotal {
         ResourceTotal::of(&self.needs, self.gang_size)
     }
 }
 
-/// The largest that one kind of worker can hold.
+/// Workers of one service and capacity.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerKind {
-    /// Whose tasks they run.
+    /// Service whose tasks the workers run.
     pub service: ServiceId,
-    /// What each of them has.
+    /// Capacity of each worker; the largest one if kinds are merged.
     pub capacity: Resources,
-    /// How many there are, those that are away for a while among them.
+    /// Number of workers, including those that are temporarily away.
     pub count: u32,
-    /// How many of them are away, or get nothing new.
+    /// Number of workers that are away or get no new tasks.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub away: u32,
-    /// For how long there have not been more and more of them, in milliseconds.
+    /// Time since the number of workers last grew, in milliseconds.
     #[serde(default)]
     pub steady_ms: u64,
 }
@@ -92,60 +93,62 @@
     *value == 0
 }
 
-/// What the planner tells all daemons of its load; small and of one moment.
+/// Small snapshot of the load that the planner sends to all daemons.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadSummary {
-    /// The tenure that made it.
+    /// Fencing token of the tenure that made the summary.
     pub token: u64,
-    /// Rises within a tenure.
+    /// Revision, which increases within a tenure.
     pub revision: u64,
-    /// When it was made, in milliseconds since the Unix epoch.
+    /// When the summary was made, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// How long the planner had known the whole load, in milliseconds.
+    /// For how long the planner had known the whole load, in milliseconds.
     pub observed_ms: u64,
-    /// The workers by kind.
+    /// Workers by kind.
     pub workers: Vec<WorkerKind>,
-    /// All labels that workers have or had lately; none where there are too many to name.
+    /// All labels that workers have or recently had; `None` if there are too many.
     pub labels: Option<Vec<String>>,
-    /// What runs, by rank and by when it should end.
+    /// Resources held by running work, by rank and expected end.
     #[serde(rename = "busy", skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<RunningWork>,
-    /// What waits for room.
+    /// Work that waits for capacity.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub waiting: Vec<WaitingWork>,
-    /// Who waits, by priority; those with most work where there are many.
+    /// Backlog of each customer by priority; the largest ones if there are many.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<CustomerBacklog>,
-    /// How long the work of queues takes beside what callers estimate, where that was learnt.
+    /// Learned run times of queues relative to the callers' estimates.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub queues: Vec<QueueRunTime>,
-    /// Accelerators that urgent jobs asked for lately; as many may be kept free for them at most.
+    /// Accelerators that urgent jobs requested recently; at most as many are kept free as headroom.
     pub urgent_accelerators: u32,
 }
 
-/// How long the work of a queue takes beside what its callers estimate.
+/// Learned run time of a queue relative to its callers' estimates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueRunTime {
-    /// The queue's name.
+    /// Name of the queue.
     pub queue: String,
-    /// The typical time of a task in thousandths of its estimate.
+    /// Typical run time of a task in thousandths of its estimate.
     pub typical_permille: u32,
 }
 
 impl LoadSummary {
-    /// Tells whether this replaces another one: a later tenure's does, then a later one.
+    /// Returns whether this summary replaces another one: one of a later tenure, or a later one of
+    /// the same tenure.
     #[must_use]
     pub fn is_later_than(&self, other: &Self) -> bool {
         (self.token, self.revision) > (other.token, other.revision)
     }
 
-    /// Returns how long work of a queue typically takes that its caller estimates.
+    /// Returns the typical run time of work of a queue, or the caller's estimate if none was
+    /// learned.
     #[must_use]
     pub fn typical_run_time(&self, queue: &str, estimate: Duration) -> Duration {
-        let known = self.queues.iter().find(|pace| pace.queue == queue);
-        known.map_or(estimate, |pace| {
-            estimate.saturating_mul(pace.typical_permille) / 1000
+        let known = self.queues.iter().find(|entry| entry.queue == queue);
+        known.map_or(estimate, |known| {
+            estimate.saturating_mul(known.typical_permille) / 1000
         })
     }
 }
--- a/crates/stairstall-core/src/batch/load/fleet.rs
+++ b/crates/stairstall-core/src/batch/load/fleet.rs
@@ -1,4 +1,4 @@
-//! Which workers there are, those that are away for a while among them.
+//! Workers of the fleet, including those that are temporarily away.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,95 +7,98 @@
 use crate::batch::Resources;
 use crate::{ServiceId, Timestamp};
 
-/// Most kinds that are kept in mind: they are merged only in what is told.
-const MAX_REMEMBERED_KINDS: usize = 256;
-/// Most labels that are kept in mind; with more of them none is called missing.
-const MAX_REMEMBERED_LABELS: usize = 4 * MAX_LABELS;
+/// Maximum number of worker kinds in the history. They are merged further in a summary only.
+const MAX_KINDS: usize = 256;
+/// Maximum number of labels in the history. With more, no label is reported as missing.
+const MAX_KNOWN_LABELS: usize = 4 * MAX_LABELS;
 
 type Kind = (ServiceId, Resources);
 
-/// How many workers of one kind there are, and were at most lately.
+/// Present number of workers of one kind, and the recent maximum.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct KindCount {
     known: u32,
     takes_tasks: u32,
-    most: u32,
-    most_at: Timestamp,
-    /// When the most last rose.
+    max: u32,
+    max_at: Timestamp,
+    /// When the maximum last grew.
     grown_at: Timestamp,
 }
 
-/// The workers of one moment, and those of the last while.
+/// Workers that are present or were so recently.
 ///
-/// A worker that leaves, crashes or is moved mostly comes back: work that only it can run is not
-/// impossible meanwhile.
+/// A worker that leaves, crashes or is moved usually comes back, so work that only it can run does
+/// not become impossible in the meantime.
 #[derive(Debug, Clone, Default)]
 pub struct FleetHistory {
-    kinds: BTreeMap<Kind, Seen>,
+    kinds: BTreeMap<Kind, KindCount>,
+    /// When each label was last seen on a worker.
     labels: BTreeMap<String, Timestamp>,
-    /// Whether there were more labels than are kept in mind.
-    has_skipped_labels: bool,
+    /// Whether labels were omitted because there were too many.
+    has_omitted_labels: bool,
 }
 
 impl FleetHistory {
-    /// Begins a new count.
+    /// Begins a new count of the workers.
     pub fn begin_count(&mut self) {
-        for seen in self.kinds.values_mut() {
-            seen.known = 0;
-            seen.takes_tasks = 0;
+        for count in self.kinds.values_mut() {
+            count.known = 0;
+            count.takes_tasks = 0;
         }
     }
 
-    /// Counts a worker that is known, and whether it takes tasks at this moment.
+    /// Counts a known worker, and whether it currently takes new tasks.
     pub fn count_worker(&mut self, service: &ServiceId, capacity: Resources, takes_tasks: bool) {
         let kind = (service.clone(), capacity);
-        if self.kinds.len() >= MAX_REMEMBERED_KINDS && !self.kinds.contains_key(&kind) {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) {
             return;
         }
-        let seen = self.kinds.entry(kind).or_default();
-        seen.known += 1;
-        seen.takes_tasks += u32::from(takes_tasks);
+        let count = self.kinds.entry(kind).or_default();
+        count.known += 1;
+        count.takes_tasks += u32::from(takes_tasks);
     }
 
-    /// Notes a label that a worker has.
+    /// Records a label that a worker has.
     pub fn record_label(&mut self, label: &str, at: Timestamp) {
-        if let Some(seen) = self.labels.get_mut(label) {
-            *seen = at;
-        } else if self.labels.len() < MAX_REMEMBERED_LABELS {
+        if let Some(last_seen) = self.labels.get_mut(label) {
+            *last_seen = at;
+        } else if self.labels.len() < MAX_KNOWN_LABELS {
             self.labels.insert(label.to_owned(), at);
         } else {
-            self.has_skipped_labels = true;
+            self.has_omitted_labels = true;
         }
     }
 
-    /// Ends a count; what was not seen for `remembers` is forgotten.
-    pub fn end_count(&mut self, remembers: Duration, at: Timestamp) {
-        for seen in self.kinds.values_mut() {
-            if seen.known > seen.most {
-                seen.grown_at = at;
+    /// Ends a count. Maxima that were last reached, and labels that were last seen, longer than
+    /// `retention` ago are dropped.
+    pub fn end_count(&mut self, retention: Duration, at: Timestamp) {
+        for count in self.kinds.values_mut() {
+            if count.known > count.max {
+                count.grown_at = at;
             }
-            if seen.known >= seen.most || at - seen.most_at > remembers {
-                seen.most = seen.known;
-                seen.most_at = at;
+            if count.known >= count.max || at - count.max_at > retention {
+                count.max = count.known;
+                count.max_at = at;
             }
         }
-        self.kinds.retain(|_, seen| seen.most > 0);
-        self.labels.retain(|_, seen| at - *seen <= remembers);
+        self.kinds.retain(|_, count| count.max > 0);
+        self.labels
+            .retain(|_, last_seen| at - *last_seen <= retention);
     }
 
-    /// Returns the kinds of workers, as many as a summary holds; where there are more, some of a
-    /// service count as large as another of it.
+    /// Returns the worker kinds, at most as many as a summary holds. If there are more, kinds of
+    /// the same service are merged, and their workers all count with the largest capacity.
     #[must_use]
     pub fn kinds(&self, at: Timestamp) -> Vec<WorkerKind> {
         let mut kinds: Vec<WorkerKind> = Vec::new();
-        for ((service, capacity), seen) in &self.kinds {
-            let away = seen.most.saturating_sub(seen.takes_tasks);
-            let steady_ms = crate::time::millis(at - seen.grown_at);
+        for ((service, capacity), count) in &self.kinds {
+            let away = count.max.saturating_sub(count.takes_tasks);
+            let steady_ms = crate::time::millis(at - count.grown_at);
             let is_full = kinds.len() >= MAX_SUMMARY_ENTRIES;
             let same = kinds.iter_mut().rev().find(|kind| kind.service == *service);
             if let Some(kind) = same.filter(|_| is_full) {
                 kind.capacity = kind.capacity.component_max(capacity);
-                kind.count += seen.most;
+                kind.count += count.max;
                 kind.away += away;
                 kind.steady_ms = kind.steady_ms.min(steady_ms);
                 continue;
@@ -103,7 +106,7 @@
             kinds.push(WorkerKind {
                 service: service.clone(),
                 capacity: *capacity,
-                count: seen.most,
+                count: count.max,
                 away,
                 steady_ms,
             });
@@ -111,10 +114,10 @@
         kinds
     }
 
-    /// Returns all labels; none where there are too many to name.
+    /// Returns all labels; `None` if there are too many.
     #[must_use]
     pub fn labels(&self) -> Option<Vec<String>> {
-        let is_whole = !self.has_skipped_labels && self.labels.len() <= MAX_LABELS;
-        is_whole.then(|| self.labels.keys().cloned().collect())
+        let is_complete = !self.has_omitted_labels && self.labels.len() <= MAX_LABELS;
+        is_complete.then(|| self.labels.keys().cloned().collect())
     }
 }
--- a/crates/stairstall-core/src/batch/load/forecast.rs
+++ b/crates/stairstall-core/src/batch/load/forecast.rs
@@ -1,6 +1,7 @@
-//! When work handed in now would start.
+//! Forecast of when newly submitted work would start.
 //!
-//! The load it answers: work of better ranks that waits, or runs and need not give way.
+//! It considers the work that the new work has to wait for: waiting work of the same or a better
+//! rank, and running work that it can't preempt.
 
 use std::time::Duration;
 
@@ -9,178 +10,190 @@
     WaitingWork,
 };
 
-/// Part of its typical time that work takes at least, as a whole: what callers estimate is off by
-/// half for single tasks.
+/// Part of its typical time that work takes at least, in percent. It applies to all work together:
+/// for single tasks, the callers' estimates are off by half.
 const LEAST_PERCENT: u64 = 50;
 
 impl LoadSummary {
-    /// Returns when work would start; none where all workers together are too few for it.
+    /// Returns when the work would start; `None` if all workers together are too few for it.
     #[must_use]
-    pub fn forecast(&self, shape: &ResourceRequest<'_>) -> Option<StartForecast> {
-        let whole = self.room_of(shape, |kind| kind.count);
-        let needed = shape.total();
-        if !needed.fits(&whole) {
+    pub fn forecast(&self, request: &ResourceRequest<'_>) -> Option<StartForecast> {
+        let capacity = self.capacity_of(request, |kind| kind.count);
+        let needed = request.total();
+        if !needed.fits_in(&capacity) {
             return None;
         }
-        let earliest = Duration::from_millis(self.earliest_ms(shape, &needed, &whole));
-        let likely = Duration::from_millis(self.likely_ms(shape, &needed, &whole));
+        let earliest = Duration::from_millis(self.earliest_ms(request, &needed, &capacity));
+        let likely = Duration::from_millis(self.likely_ms(request, &needed, &capacity));
         Some(StartForecast {
             earliest,
             likely: likely.max(earliest),
         })
     }
 
-    fn room_of(
+    /// Returns the total capacity of the service's workers, of which `count` gives the number that
+    /// counts for each kind.
+    fn capacity_of(
         &self,
-        shape: &ResourceRequest<'_>,
+        request: &ResourceRequest<'_>,
         count: impl Fn(&super::WorkerKind) -> u32,
     ) -> ResourceTotal {
         self.workers
             .iter()
-            .filter(|kind| kind.service == *shape.service)
+            .filter(|kind| kind.service == *request.service)
             .fold(ResourceTotal::default(), |sum, kind| {
                 sum.plus(&ResourceTotal::of(&kind.capacity, count(kind)))
             })
     }
 
-    /// Returns the runs that don't give way to the work.
-    fn in_the_way<'a>(
+    /// Returns the runs that are not preempted by the work.
+    fn not_preempted<'a>(
         &'a self,
-        shape: &'a ResourceRequest<'_>,
+        request: &'a ResourceRequest<'_>,
     ) -> impl Iterator<Item = &'a RunningWork> {
-        let rank = shape.priority.saturating_add(1);
+        let rank = request.priority.saturating_add(1);
         self.running
             .iter()
-            .filter(move |busy| busy.service == *shape.service)
-            .filter(move |busy| busy.rank <= rank || busy.first_end_ms.is_none())
+            .filter(move |runs| runs.service == *request.service)
+            .filter(move |runs| runs.rank <= rank || runs.first_end_ms.is_none())
     }
 
-    fn waiting_for<'a>(
+    fn waiting_for_service<'a>(
         &'a self,
-        shape: &'a ResourceRequest<'_>,
+        request: &'a ResourceRequest<'_>,
     ) -> impl Iterator<Item = &'a WaitingWork> {
         self.waiting
             .iter()
-            .filter(|waiting| waiting.service == *shape.service)
+            .filter(|waiting| waiting.service == *request.service)
     }
 
-    /// Returns a bound below the start that holds whatever goes well.
+    /// Returns a lower bound of the time until the start.
     fn earliest_ms(
         &self,
-        shape: &ResourceRequest<'_>,
+        request: &ResourceRequest<'_>,
         needed: &ResourceTotal,
-        whole: &ResourceTotal,
+        capacity: &ResourceTotal,
     ) -> u64 {
-        // What lasts may be cancelled at any time.
+        // Long-running steps are left out, as they may be cancelled at any time.
         let ending = self
-            .in_the_way(shape)
-            .filter(|busy| busy.first_end_ms.is_some());
-        let freed_ms = free_after_ms(needed, whole, ending);
+            .not_preempted(request)
+            .filter(|runs| runs.first_end_ms.is_some());
+        let freed_ms = free_after_ms(needed, capacity, ending);
         if freed_ms == 0 {
             return 0;
         }
-        let ahead = self.waiting_for(shape);
-        let ahead = ahead.filter(|waiting| self.surely_comes_before(waiting, shape, needed));
-        let (rest, longest_ms) = ahead
-            .fold((ResourceTime::default(), 0), |(rest, longest), work| {
-                (rest.plus(&work.remaining), work.longest_ms.max(longest))
-            });
-        let last_start_ms = rest.millis_in(whole).saturating_sub(longest_ms);
+        let ahead = self.waiting_for_service(request);
+        let ahead = ahead.filter(|waiting| self.certainly_starts_before(waiting, request, needed));
+        let (remaining, longest_ms) = ahead.fold(
+            (ResourceTime::default(), 0),
+            |(remaining, longest), work| {
+                (
+                    remaining.plus(&work.remaining),
+                    work.longest_ms.max(longest),
+                )
+            },
+        );
+        let last_start_ms = remaining.millis_in(capacity).saturating_sub(longest_ms);
         freed_ms.max(last_start_ms) * LEAST_PERCENT / 100
     }
 
-    /// Tells whether waiting work takes all room that the new work could use.
-    fn surely_comes_before(
+    /// Returns whether waiting work certainly starts first: it has a better priority and can use
+    /// any capacity that the new work could use.
+    fn certainly_starts_before(
         &self,
         waiting: &WaitingWork,
-        shape: &ResourceRequest<'_>,
+        request: &ResourceRequest<'_>,
         needed: &ResourceTotal,
     ) -> bool {
-        let is_gang = shape.gang_size > 1;
+        let is_gang = request.gang_size > 1;
         let overtakes = is_gang && needed.accelerators <= u64::from(self.urgent_accelerators);
         waiting.is_unconstrained
-            && waiting.priority < shape.priority
+            && waiting.priority < request.priority
             && waiting.gang == is_gang
-            && waiting.gang_size <= shape.gang_size
-            && waiting.needs.fits_in(&shape.needs)
+            && waiting.gang_size <= request.gang_size
+            && waiting.needs.fits_in(&request.needs)
             && !overtakes
     }
 
-    /// Returns when the work should start, in the middle.
+    /// Returns the expected time until the start.
     fn likely_ms(
         &self,
-        shape: &ResourceRequest<'_>,
+        request: &ResourceRequest<'_>,
         needed: &ResourceTotal,
-        whole: &ResourceTotal,
+        capacity: &ResourceTotal,
     ) -> u64 {
-        let present = self.room_of(shape, |kind| kind.count.saturating_sub(kind.away));
-        let lasting = self
-            .in_the_way(shape)
-            .filter(|busy| busy.first_end_ms.is_none());
-        let lasting = lasting.fold(ResourceTotal::default(), |sum, busy| {
-            sum.plus(&busy.resources)
+        let present = self.capacity_of(request, |kind| kind.count.saturating_sub(kind.away));
+        let long_running = self
+            .not_preempted(request)
+            .filter(|runs| runs.first_end_ms.is_none());
+        let long_running = long_running.fold(ResourceTotal::default(), |sum, runs| {
+            sum.plus(&runs.resources)
         });
-        let usable = present.minus(&lasting);
-        let usable = if needed.fits(&usable) { usable } else { *whole };
+        let usable = present.minus(&long_running);
+        let usable = if needed.fits_in(&usable) {
+            usable
+        } else {
+            *capacity
+        };
         let ending = || {
-            self.in_the_way(shape)
-                .filter(|busy| busy.first_end_ms.is_some())
+            self.not_preempted(request)
+                .filter(|runs| runs.first_end_ms.is_some())
         };
         let freed_ms = free_after_ms(needed, &usable, ending());
-        let better = self.waiting_for(shape);
-        let better = better.filter(|waiting| waiting.priority < shape.priority);
+        let better = self.waiting_for_service(request);
+        let better = better.filter(|waiting| waiting.priority < request.priority);
         let better = better.fold(ResourceTime::default(), |sum, work| {
             sum.plus(&work.remaining)
         });
-        let queued_ms = better.millis_in(&usable) + self.own_rank_ms(shape, &usable);
+        let queued_ms = better.millis_in(&usable) + self.own_rank_ms(request, &usable);
         if queued_ms == 0 {
             return freed_ms;
         }
-        let running = ending().fold(ResourceTime::default(), |sum, busy| {
-            let rest = ResourceTime::of(&busy.resources, busy.first_end_ms.unwrap_or(0));
-            sum.plus(&rest)
+        let running = ending().fold(ResourceTime::default(), |sum, runs| {
+            let remaining = ResourceTime::of(&runs.resources, runs.first_end_ms.unwrap_or(0));
+            sum.plus(&remaining)
         });
         freed_ms.max(queued_ms + running.millis_in(&usable))
     }
 
-    /// Returns how long the work of its own rank takes that should come first: customers take
-    /// turns.
-    fn own_rank_ms(&self, shape: &ResourceRequest<'_>, usable: &ResourceTotal) -> u64 {
-        let all = self.waiting_for(shape);
-        let all = all.filter(|waiting| waiting.priority == shape.priority);
+    /// Returns how long the work of the same rank takes that should start first. Customers take
+    /// turns, so each of them gets as much as the customer of the new work has waiting.
+    fn own_rank_ms(&self, request: &ResourceRequest<'_>, usable: &ResourceTotal) -> u64 {
+        let all = self.waiting_for_service(request);
+        let all = all.filter(|waiting| waiting.priority == request.priority);
         let all = all.fold(ResourceTime::default(), |sum, work| {
             sum.plus(&work.remaining)
         });
         let mut customers = 0;
         let mut own = ResourceTime::default();
         for backlog in &self.customers {
-            if backlog.priority != shape.priority {
+            if backlog.priority != request.priority {
                 continue;
             }
             customers += 1;
-            if Some(&backlog.customer) == shape.customer {
+            if Some(&backlog.customer) == request.customer {
                 own = backlog.remaining;
             }
         }
-        let in_turn_ms = own.millis_in(usable).saturating_mul(customers);
-        in_turn_ms.min(all.millis_in(usable))
+        let alternating_ms = own.millis_in(usable).saturating_mul(customers);
+        alternating_ms.min(all.millis_in(usable))
     }
 }
 
-/// Returns after what time so much is free, as the runs in the way end.
+/// Returns the time after which the needed resources are free, as the given runs end.
 fn free_after_ms<'a>(
     needed: &ResourceTotal,
-    whole: &ResourceTotal,
-    in_the_way: impl Iterator<Item = &'a RunningWork>,
+    capacity: &ResourceTotal,
+    runs: impl Iterator<Item = &'a RunningWork>,
 ) -> u64 {
-    let mut ends: Vec<&RunningWork> = in_the_way.collect();
-    ends.sort_by_key(|busy| std::cmp::Reverse(busy.first_end_ms));
-    let mut taken = ResourceTotal::default();
-    for busy in ends {
-        taken = taken.plus(&busy.resources);
-        let rest = whole.minus(&taken);
-        if !needed.fits(&rest) {
-            return busy.first_end_ms.unwrap_or(0);
+    let mut latest_first: Vec<&RunningWork> = runs.collect();
+    latest_first.sort_by_key(|runs| std::cmp::Reverse(runs.first_end_ms));
+    let mut held = ResourceTotal::default();
+    for runs in latest_first {
+        held = held.plus(&runs.resources);
+        let free = capacity.minus(&held);
+        if !needed.fits_in(&free) {
+            return runs.first_end_ms.unwrap_or(0);
         }
     }
     0
--- a/crates/stairstall-core/src/batch/load/work.rs
+++ b/crates/stairstall-core/src/batch/load/work.rs
@@ -1,13 +1,14 @@
-//! Work that runs and work that waits, summed up.
+//! Summaries of running and of waiting work.
 //!
-//! These are written as lists of their fields: every daemon is sent some dozens of them.
+//! Every daemon is sent dozens of these, so they are serialized compactly, as lists of their
+//! fields.
 
 use serde::{Deserialize, Serialize};
 
 use crate::batch::Resources;
 use crate::{CustomerId, ServiceId};
 
-/// Room of many workers or runs together.
+/// Total resources of many workers or runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct ResourceTotal {
@@ -20,13 +21,13 @@
 }
 
 impl From<ResourceTotal> for (u64, u64, u64) {
-    fn from(room: ResourceTotal) -> Self {
-        (room.cpu_millis, room.memory_mb, room.accelerators)
+    fn from(total: ResourceTotal) -> Self {
+        (total.cpu_millis, total.memory_mb, total.accelerators)
     }
 }
 
 impl ResourceTotal {
-    /// Returns `count` times an amount.
+    /// Returns `count` times the given resources.
     #[must_use]
     pub fn of(one: &Resources, count: u32) -> Self {
         let times = |amount: u32| u64::from(amount) * u64::from(count);
@@ -57,16 +58,16 @@
         }
     }
 
-    /// Tells whether this fits into `room`.
+    /// Returns whether these resources fit into `capacity`.
     #[must_use]
-    pub const fn fits(&self, room: &Self) -> bool {
-        self.cpu_millis <= room.cpu_millis
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    pub const fn fits_in(&self, capacity: &Self) -> bool {
+        self.cpu_millis <= capacity.cpu_millis
+            && self.memory_mb <= capacity.memory_mb
+            && self.accelerators <= capacity.accelerators
     }
 }
 
-/// Room that is taken for some time.
+/// Resources multiplied by the time for which they are held.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct ResourceTime {
@@ -79,19 +80,19 @@
 }
 
 impl From<ResourceTime> for (u64, u64, u64) {
-    fn from(rest: ResourceTime) -> Self {
-        (rest.cpu, rest.memory, rest.accelerators)
+    fn from(time: ResourceTime) -> Self {
+        (time.cpu, time.memory, time.accelerators)
     }
 }
 
 impl ResourceTime {
-    /// Returns what taking `room` for `ms` milliseconds comes to.
+    /// Returns the resource time of holding `resources` for `ms` milliseconds.
     #[must_use]
-    pub const fn of(room: &ResourceTotal, ms: u64) -> Self {
+    pub const fn of(resources: &ResourceTotal, ms: u64) -> Self {
         Self {
-            cpu: room.cpu_millis.saturating_mul(ms) / 1000,
-            memory: room.memory_mb.saturating_mul(ms) / 1000,
-            accelerators: room.accelerators.saturating_mul(ms),
+            cpu: resources.cpu_millis.saturating_mul(ms) / 1000,
+            memory: resources.memory_mb.saturating_mul(ms) / 1000,
+            accelerators: resources.accelerators.saturating_mul(ms),
         }
     }
 
@@ -105,67 +106,67 @@
         }
     }
 
-    /// Returns the least time in which `room` can hold this, in milliseconds; a resource of which
-    /// there is nothing takes none.
+    /// Returns the shortest time in which `capacity` can provide this, in milliseconds. A resource
+    /// of which there is no capacity is ignored.
     #[must_use]
-    pub fn millis_in(&self, room: &ResourceTotal) -> u64 {
-        let share = |amount: u64, has: u64| amount.checked_div(has).unwrap_or(0);
-        share(self.cpu.saturating_mul(1000), room.cpu_millis)
-            .max(share(self.memory.saturating_mul(1000), room.memory_mb))
-            .max(share(self.accelerators, room.accelerators))
+    pub fn millis_in(&self, capacity: &ResourceTotal) -> u64 {
+        let ms = |amount: u64, available: u64| amount.checked_div(available).unwrap_or(0);
+        ms(self.cpu.saturating_mul(1000), capacity.cpu_millis)
+            .max(ms(self.memory.saturating_mul(1000), capacity.memory_mb))
+            .max(ms(self.accelerators, capacity.accelerators))
     }
 }
 
-/// Room that runs of one rank take until about the same time.
+/// Resources held by runs of one rank that end at about the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(ServiceId, u8, Option<u64>, ResourceTotal)")]
 pub struct RunningWork {
-    /// Whose workers they are.
+    /// Service of the workers.
     pub service: ServiceId,
-    /// Rank of the runs: only work of a smaller one makes them give way.
+    /// Rank of the runs; only work of a smaller rank preempts them.
     pub rank: u8,
-    /// When the first of them should end, in milliseconds from now; none where they run until their
-    /// jobs are cancelled.
+    /// Time until the first of them should end, in milliseconds; `None` for long-running steps,
+    /// which run until their jobs are cancelled.
     #[serde(rename = "from_ms")]
     pub first_end_ms: Option<u64>,
-    /// What they take together.
+    /// Total resources that they hold.
     #[serde(rename = "room")]
     pub resources: ResourceTotal,
 }
 
 impl From<RunningWork> for (ServiceId, u8, Option<u64>, ResourceTotal) {
-    fn from(busy: RunningWork) -> Self {
-        (busy.service, busy.rank, busy.first_end_ms, busy.resources)
+    fn from(work: RunningWork) -> Self {
+        (work.service, work.rank, work.first_end_ms, work.resources)
     }
 }
 
-/// Waiting work of one priority and about one size.
+/// Waiting work of one priority and of similar size.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "WaitingFields")]
 pub struct WaitingWork {
-    /// Whose workers it waits for.
+    /// Service of the workers that it waits for.
     pub service: ServiceId,
-    /// The priority of its queue.
+    /// Priority of its queue.
     pub priority: u8,
-    /// Whether it would take any room that is large enough: it is tied to no label, no rack and no
-    /// adviser, and nothing holds it back.
+    /// Whether it can use any capacity that is large enough: it is not restricted to a label, a
+    /// rack or the adviser's choice, and nothing delays it.
     #[serde(rename = "takes_any")]
     pub is_unconstrained: bool,
-    /// Whether its tasks start together.
+    /// Whether its tasks start together, as a gang.
     pub gang: bool,
-    /// The most that one of its tasks takes, of each resource.
+    /// Maximum of each resource that one of its tasks takes.
     pub needs: Resources,
-    /// The most tasks that start together.
+    /// Maximum number of tasks that start together.
     #[serde(rename = "width")]
     pub gang_size: u32,
-    /// The longest typical time of a task, in milliseconds.
+    /// Longest typical run time of a task, in milliseconds.
     pub longest_ms: u64,
-    /// What it will take.
+    /// Resource time that it will take.
     #[serde(rename = "rest")]
     pub remaining: ResourceTime,
 }
 
-/// The fields of waiting work in their order.
+/// Fields of [`WaitingWork`] in the order in which they are serialized.
 type WaitingFields = (
     ServiceId,
     u8,
@@ -194,7 +195,7 @@
 }
 
 impl WaitingWork {
-    /// Adds other work of its kind.
+    /// Adds other work of the same kind.
     pub fn add(&mut self, other: &Self) {
         self.needs = self.needs.component_max(&other.needs);
         self.gang_size = self.gang_size.max(other.gang_size);
@@ -203,15 +204,15 @@
     }
 }
 
-/// What a customer has waiting in one priority.
+/// Waiting work of a customer in one priority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(CustomerId, u8, ResourceTime)")]
 pub struct CustomerBacklog {
-    /// The customer.
+    /// Id of the customer.
     pub customer: CustomerId,
-    /// The priority.
+    /// Priority of the work.
     pub priority: u8,
-    /// What its waiting work will take.
+    /// Resource time that its waiting work will take.
     #[serde(rename = "rest")]
     pub remaining: ResourceTime,
 }
