--- a/crates/stairstall-core/src/batch/timeline.rs
+++ b/crates/stairstall-core/src/batch/timeline.rs
@@ -20,7 +20,8 @@
     /// A task has no placement.
     #[serde(rename = "room")]
     WaitingForCapacity,
-    /// A task has a placement whose resources are still held by preempted runs.
+    /// A task has a placement whose resources are still held by other runs, which are being
+    /// stopped.
     #[serde(rename = "stops")]
     WaitingForPreemption,
     /// The placement of a task is not stored yet.
