--- a/crates/stairstall-core/src/placement/block.rs
+++ b/crates/stairstall-core/src/placement/block.rs
@@ -4,7 +4,7 @@
 
 /// What one worker can offer to one request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct FreeCapacity {
     /// Free accelerators, one bit each.
     pub mask: u64,
     /// Free processors.
@@ -12,7 +12,7 @@
     /// Free memory, in megabytes.
     pub memory_mb: u32,
     /// Accelerators that belong to somebody's home block or have to be cleared; avoided.
-    pub costly: u64,
+    pub avoided: u64,
     /// Which rack, counted along the zone.
     pub rack: u32,
     /// Place in the rack.
@@ -59,7 +59,7 @@
 impl Block {
     /// Finds a block for `shape` in the rooms along a zone.
     #[must_use]
-    pub fn find(rooms: &[Room], shape: &Shape, fit: Fit) -> Option<Self> {
+    pub fn find(rooms: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Self> {
         if shape.adjacent && shape.members > 1 {
             find_adjacent(rooms, shape, fit)
         } else {
@@ -69,7 +69,7 @@
 }
 
 /// How many members fit into one room, bounded by `most`.
-fn member_count(room: &Room, shape: &Shape, most: u16) -> u16 {
+fn member_count(room: &FreeCapacity, shape: &Shape, most: u16) -> u16 {
     let by_processors = room
         .processors
         .checked_div(shape.processors)
@@ -105,14 +105,14 @@
 }
 
 /// Takes the cells of `count` members out of one room; cheap accelerators first.
-fn take_cells(worker: usize, room: &Room, shape: &Shape, count: u16) -> Vec<Cell> {
+fn take_cells(worker: usize, room: &FreeCapacity, shape: &Shape, count: u16) -> Vec<Cell> {
     if shape.accelerators == 0 {
         return vec![Cell { worker, mask: 0 }; usize::from(count)];
     }
     let mut masks: Vec<u64> = aligned_masks(room.mask, shape.accelerators).collect();
     masks.sort_by_key(|mask| {
         (
-            (mask & room.costly).count_ones(),
+            (mask & room.avoided).count_ones(),
             buddy_is_free(room.mask, *mask),
         )
     });
@@ -135,7 +135,7 @@
 }
 
 /// Finds neighbouring workers that hold all members.
-fn find_adjacent(rooms: &[Room], shape: &Shape, fit: Fit) -> Option<Block> {
+fn find_adjacent(rooms: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
     let counts: Vec<u16> = rooms
         .iter()
         .map(|r| member_count(r, shape, shape.members))
@@ -182,7 +182,7 @@
 
 /// Returns the end of the shortest window from `start` that holds `members`.
 fn window_end(
-    rooms: &[Room],
+    rooms: &[FreeCapacity],
     counts: &[u16],
     start: usize,
     members: u16,
@@ -207,34 +207,34 @@
     Some(end)
 }
 
-const fn neighbours(before: &Room, next: &Room, spans_racks: bool) -> bool {
+const fn neighbours(before: &FreeCapacity, next: &FreeCapacity, spans_racks: bool) -> bool {
     if before.rack == next.rack {
         return next.position == before.position + 1;
     }
     spans_racks && next.rack == before.rack + 1
 }
 
-fn first_position(rooms: &[Room], rack: u32) -> u16 {
+fn first_position(rooms: &[FreeCapacity], rack: u32) -> u16 {
     let first = rooms.partition_point(|room| room.rack < rack);
     rooms.get(first).map_or(0, |room| room.position)
 }
 
 /// Tells whether no rack has as many workers as the shape needs at the least.
-fn needs_several_racks(rooms: &[Room], shape: &Shape) -> bool {
+fn needs_several_racks(rooms: &[FreeCapacity], shape: &Shape) -> bool {
     let per_worker = (64 / u32::from(shape.accelerators.max(1).next_power_of_two())).max(1);
     let most_free = rooms.iter().map(|r| r.mask.count_ones()).max().unwrap_or(0);
     let per_worker = per_worker.min((most_free / u32::from(shape.accelerators.max(1))).max(1));
     let least = u32::from(shape.members).div_ceil(per_worker);
     let largest = rooms
         .chunk_by(|a, b| a.rack == b.rack)
-        .map(<[Room]>::len)
+        .map(<[FreeCapacity]>::len)
         .max()
         .unwrap_or(0);
     usize::try_from(least).is_ok_and(|least| least > largest)
 }
 
 fn score_window(
-    rooms: &[Room],
+    rooms: &[FreeCapacity],
     counts: &[u16],
     start: usize,
     end: usize,
@@ -243,7 +243,7 @@
 ) -> Score {
     let costly = rooms[start..end]
         .iter()
-        .map(|r| (r.mask & r.costly).count_ones())
+        .map(|r| (r.mask & r.avoided).count_ones())
         .sum();
     let mut first = start;
     while first > 0
@@ -270,7 +270,7 @@
 }
 
 /// Finds places on any workers: one that holds all members if there is one, few else.
-fn find_scattered(rooms: &[Room], shape: &Shape, fit: Fit) -> Option<Block> {
+fn find_scattered(rooms: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
     let mut candidates: Vec<(Score, u16)> = rooms
         .iter()
         .enumerate()
@@ -299,9 +299,9 @@
 }
 
 /// Scores one worker: the fewer accelerators stay free on it, the better.
-fn score_room(index: usize, room: &Room, shape: &Shape, count: u16) -> Score {
+fn score_room(index: usize, room: &FreeCapacity, shape: &Shape, count: u16) -> Score {
     let taken = u32::from(count) * u32::from(shape.accelerators);
-    let cheap = (room.mask & !room.costly).count_ones();
+    let cheap = (room.mask & !room.avoided).count_ones();
     let rest = room.mask.count_ones().saturating_sub(taken);
     Score {
         costly: taken.saturating_sub(cheap),
--- a/crates/stairstall-core/src/placement/homes.rs
+++ b/crates/stairstall-core/src/placement/homes.rs
@@ -10,7 +10,7 @@
 quick_error! {
     /// No way was found to keep every guarantee at once.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum NoWitness {
+    pub enum UnplaceableGuarantee {
         /// This guarantee found no home block beside the others.
         Guarantee(id: GuaranteeId, shape: Shape) {
             display("guarantee {id} ({shape}) finds no block beside the other guarantees and the work that can't give way")
@@ -29,7 +29,7 @@
 
 /// The home block of one guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Home {
+pub struct HomeBlock {
     /// The guarantee.
     pub guarantee: Guarantee,
     /// Its cells, in order of member.
@@ -41,12 +41,12 @@
 /// Home blocks never overlap one another, nor work that can't give way. A
 /// worker that is lost moves the home blocks that it carried.
 #[derive(Debug, Clone, Default)]
-pub struct Homes {
-    homes: BTreeMap<GuaranteeId, Home>,
+pub struct HomeBlocks {
+    homes: BTreeMap<GuaranteeId, HomeBlock>,
     broken: BTreeSet<GuaranteeId>,
 }
 
-impl Homes {
+impl HomeBlocks {
     /// Creates a witness for no guarantees.
     #[must_use]
     pub fn new() -> Self {
@@ -54,19 +54,22 @@
     }
 
     /// Returns the home blocks of a customer.
-    pub fn of<'a>(&'a self, customer: &'a CustomerId) -> impl Iterator<Item = &'a Home> {
+    pub fn of_customer<'a>(
+        &'a self,
+        customer: &'a CustomerId,
+    ) -> impl Iterator<Item = &'a HomeBlock> {
         self.homes
             .values()
             .filter(move |home| home.guarantee.customer == *customer)
     }
 
     /// Iterates over all home blocks.
-    pub fn iter(&self) -> impl Iterator<Item = &Home> {
+    pub fn iter(&self) -> impl Iterator<Item = &HomeBlock> {
         self.homes.values()
     }
 
     /// Takes home blocks that an earlier holder kept; those on unknown workers are dropped.
-    pub fn restore(&mut self, homes: Vec<Home>, inventory: &mut Inventory) {
+    pub fn restore(&mut self, homes: Vec<HomeBlock>, inventory: &mut Inventory) {
         for home in homes {
             let known = |c: &HomeCell| inventory.index_of(&c.worker).is_some();
             if !home.cells.iter().all(known) {
@@ -84,7 +87,7 @@
 
     /// Returns the home block of one guarantee.
     #[must_use]
-    pub fn get(&self, guarantee: &GuaranteeId) -> Option<&Home> {
+    pub fn get(&self, guarantee: &GuaranteeId) -> Option<&HomeBlock> {
         self.homes.get(guarantee)
     }
 
@@ -99,14 +102,21 @@
     /// # Errors
     ///
     /// Names the first guarantee that finds no home block.
-    pub fn check(&self, guarantees: &[Guarantee], inventory: &Inventory) -> Result<(), NoWitness> {
+    pub fn check(
+        &self,
+        guarantees: &[Guarantee],
+        inventory: &Inventory,
+    ) -> Result<(), UnplaceableGuarantee> {
         let mut homes = self.clone();
         let mut inventory = inventory.clone();
-        match homes.keep(guarantees, &mut inventory).into_iter().next() {
+        match homes.update(guarantees, &mut inventory).into_iter().next() {
             None => Ok(()),
             Some(id) => {
                 let shape = guarantees.iter().find(|g| g.name == id).map(|g| g.shape);
-                Err(NoWitness::Guarantee(id, shape.unwrap_or(Shape::new(0, 0))))
+                Err(UnplaceableGuarantee::Guarantee(
+                    id,
+                    shape.unwrap_or(Shape::new(0, 0)),
+                ))
             }
         }
     }
@@ -115,7 +125,7 @@
     ///
     /// Returns the guarantees that find no home block; nothing of theirs is
     /// kept, and what they had is not lent to work that can't give way.
-    pub fn keep(
+    pub fn update(
         &mut self,
         guarantees: &[Guarantee],
         inventory: &mut Inventory,
@@ -131,7 +141,7 @@
 
     /// Forgets home blocks that are not asked for, changed, or stand on lost workers.
     fn drop_unsound(&mut self, guarantees: &[Guarantee], inventory: &mut Inventory) {
-        let sound = |home: &Home| {
+        let sound = |home: &HomeBlock| {
             guarantees
                 .iter()
                 .any(|g| g.name == home.guarantee.name && same_claim(g, &home.guarantee))
@@ -162,7 +172,7 @@
         waiting.sort_by_key(|g| std::cmp::Reverse((g.shape.total_accelerators(), g.shape.members)));
         let mut missing = Vec::new();
         for guarantee in waiting {
-            let rooms = inventory.home_rooms();
+            let rooms = inventory.free_for_homes();
             match Block::find(&rooms, &guarantee.shape, Fit::Aligned) {
                 Some(block) => self.settle(guarantee, &block.cells, inventory),
                 None => missing.push(guarantee.name.clone()),
@@ -214,7 +224,7 @@
                 mask: cell.mask,
             });
         }
-        let home = Home {
+        let home = HomeBlock {
             guarantee: guarantee.clone(),
             cells: home_cells,
         };
@@ -229,16 +239,16 @@
 fn is_claimed(guarantee: &GuaranteeId, inventory: &Inventory) -> bool {
     (0..inventory.len()).any(|i| {
         inventory
-            .uses(i)
+            .allocations(i)
             .iter()
             .any(|u| u.home.as_ref() == Some(guarantee))
     })
 }
 
-impl Home {
+impl HomeBlock {
     /// Returns cells for `shape` that no claim of the owner uses, or none if they are too few.
     #[must_use]
-    pub fn claim(&self, shape: &Shape, inventory: &Inventory) -> Option<Block> {
+    pub fn find_free(&self, shape: &Shape, inventory: &Inventory) -> Option<Block> {
         if !shape.fits_in(&self.guarantee.shape) {
             return None;
         }
@@ -246,7 +256,7 @@
         let free = self.cells.iter().filter_map(|cell| {
             let index = inventory.index_of(&cell.worker)?;
             let taken = inventory
-                .uses(index)
+                .allocations(index)
                 .iter()
                 .any(|u| u.home.as_ref() == owner && u.mask & cell.mask != 0);
             let usable = inventory.is_usable(&cell.worker);
--- a/crates/stairstall-core/src/placement/inventory.rs
+++ b/crates/stairstall-core/src/placement/inventory.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{Room, Shape};
+use super::{FreeCapacity, Shape};
 use crate::{GuaranteeId, WorkerId};
-pub use types::{Access, Capacity, Demand, Use, UseId, WorkerInfo};
+pub use types::{Access, Allocation, AllocationOwner, Capacity, Demand, WorkerInfo};
 use worker::{HomePart, Totals, Worker};
 
 /// The workers of one zone, in order of rack and position, and what occupies them.
@@ -113,25 +113,25 @@
 
     /// Returns what each worker can offer under `access`, along the zone.
     #[must_use]
-    pub fn rooms(&self, access: Access) -> Vec<Room> {
+    pub fn free_capacity(&self, access: Access) -> Vec<FreeCapacity> {
         self.workers.iter().map(|w| w.room(access)).collect()
     }
 
     /// Returns what each worker can offer to home blocks.
     #[must_use]
-    pub fn home_rooms(&self) -> Vec<Room> {
+    pub fn free_for_homes(&self) -> Vec<FreeCapacity> {
         self.workers.iter().map(Worker::home_room).collect()
     }
 
     /// Occupies a part of the worker at `index`.
-    pub fn occupy(&mut self, index: usize, used: Use) {
+    pub fn occupy(&mut self, index: usize, used: Allocation) {
         let worker = &mut self.workers[index];
         worker.uses.push(used);
         worker.refresh();
     }
 
     /// Frees what one run occupies on a worker.
-    pub fn release(&mut self, id: &WorkerId, mask: u64, owner: UseId) {
+    pub fn release(&mut self, id: &WorkerId, mask: u64, owner: AllocationOwner) {
         let Some(index) = self.index_of(id) else {
             return;
         };
@@ -148,7 +148,7 @@
 
     /// Returns what occupies the worker at `index`.
     #[must_use]
-    pub fn uses(&self, index: usize) -> &[Use] {
+    pub fn allocations(&self, index: usize) -> &[Allocation] {
         &self.workers[index].uses
     }
 
@@ -184,14 +184,19 @@
     /// Whoever overlaps the accelerators does; then, while processors or memory
     /// are short, those that can, lowest level first.
     #[must_use]
-    pub fn in_the_way(&self, demand: &Demand, shape: &Shape, owner: UseId) -> Vec<UseId> {
+    pub fn blocking_runs(
+        &self,
+        demand: &Demand,
+        shape: &Shape,
+        owner: AllocationOwner,
+    ) -> Vec<AllocationOwner> {
         let worker = &self.workers[demand.worker];
         let others = || worker.uses.iter().filter(|u| u.id != owner);
-        let mut out: Vec<UseId> = others()
+        let mut out: Vec<AllocationOwner> = others()
             .filter(|u| u.mask & demand.mask != 0)
             .map(|u| u.id)
             .collect();
-        let left = |out: &[UseId]| {
+        let left = |out: &[AllocationOwner]| {
             others()
                 .filter(|u| !out.contains(&u.id))
                 .fold((0_u32, 0_u64), |sum, u| {
@@ -211,8 +216,8 @@
             sum.0 + own.0 <= u32::from(capacity.processors)
                 && sum.1 + own.1 <= u64::from(capacity.memory_mb)
         };
-        let mut spare: Vec<&Use> = others()
-            .filter(|u| u.gives_way && u.home.is_none())
+        let mut spare: Vec<&Allocation> = others()
+            .filter(|u| u.preemptible && u.home.is_none())
             .collect();
         spare.sort_by_key(|u| u.level);
         for used in spare {
--- a/crates/stairstall-core/src/placement/inventory/types.rs
+++ b/crates/stairstall-core/src/placement/inventory/types.rs
@@ -53,15 +53,15 @@
     pub capacity: Capacity,
 }
 
-/// Names the holder of a [`Use`]: a run of a job, counted by the scheduler.
+/// Names the holder of an [`Allocation`]: a run of a job, counted by the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct UseId(pub u64);
+pub struct AllocationOwner(pub u64);
 
 /// A part of a worker that one member of a run occupies.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Use {
+pub struct Allocation {
     /// Whose.
-    pub id: UseId,
+    pub id: AllocationOwner,
     /// Accelerators, one bit each.
     pub mask: u64,
     /// Processors.
@@ -69,13 +69,13 @@
     /// Memory, in megabytes.
     pub memory_mb: u32,
     /// Whether the work can be made to give way within the grace.
-    pub gives_way: bool,
+    pub preemptible: bool,
     /// Whether it can be moved at the cost of a checkpoint only.
     pub movable: bool,
     /// Level of its priority class.
     pub level: u8,
     /// When it is expected to end.
-    pub ends_at: Timestamp,
+    pub expected_end: Timestamp,
     /// The guarantee whose home block it stands in as its owner.
     pub home: Option<GuaranteeId>,
 }
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
     /// Free accelerators outside of home blocks: for work that can't give way.
-    Fixed,
+    OutsideHomes,
     /// Free accelerators anywhere: for work that can give way.
     Borrow,
     /// Also what work of lower levels than this, which can give way, occupies.
@@ -124,7 +124,7 @@
 impl Demand {
     /// Adds up cells by worker.
     #[must_use]
-    pub fn of(cells: impl IntoIterator<Item = Cell>) -> Vec<Self> {
+    pub fn per_worker(cells: impl IntoIterator<Item = Cell>) -> Vec<Self> {
         let mut demands: BTreeMap<usize, Self> = BTreeMap::new();
         for cell in cells {
             let empty = Self {
--- a/crates/stairstall-core/src/placement/inventory/worker.rs
+++ b/crates/stairstall-core/src/placement/inventory/worker.rs
@@ -1,8 +1,8 @@
 //! One worker: what occupies it, and what it can offer.
 
-use super::types::{Access, Use, WorkerInfo};
+use super::types::{Access, Allocation, WorkerInfo};
 use crate::GuaranteeId;
-use crate::placement::{Room, Shape};
+use crate::placement::{FreeCapacity, Shape};
 
 /// A home cell on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 pub(super) struct Worker {
     pub(super) info: WorkerInfo,
     pub(super) usable: bool,
-    pub(super) uses: Vec<Use>,
+    pub(super) uses: Vec<Allocation>,
     pub(super) homes: Vec<HomePart>,
     pub(super) rack_index: u32,
     pub(super) totals: Totals,
@@ -42,7 +42,7 @@
             totals.used |= used.mask;
             totals.used_processors = totals.used_processors.saturating_add(used.processors);
             totals.used_memory = totals.used_memory.saturating_add(used.memory_mb);
-            if !used.gives_way && used.home.is_none() {
+            if !used.preemptible && used.home.is_none() {
                 totals.bound_processors = totals.bound_processors.saturating_add(used.processors);
                 totals.bound_memory = totals.bound_memory.saturating_add(used.memory_mb);
             }
@@ -57,17 +57,17 @@
         self.totals = totals;
     }
 
-    pub(super) fn room(&self, access: Access) -> Room {
+    pub(super) fn room(&self, access: Access) -> FreeCapacity {
         if !self.usable {
-            return self.located(Room::default());
+            return self.located(FreeCapacity::default());
         }
         match access {
-            Access::Fixed => self.fixed_room(self.totals.used, (0, 0)),
+            Access::OutsideHomes => self.fixed_room(self.totals.used, (0, 0)),
             Access::Borrow => self.borrow_room(self.totals.used, (0, 0)),
             Access::Preempt { level, borrow } => self.cleared_room(borrow, |u| {
-                u.gives_way && u.home.is_none() && u.level < level
+                u.preemptible && u.home.is_none() && u.level < level
             }),
-            Access::Until { time, borrow } => self.cleared_room(borrow, |u| u.ends_at <= time),
+            Access::Until { time, borrow } => self.cleared_room(borrow, |u| u.expected_end <= time),
             Access::Move { level, borrow } => self.cleared_room(borrow, |u| {
                 u.movable && u.home.is_none() && u.level <= level
             }),
@@ -75,7 +75,7 @@
     }
 
     /// Room as it would be after `clears` uses were cleared away.
-    fn cleared_room(&self, borrow: bool, clears: impl Fn(&Use) -> bool) -> Room {
+    fn cleared_room(&self, borrow: bool, clears: impl Fn(&Allocation) -> bool) -> FreeCapacity {
         let mut used = 0;
         let mut cleared = 0;
         let mut back = (0_u16, 0_u32);
@@ -95,13 +95,13 @@
         } else {
             self.fixed_room(used, back)
         };
-        room.costly |= cleared;
+        room.avoided |= cleared;
         room
     }
 
-    fn borrow_room(&self, used: u64, back: (u16, u32)) -> Room {
+    fn borrow_room(&self, used: u64, back: (u16, u32)) -> FreeCapacity {
         let capacity = &self.info.capacity;
-        self.located(Room {
+        self.located(FreeCapacity {
             mask: capacity.mask() & !used,
             processors: capacity
                 .processors
@@ -111,50 +111,50 @@
                 .memory_mb
                 .saturating_add(back.1)
                 .saturating_sub(self.totals.used_memory),
-            costly: self.totals.home,
-            ..Room::default()
+            avoided: self.totals.home,
+            ..FreeCapacity::default()
         })
     }
 
-    fn fixed_room(&self, used: u64, back: (u16, u32)) -> Room {
+    fn fixed_room(&self, used: u64, back: (u16, u32)) -> FreeCapacity {
         let free = self.borrow_room(used, back);
         let capacity = &self.info.capacity;
         let processors = capacity
             .processors
             .saturating_sub(self.totals.bound_processors);
         let memory_mb = capacity.memory_mb.saturating_sub(self.totals.bound_memory);
-        Room {
+        FreeCapacity {
             mask: free.mask & !self.totals.home,
             processors: free.processors.min(processors),
             memory_mb: free.memory_mb.min(memory_mb),
-            costly: 0,
+            avoided: 0,
             ..free
         }
     }
 
     /// Room for a home block: everything that neither fixed work nor another home holds.
-    pub(super) fn home_room(&self) -> Room {
+    pub(super) fn home_room(&self) -> FreeCapacity {
         if !self.usable {
-            return self.located(Room::default());
+            return self.located(FreeCapacity::default());
         }
         let fixed = self
             .uses
             .iter()
-            .filter(|u| !u.gives_way && u.home.is_none());
+            .filter(|u| !u.preemptible && u.home.is_none());
         let held = fixed.fold(self.totals.home, |mask, u| mask | u.mask);
         let capacity = &self.info.capacity;
-        self.located(Room {
+        self.located(FreeCapacity {
             mask: capacity.mask() & !held,
             processors: capacity
                 .processors
                 .saturating_sub(self.totals.bound_processors),
             memory_mb: capacity.memory_mb.saturating_sub(self.totals.bound_memory),
-            costly: self.totals.used,
-            ..Room::default()
+            avoided: self.totals.used,
+            ..FreeCapacity::default()
         })
     }
 
-    const fn located(&self, mut room: Room) -> Room {
+    const fn located(&self, mut room: FreeCapacity) -> FreeCapacity {
         room.rack = self.rack_index;
         room.position = self.info.position;
         room
--- a/crates/stairstall-core/src/placement/job.rs
+++ b/crates/stairstall-core/src/placement/job.rs
@@ -98,7 +98,7 @@
         }
         /// A duration is out of bounds.
         Duration(field: &'static str) {
-            display("{field} is from 1 to {} milliseconds", JobSpec::MAX_WORK.as_millis())
+            display("{field} is from 1 to {} milliseconds", JobSpec::MAX_EXPECTED_RUN.as_millis())
         }
     }
 }
@@ -110,7 +110,7 @@
         match self {
             Self::Shape(ShapeError::Members(_)) => "shape.members",
             Self::Shape(ShapeError::Accelerators(_)) => "shape.accelerators",
-            Self::Shape(ShapeError::Nothing) => "shape",
+            Self::Shape(ShapeError::Empty) => "shape",
             Self::Payload(_) => "payload",
             Self::Duration(field) => field,
         }
@@ -150,7 +150,7 @@
 
 impl JobSpec {
     /// Longest expected run.
-    pub const MAX_WORK: Duration = Duration::from_secs(90 * 24 * 3600);
+    pub const MAX_EXPECTED_RUN: Duration = Duration::from_secs(90 * 24 * 3600);
 
     /// Returns the key.
     #[must_use]
@@ -182,7 +182,7 @@
         if self.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(JobError::Payload(self.payload.len()));
         }
-        let most = u64::try_from(Self::MAX_WORK.as_millis()).unwrap_or(u64::MAX);
+        let most = u64::try_from(Self::MAX_EXPECTED_RUN.as_millis()).unwrap_or(u64::MAX);
         if !(1..=most).contains(&self.expected_ms) {
             return Err(JobError::Duration("expected_ms"));
         }
--- a/crates/stairstall-core/src/placement/run.rs
+++ b/crates/stairstall-core/src/placement/run.rs
@@ -4,7 +4,7 @@
 
 use super::Attempt;
 use crate::{Timestamp, Verdict};
-pub use phase::{Ending, Member, MemberPhase, Phase, StopReason, Wish};
+pub use phase::{Member, MemberOrder, MemberPhase, RunOutcome, RunPhase, StopReason};
 
 /// One attempt at a gang job: all members run, or none does.
 ///
@@ -16,7 +16,7 @@
 pub struct Run {
     attempt: Attempt,
     members: Vec<Member>,
-    phase: Phase,
+    phase: RunPhase,
     start_sent: bool,
     recorded: bool,
     cleared: bool,
@@ -33,7 +33,7 @@
     /// Lease of a reservation; longer than reserving and starting may take.
     pub const RESERVE_LEASE: Duration = Duration::from_secs(10);
     /// How long work that gives way has to save its progress.
-    pub const GRACE: Duration = Duration::from_secs(3);
+    pub const PREEMPTION_GRACE: Duration = Duration::from_secs(3);
 
     /// Creates a run that waits to be recorded and for its places to be cleared.
     #[must_use]
@@ -41,7 +41,7 @@
         Self {
             attempt,
             members,
-            phase: Phase::Preparing,
+            phase: RunPhase::Preparing,
             start_sent: false,
             recorded: false,
             cleared: false,
@@ -53,7 +53,7 @@
     #[must_use]
     pub const fn recover(attempt: Attempt, members: Vec<Member>) -> Self {
         let mut run = Self::new(attempt, members);
-        run.phase = Phase::Recovering;
+        run.phase = RunPhase::Recovering;
         run.recorded = true;
         run.cleared = true;
         run.recovered = true;
@@ -74,15 +74,15 @@
 
     /// Returns the phase.
     #[must_use]
-    pub const fn phase(&self) -> Phase {
+    pub const fn phase(&self) -> RunPhase {
         self.phase
     }
 
     /// Returns how the run ended, if it did.
     #[must_use]
-    pub const fn ending(&self) -> Option<Ending> {
+    pub const fn outcome(&self) -> Option<RunOutcome> {
         match self.phase {
-            Phase::Over { ending } => Some(ending),
+            RunPhase::Over { ending } => Some(ending),
             _ => None,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     /// Notes that the placement is recorded, or need not be.
-    pub const fn note_recorded(&mut self) {
+    pub const fn mark_recorded(&mut self) {
         self.recorded = true;
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Notes that nothing stands in the way any more.
-    pub const fn note_cleared(&mut self) {
+    pub const fn mark_cleared(&mut self) {
         self.cleared = true;
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Takes what a worker says of a member; a member that is over stays so.
-    pub fn report(&mut self, member: u16, phase: MemberPhase) {
+    pub fn update_member(&mut self, member: u16, phase: MemberPhase) {
         let Some(found) = self.members.get_mut(usize::from(member)) else {
             return;
         };
@@ -129,21 +129,21 @@
     /// Begins to stop the run, whatever it does now.
     pub fn stop(&mut self, reason: StopReason) {
         match self.phase {
-            Phase::Over { .. } | Phase::Stopping { .. } => {}
-            Phase::Preparing => self.end(reason),
-            _ => self.phase = Phase::Stopping { reason },
+            RunPhase::Over { .. } | RunPhase::Stopping { .. } => {}
+            RunPhase::Preparing => self.end(reason),
+            _ => self.phase = RunPhase::Stopping { reason },
         }
     }
 
     /// Makes the run give way: saves progress first, where `checkpoints` says it can.
-    pub fn give_way(&mut self, now: Timestamp, checkpoints: bool) {
+    pub fn preempt(&mut self, now: Timestamp, checkpoints: bool) {
         match self.phase {
-            Phase::Running if checkpoints => {
-                self.phase = Phase::Checkpointing {
-                    until: now + Self::GRACE,
+            RunPhase::Running if checkpoints => {
+                self.phase = RunPhase::Checkpointing {
+                    until: now + Self::PREEMPTION_GRACE,
                 };
             }
-            Phase::Checkpointing { .. } => {}
+            RunPhase::Checkpointing { .. } => {}
             _ => self.stop(StopReason::GaveWay),
         }
     }
@@ -158,21 +158,21 @@
     fn step(&mut self, now: Timestamp) -> bool {
         let before = self.phase;
         match self.phase {
-            Phase::Preparing => self.step_preparing(now),
-            Phase::Recovering => self.step_recovering(),
-            Phase::Reserving { until } => self.step_reserving(now, until),
-            Phase::Starting { until } => self.step_starting(now, until),
-            Phase::Running => self.step_running(),
-            Phase::Checkpointing { until } => self.step_checkpointing(now, until),
-            Phase::Stopping { reason } => self.step_stopping(reason),
-            Phase::Over { .. } => {}
+            RunPhase::Preparing => self.step_preparing(now),
+            RunPhase::Recovering => self.step_recovering(),
+            RunPhase::Reserving { until } => self.step_reserving(now, until),
+            RunPhase::Starting { until } => self.step_starting(now, until),
+            RunPhase::Running => self.step_running(),
+            RunPhase::Checkpointing { until } => self.step_checkpointing(now, until),
+            RunPhase::Stopping { reason } => self.step_stopping(reason),
+            RunPhase::Over { .. } => {}
         }
         self.phase != before
     }
 
     fn step_preparing(&mut self, now: Timestamp) {
         if self.recorded && self.cleared {
-            self.phase = Phase::Reserving {
+            self.phase = RunPhase::Reserving {
                 until: now + Self::RESERVE_TIMEOUT,
             };
         }
@@ -183,9 +183,9 @@
             return;
         }
         if self.all(|p| p.is_running() || matches!(p, MemberPhase::Finished { .. })) {
-            self.phase = Phase::Running;
+            self.phase = RunPhase::Running;
         } else {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberLost,
             };
         }
@@ -193,12 +193,12 @@
 
     fn step_reserving(&mut self, now: Timestamp, until: Timestamp) {
         if self.any(MemberPhase::is_over) || now >= until {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::NotStarted,
             };
         } else if self.all(|p| *p == MemberPhase::Reserved) {
             self.start_sent = true;
-            self.phase = Phase::Starting {
+            self.phase = RunPhase::Starting {
                 until: now + Self::START_TIMEOUT,
             };
         }
@@ -207,25 +207,25 @@
     fn step_starting(&mut self, now: Timestamp, until: Timestamp) {
         let ended = |p: &MemberPhase| matches!(p, MemberPhase::Finished { success: true });
         if self.any(|p| p.is_over() && !ended(p)) || now >= until {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::NotStarted,
             };
         } else if self.all(|p| p.is_running() || ended(p)) {
-            self.phase = Phase::Running;
+            self.phase = RunPhase::Running;
         }
     }
 
     fn step_running(&mut self) {
         if self.all(|p| *p == MemberPhase::Finished { success: true }) {
-            self.phase = Phase::Over {
-                ending: Ending::Finished { success: true },
+            self.phase = RunPhase::Over {
+                ending: RunOutcome::Finished { success: true },
             };
         } else if self.any(|p| *p == MemberPhase::Finished { success: false }) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberFailed,
             };
         } else if self.any(|p| matches!(p, MemberPhase::Stopped { .. } | MemberPhase::Lost)) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberLost,
             };
         }
@@ -233,15 +233,15 @@
 
     fn step_checkpointing(&mut self, now: Timestamp, until: Timestamp) {
         if self.all(|p| *p == MemberPhase::Finished { success: true }) {
-            self.phase = Phase::Over {
-                ending: Ending::Finished { success: true },
+            self.phase = RunPhase::Over {
+                ending: RunOutcome::Finished { success: true },
             };
         } else if self.any(|p| matches!(p, MemberPhase::Stopped { .. } | MemberPhase::Lost)) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberLost,
             };
         } else if now >= until || self.all(|p| *p == MemberPhase::Checkpointed || p.is_over()) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::GaveWay,
             };
         }
@@ -254,8 +254,8 @@
         }
         if self.all(|p| matches!(p, MemberPhase::Finished { .. })) {
             let success = self.all(|p| *p == MemberPhase::Finished { success: true });
-            self.phase = Phase::Over {
-                ending: Ending::Finished { success },
+            self.phase = RunPhase::Over {
+                ending: RunOutcome::Finished { success },
             };
         } else {
             self.end(reason);
@@ -264,8 +264,8 @@
 
     fn end(&mut self, reason: StopReason) {
         let verdict = self.verdict();
-        self.phase = Phase::Over {
-            ending: Ending::Stopped { reason, verdict },
+        self.phase = RunPhase::Over {
+            ending: RunOutcome::Stopped { reason, verdict },
         };
     }
 
@@ -282,20 +282,20 @@
 
     /// Returns what the member's worker should be told next, if anything.
     #[must_use]
-    pub fn wish(&self, member: u16) -> Option<Wish> {
+    pub fn next_order(&self, member: u16) -> Option<MemberOrder> {
         let phase = &self.members.get(usize::from(member))?.phase;
         match (self.phase, phase) {
             (_, p) if p.is_over() => None,
-            (Phase::Reserving { .. }, MemberPhase::Unknown | MemberPhase::Absent) => {
-                Some(Wish::Reserve)
+            (RunPhase::Reserving { .. }, MemberPhase::Unknown | MemberPhase::Absent) => {
+                Some(MemberOrder::Reserve)
             }
-            (Phase::Starting { .. }, MemberPhase::Reserved) => Some(Wish::Start),
-            (Phase::Running, MemberPhase::Started) => Some(Wish::Confirm),
-            (Phase::Checkpointing { .. }, MemberPhase::Started | MemberPhase::Confirmed) => {
-                Some(Wish::Checkpoint)
+            (RunPhase::Starting { .. }, MemberPhase::Reserved) => Some(MemberOrder::Start),
+            (RunPhase::Running, MemberPhase::Started) => Some(MemberOrder::Confirm),
+            (RunPhase::Checkpointing { .. }, MemberPhase::Started | MemberPhase::Confirmed) => {
+                Some(MemberOrder::Checkpoint)
             }
-            (Phase::Stopping { .. }, p) if *p != MemberPhase::Absent || self.start_sent => {
-                Some(Wish::Stop)
+            (RunPhase::Stopping { .. }, p) if *p != MemberPhase::Absent || self.start_sent => {
+                Some(MemberOrder::Stop)
             }
             _ => None,
         }
--- a/crates/stairstall-core/src/placement/run/phase.rs
+++ b/crates/stairstall-core/src/placement/run/phase.rs
@@ -101,7 +101,7 @@
 
 /// Where a run stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Phase {
+pub enum RunPhase {
     /// The placement is being recorded, and earlier work cleared away.
     Preparing,
     /// A new holder waits to hear of every member.
@@ -131,13 +131,13 @@
     /// It is over.
     Over {
         /// How.
-        ending: Ending,
+        ending: RunOutcome,
     },
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Ending {
+pub enum RunOutcome {
     /// All members ended by themselves.
     Finished {
         /// Whether all did what they should.
@@ -154,7 +154,7 @@
 
 /// What a member's worker should be told next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Wish {
+pub enum MemberOrder {
     /// Reserve it.
     Reserve,
     /// Start it under a short lease.
--- a/crates/stairstall-core/src/placement/scheduler.rs
+++ b/crates/stairstall-core/src/placement/scheduler.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    Home, Homes, Inventory, JobKey, JobRecord, JobState, NoWitness, Policy, UseId, WorkerInfo,
+    AllocationOwner, HomeBlock, HomeBlocks, Inventory, JobKey, JobRecord, JobState, Policy,
+    UnplaceableGuarantee, WorkerInfo,
 };
 use crate::config::{Configuration, Guarantee};
 use crate::protocol::{SyncReply, SyncRequest, VmState};
@@ -23,7 +24,7 @@
 
 use contact::Contact;
 pub use contact::SYNC_TIMEOUT;
-pub use effect::{Decision, DecisionKind, Effect, WriteAnswer, WriteId};
+pub use effect::{Decision, DecisionKind, Effect, WriteId, WriteResult};
 use entry::{Entry, Stage};
 pub use summary::{Fragmentation, Summary};
 
@@ -31,7 +32,7 @@
 ///
 /// Feed it records from the store, the workers' answers and the time; carry out
 /// the [`Effect`]s that [`Scheduler::tick`] returns and send the requests that
-/// [`Scheduler::due`] and [`Scheduler::next_sync`] ask for.
+/// [`Scheduler::workers_to_sync`] and [`Scheduler::next_sync`] ask for.
 #[derive(Debug, Clone)]
 pub struct Scheduler {
     me: VmId,
@@ -40,10 +41,10 @@
     policy: Policy,
     configuration: Arc<Configuration>,
     inventory: Inventory,
-    homes: Homes,
+    homes: HomeBlocks,
     jobs: BTreeMap<JobKey, Entry>,
     contacts: BTreeMap<WorkerId, Contact>,
-    uses: BTreeMap<UseId, JobKey>,
+    uses: BTreeMap<AllocationOwner, JobKey>,
     next_use: u64,
     next_serial: u32,
     next_write: u64,
@@ -52,7 +53,7 @@
     homes_stale: bool,
     knows_store: bool,
     adopts: bool,
-    written_homes: Vec<Home>,
+    written_homes: Vec<HomeBlock>,
 }
 
 impl Scheduler {
@@ -77,7 +78,7 @@
             policy,
             configuration: Arc::default(),
             inventory: Inventory::new(),
-            homes: Homes::new(),
+            homes: HomeBlocks::new(),
             jobs: BTreeMap::new(),
             contacts: BTreeMap::new(),
             uses: BTreeMap::new(),
@@ -110,7 +111,7 @@
     }
 
     /// Takes a worker from the platform's list.
-    pub fn list_worker(
+    pub fn add_listed_worker(
         &mut self,
         id: WorkerId,
         rack: RackId,
@@ -127,7 +128,7 @@
     }
 
     /// Drops workers that the platform no longer lists and that hold nothing.
-    pub fn unlist_workers(&mut self, listed: &BTreeSet<WorkerId>) {
+    pub fn remove_unlisted_workers(&mut self, listed: &BTreeSet<WorkerId>) {
         let gone: Vec<WorkerId> = self
             .contacts
             .iter()
@@ -146,12 +147,12 @@
     /// # Errors
     ///
     /// Names the first guarantee that finds no home block.
-    pub fn check_guarantees(&self, guarantees: &[Guarantee]) -> Result<(), NoWitness> {
+    pub fn check_guarantees(&self, guarantees: &[Guarantee]) -> Result<(), UnplaceableGuarantee> {
         self.homes.check(guarantees, &self.inventory)
     }
 
     /// Takes a job as the store has it.
-    pub fn take_record(&mut self, record: &JobRecord, now: Timestamp) {
+    pub fn handle_record(&mut self, record: &JobRecord, now: Timestamp) {
         if record.zone != self.zone {
             return;
         }
@@ -177,12 +178,12 @@
     }
 
     /// Says that every record of the store was taken: tasks of no record are strays.
-    pub const fn note_store_read(&mut self) {
+    pub const fn mark_store_read(&mut self) {
         self.knows_store = true;
     }
 
     /// Takes the store's answer to the write `id`; answers to earlier writes change nothing.
-    pub fn take_answer(&mut self, job: &JobKey, id: WriteId, answer: WriteAnswer) {
+    pub fn handle_write_result(&mut self, job: &JobKey, id: WriteId, answer: WriteResult) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
@@ -190,11 +191,11 @@
             return;
         }
         self.replan = true;
-        let done = answer == WriteAnswer::Done;
+        let done = answer == WriteResult::Done;
         if done {
             entry.pending_write = None;
         }
-        if answer == WriteAnswer::Superseded {
+        if answer == WriteResult::Superseded {
             entry.superseded = true;
             return;
         }
@@ -202,7 +203,7 @@
             Stage::Running(running) => {
                 entry.recorded |= done;
                 if done || entry.spec.repeatable {
-                    running.run.note_recorded();
+                    running.run.mark_recorded();
                 }
             }
             Stage::Closing if done => drop(self.jobs.remove(job)),
@@ -213,7 +214,7 @@
 
     /// Returns the workers that want a sync now.
     #[must_use]
-    pub fn due(&self, now: Timestamp) -> Vec<WorkerId> {
+    pub fn workers_to_sync(&self, now: Timestamp) -> Vec<WorkerId> {
         self.contacts
             .iter()
             .filter(|(_, c)| c.is_due(now))
@@ -230,7 +231,7 @@
     }
 
     /// Takes a worker's answer.
-    pub fn sync_done(&mut self, worker: &WorkerId, reply: &SyncReply, now: Timestamp) {
+    pub fn handle_sync_reply(&mut self, worker: &WorkerId, reply: &SyncReply, now: Timestamp) {
         let interval = self.sync_interval();
         let Some(contact) = self.contacts.get_mut(worker) else {
             return;
@@ -260,7 +261,7 @@
     }
 
     /// Notes that a worker did not answer.
-    pub fn sync_failed(&mut self, worker: &WorkerId, now: Timestamp) {
+    pub fn handle_sync_failure(&mut self, worker: &WorkerId, now: Timestamp) {
         let interval = self.sync_interval();
         let Some(contact) = self.contacts.get_mut(worker) else {
             return;
@@ -301,10 +302,10 @@
     fn keep_homes(&mut self) {
         let guarantees = self.configuration.guarantees_in(&self.zone);
         let before = self.homes.broken().clone();
-        let missing = self.homes.keep(&guarantees, &mut self.inventory);
-        let kept: Vec<Home> = self.homes.iter().cloned().collect();
+        let missing = self.homes.update(&guarantees, &mut self.inventory);
+        let kept: Vec<HomeBlock> = self.homes.iter().cloned().collect();
         if kept != self.written_homes {
-            self.effects.push(Effect::KeepHomes(kept.clone()));
+            self.effects.push(Effect::StoreHomes(kept.clone()));
             self.written_homes = kept;
         }
         for id in missing.iter().filter(|id| !before.contains(*id)) {
--- a/crates/stairstall-core/src/placement/scheduler/effect.rs
+++ b/crates/stairstall-core/src/placement/scheduler/effect.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-use crate::placement::{Home, JobKey, JobState};
+use crate::placement::{HomeBlock, JobKey, JobState};
 
 /// Names a write of one tenure, so that answers are told apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -8,7 +8,7 @@
 
 /// What became of a write to a job's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteAnswer {
+pub enum WriteResult {
     /// It stands in the store.
     Done,
     /// The store can't be reached now; the write is tried again.
@@ -23,13 +23,13 @@
     /// A job was given a block.
     Placed,
     /// A job waits.
-    Waits,
+    Waiting,
     /// A job gives way to another.
-    GivesWay,
+    Preempted,
     /// A job is stopped, and tried again where it may be.
     Stopped,
     /// A job is over.
-    Over,
+    Ended,
     /// A job of an earlier tenure was taken over.
     TakenOver,
 }
@@ -40,10 +40,10 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Placed => "placed",
-            Self::Waits => "waits",
-            Self::GivesWay => "gives-way",
+            Self::Waiting => "waits",
+            Self::Preempted => "gives-way",
             Self::Stopped => "stopped",
-            Self::Over => "over",
+            Self::Ended => "over",
             Self::TakenOver => "taken-over",
         }
     }
@@ -85,9 +85,9 @@
         crashes: u32,
     },
     /// Keep the home blocks for the next holder, so that they stay where they are.
-    KeepHomes(Vec<Home>),
+    StoreHomes(Vec<HomeBlock>),
     /// Log a decision.
-    Decide(Decision),
+    LogDecision(Decision),
     /// Tell operators.
     Alarm(String),
 }
--- a/crates/stairstall-core/src/placement/scheduler/entry.rs
+++ b/crates/stairstall-core/src/placement/scheduler/entry.rs
@@ -4,7 +4,7 @@
 
 use super::WriteId;
 use crate::Timestamp;
-use crate::placement::{JobRecord, JobSpec, Run, UseId};
+use crate::placement::{AllocationOwner, JobRecord, JobSpec, Run};
 
 /// How many decisions about one job are kept for `explain`.
 const KEPT_DECISIONS: usize = 12;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Running {
     pub(super) run: Run,
-    pub(super) owner: UseId,
+    pub(super) owner: AllocationOwner,
     /// Members whose places are free again, by index.
     pub(super) released: Vec<bool>,
     /// What the first member answered.
@@ -59,7 +59,7 @@
 }
 
 impl Running {
-    pub(super) fn new(run: Run, owner: UseId) -> Self {
+    pub(super) fn new(run: Run, owner: AllocationOwner) -> Self {
         let members = run.members().len();
         Self {
             run,
@@ -109,7 +109,7 @@
 
     /// Whether giving way costs little: its progress can be saved within the grace.
     pub(super) fn is_movable(&self) -> bool {
-        let in_grace = |ms: u64| Duration::from_millis(ms) <= Run::GRACE;
+        let in_grace = |ms: u64| Duration::from_millis(ms) <= Run::PREEMPTION_GRACE;
         self.gives_way() && self.spec.checkpoint_ms.is_some_and(in_grace)
     }
 
--- a/crates/stairstall-core/src/placement/scheduler/orders.rs
+++ b/crates/stairstall-core/src/placement/scheduler/orders.rs
@@ -6,7 +6,7 @@
 use super::reports::members_on;
 use super::runs::placed_members;
 use crate::WorkerId;
-use crate::placement::{JobKey, Phase, Run, Wish};
+use crate::placement::{JobKey, MemberOrder, Run, RunPhase};
 use crate::protocol::{Command, Order, TaskId, TaskReport, TaskSpec};
 use crate::time::millis;
 
@@ -69,24 +69,24 @@
     commands: &mut Vec<Command>,
 ) {
     let run = &running.run;
-    if matches!(run.phase(), Phase::Preparing | Phase::Recovering) || entry.superseded {
+    if matches!(run.phase(), RunPhase::Preparing | RunPhase::Recovering) || entry.superseded {
         return;
     }
     for member in members_on(run, worker) {
-        let Some(wish) = run.wish(member) else {
+        let Some(wish) = run.next_order(member) else {
             continue;
         };
         let order = match wish {
-            Wish::Reserve => Order::Reserve {
+            MemberOrder::Reserve => Order::Reserve {
                 spec: Box::new(task_spec(entry, run, member)),
                 lease_ms: millis(Run::RESERVE_LEASE),
             },
-            Wish::Start => Order::Start {
+            MemberOrder::Start => Order::Start {
                 lease_ms: millis(Run::START_LEASE),
             },
-            Wish::Confirm => Order::Confirm,
-            Wish::Checkpoint => Order::Checkpoint,
-            Wish::Stop => Order::Stop,
+            MemberOrder::Confirm => Order::Confirm,
+            MemberOrder::Checkpoint => Order::Checkpoint,
+            MemberOrder::Stop => Order::Stop,
         };
         commands.push(Command {
             task: TaskId::new(key.clone(), run.attempt(), member),
--- a/crates/stairstall-core/src/placement/scheduler/plan.rs
+++ b/crates/stairstall-core/src/placement/scheduler/plan.rs
@@ -4,9 +4,9 @@
 
 use super::entry::{Entry, Stage};
 use super::queue::Candidate;
-use super::{DecisionKind, Scheduler, UseId};
+use super::{AllocationOwner, DecisionKind, Scheduler};
 use crate::placement::{
-    Access, Attempt, Block, Demand, JobKey, JobState, Member, Room, Run, Shape, Use,
+    Access, Allocation, Attempt, Block, Demand, FreeCapacity, JobKey, JobState, Member, Run, Shape,
 };
 use crate::{GuaranteeId, Timestamp, Verdict};
 
@@ -44,7 +44,7 @@
             let customer = &candidate.spec.customer;
             let in_use = used.get(customer).copied().unwrap_or(0);
             if let Some(reason) = self.quota_reason(customer, in_use + needed) {
-                self.decide(&candidate.key, DecisionKind::Waits, now, &reason);
+                self.decide(&candidate.key, DecisionKind::Waiting, now, &reason);
                 continue;
             }
             let memo = (candidate.spec.shape, candidate.borrow, candidate.level);
@@ -92,14 +92,16 @@
 
     /// Returns free cells in one of the customer's home blocks.
     fn claim_home(&self, candidate: &Candidate) -> Option<Choice> {
-        self.homes.of(&candidate.spec.customer).find_map(|home| {
-            let block = home.claim(&candidate.spec.shape, &self.inventory)?;
-            Some(Choice {
-                block,
-                home: Some(home.guarantee.name.clone()),
-                grounds: "claims its guarantee",
+        self.homes
+            .of_customer(&candidate.spec.customer)
+            .find_map(|home| {
+                let block = home.find_free(&candidate.spec.shape, &self.inventory)?;
+                Some(Choice {
+                    block,
+                    home: Some(home.guarantee.name.clone()),
+                    grounds: "claims its guarantee",
+                })
             })
-        })
     }
 
     /// Looks for a block: free, then by preemption, then by moves.
@@ -110,7 +112,7 @@
         now: Timestamp,
     ) -> Option<Choice> {
         let find = |access: Access| {
-            let mut rooms = self.inventory.rooms(access);
+            let mut rooms = self.inventory.free_capacity(access);
             if let Some(reservation) = reservation.filter(|r| now + candidate.left > r.from) {
                 reservation.keep_out_of(&mut rooms);
             }
@@ -119,7 +121,7 @@
         let free = if candidate.borrow {
             Access::Borrow
         } else {
-            Access::Fixed
+            Access::OutsideHomes
         };
         if let Some(block) = find(free) {
             return Some(Choice {
@@ -154,7 +156,7 @@
 
     /// Tells whether the jobs that a block would displace are few and fit elsewhere now.
     fn moves_pay(&self, block: &Block, candidate: &Candidate) -> bool {
-        let owners = self.displaced(block, &candidate.spec.shape, UseId(0));
+        let owners = self.displaced(block, &candidate.spec.shape, AllocationOwner(0));
         let keys: BTreeSet<&JobKey> = owners.iter().filter_map(|id| self.uses.get(id)).collect();
         let moved: Vec<&Entry> = keys.iter().filter_map(|key| self.jobs.get(*key)).collect();
         let total: u32 = moved
@@ -170,7 +172,7 @@
         {
             return false;
         }
-        let mut rooms = self.inventory.rooms(Access::Borrow);
+        let mut rooms = self.inventory.free_capacity(Access::Borrow);
         for cell in &block.cells {
             rooms[cell.worker].mask &= !cell.mask;
         }
@@ -186,18 +188,23 @@
     }
 
     /// Returns whose work stands in the way on a block.
-    fn displaced(&self, block: &Block, shape: &Shape, owner: UseId) -> BTreeSet<UseId> {
-        let demands = Demand::of(block.cells.iter().copied());
+    fn displaced(
+        &self,
+        block: &Block,
+        shape: &Shape,
+        owner: AllocationOwner,
+    ) -> BTreeSet<AllocationOwner> {
+        let demands = Demand::per_worker(block.cells.iter().copied());
         demands
             .iter()
-            .flat_map(|d| self.inventory.in_the_way(d, shape, owner))
+            .flat_map(|d| self.inventory.blocking_runs(d, shape, owner))
             .collect()
     }
 
     /// Gives a job its block, and makes whoever stands there give way.
     fn place(&mut self, candidate: &Candidate, choice: &Choice, now: Timestamp) {
         self.next_use += 1;
-        let owner = UseId(self.next_use);
+        let owner = AllocationOwner(self.next_use);
         let shape = candidate.spec.shape;
         let victims = self.displaced(&choice.block, &shape, owner);
         let mut members = Vec::with_capacity(choice.block.cells.len());
@@ -229,26 +236,26 @@
     fn use_of(
         &self,
         candidate: &Candidate,
-        id: UseId,
+        id: AllocationOwner,
         mask: u64,
         home: Option<GuaranteeId>,
         now: Timestamp,
-    ) -> Use {
+    ) -> Allocation {
         let entry = self.jobs.get(&candidate.key);
-        Use {
+        Allocation {
             id,
             mask,
             processors: candidate.spec.shape.processors,
             memory_mb: candidate.spec.shape.memory_mb,
-            gives_way: candidate.borrow,
+            preemptible: candidate.borrow,
             movable: entry.is_some_and(Entry::is_movable),
             level: candidate.level,
-            ends_at: now + candidate.left,
+            expected_end: now + candidate.left,
             home,
         }
     }
 
-    fn make_way(&mut self, victim: UseId, for_whom: &JobKey, now: Timestamp) {
+    fn make_way(&mut self, victim: AllocationOwner, for_whom: &JobKey, now: Timestamp) {
         let Some(key) = self.uses.get(&victim).cloned() else {
             return;
         };
@@ -257,11 +264,11 @@
         };
         let checkpoints = entry.is_movable();
         if let Stage::Running(running) = &mut entry.stage {
-            running.run.give_way(now, checkpoints);
+            running.run.preempt(now, checkpoints);
         }
         self.decide(
             &key,
-            DecisionKind::GivesWay,
+            DecisionKind::Preempted,
             now,
             &format!("it gives way to {for_whom}"),
         );
@@ -277,13 +284,18 @@
     /// Finds where the job could start first as work ends, and keeps that block for it.
     fn reserve(&self, candidate: &Candidate, now: Timestamp) -> Option<Reservation> {
         let mut ends: Vec<Timestamp> = (0..self.inventory.len())
-            .flat_map(|i| self.inventory.uses(i).iter().map(|u| u.ends_at.max(now)))
+            .flat_map(|i| {
+                self.inventory
+                    .allocations(i)
+                    .iter()
+                    .map(|u| u.expected_end.max(now))
+            })
             .collect();
         ends.sort_unstable();
         ends.dedup();
         let borrow = candidate.borrow;
         let find = |time: Timestamp| {
-            let rooms = self.inventory.rooms(Access::Until { time, borrow });
+            let rooms = self.inventory.free_capacity(Access::Until { time, borrow });
             Block::find(&rooms, &candidate.spec.shape, self.policy.fit)
         };
         let (mut low, mut high) = (0, ends.len());
@@ -319,13 +331,13 @@
             Some(_) => format!("it waits: no block for {shape} that leaves the reserved one free"),
             None => format!("it waits: no block for {shape}, now or by expected ends"),
         };
-        self.decide(&candidate.key, DecisionKind::Waits, now, &text);
+        self.decide(&candidate.key, DecisionKind::Waiting, now, &text);
     }
 }
 
 impl Reservation {
     /// Takes the reserved block out of what others may use.
-    fn keep_out_of(&self, rooms: &mut [Room]) {
+    fn keep_out_of(&self, rooms: &mut [FreeCapacity]) {
         for cell in &self.block.cells {
             let Some(room) = rooms.get_mut(cell.worker) else {
                 continue;
--- a/crates/stairstall-core/src/placement/scheduler/queue.rs
+++ b/crates/stairstall-core/src/placement/scheduler/queue.rs
@@ -39,7 +39,7 @@
             .filter_map(|(key, entry)| Some((key.clone(), self.candidate(key, entry).err()?)))
             .collect();
         for (key, why) in held {
-            self.decide(&key, DecisionKind::Waits, now, why);
+            self.decide(&key, DecisionKind::Waiting, now, why);
         }
     }
 
@@ -49,7 +49,7 @@
         for index in 0..self.inventory.len() {
             for one in self
                 .inventory
-                .uses(index)
+                .allocations(index)
                 .iter()
                 .filter(|u| u.home.is_none())
             {
--- a/crates/stairstall-core/src/placement/scheduler/recovery.rs
+++ b/crates/stairstall-core/src/placement/scheduler/recovery.rs
@@ -3,11 +3,11 @@
 use super::contact::Contact;
 use super::entry::{Entry, Running, Stage};
 use super::reports::apply_report;
-use super::{Decision, DecisionKind, Effect, Scheduler, UseId};
+use super::{AllocationOwner, Decision, DecisionKind, Effect, Scheduler};
 use crate::claim::Mark;
 use crate::placement::{
-    Attempt, Home, JobKey, JobRecord, JobSpec, JobState, Member, MemberPhase, PlacedMember, Run,
-    Use,
+    Allocation, Attempt, HomeBlock, JobKey, JobRecord, JobSpec, JobState, Member, MemberPhase,
+    PlacedMember, Run,
 };
 use crate::protocol::{SyncReply, TaskId, TaskReport};
 use crate::{ClassId, GuaranteeId, Labels, RackId, Timestamp, VmId, ZoneId};
@@ -19,14 +19,14 @@
     /// Takes the home blocks of the last tenure, so that they stay where they are.
     ///
     /// Call it once the workers were asked, and before the records are taken.
-    pub fn restore_homes(&mut self, homes: Vec<Home>) {
+    pub fn restore_home_blocks(&mut self, homes: Vec<HomeBlock>) {
         self.homes.restore(homes, &mut self.inventory);
         self.homes_stale = true;
     }
 
     /// Makes the tenure one without the store: running tasks are kept alive as their
     /// workers describe them, and nothing is started.
-    pub const fn adopt_tasks(&mut self) {
+    pub const fn adopt_unknown_tasks(&mut self) {
         self.adopts = true;
     }
 
@@ -63,7 +63,7 @@
         entry.stage = Stage::Running(running);
         let text = format!("attempt {attempt} of an earlier holder was found in the store");
         entry.note(now, &text);
-        self.effects.push(Effect::Decide(Decision {
+        self.effects.push(Effect::LogDecision(Decision {
             job: key,
             kind: DecisionKind::TakenOver,
             text,
@@ -89,12 +89,12 @@
         }
         let attempt = running.run.attempt();
         if self.has_restarted(member) {
-            running.run.report(index, MemberPhase::Lost);
+            running.run.update_member(index, MemberPhase::Lost);
             return;
         }
         match self.report_of(key, attempt, index, member) {
             Some(report) => apply_report(running, report),
-            None => running.run.report(index, MemberPhase::Absent),
+            None => running.run.update_member(index, MemberPhase::Absent),
         }
     }
 
@@ -143,24 +143,30 @@
         self.inventory.occupy(index, used);
     }
 
-    fn use_of_member(&self, entry: &Entry, id: UseId, index: usize, mask: u64) -> Use {
-        Use {
+    fn use_of_member(
+        &self,
+        entry: &Entry,
+        id: AllocationOwner,
+        index: usize,
+        mask: u64,
+    ) -> Allocation {
+        Allocation {
             id,
             mask,
             processors: entry.spec.shape.processors,
             memory_mb: entry.spec.shape.memory_mb,
-            gives_way: entry.gives_way(),
+            preemptible: entry.gives_way(),
             movable: entry.is_movable(),
             level: self.level_of(&entry.spec),
-            ends_at: entry.waits_since + entry.left(),
+            expected_end: entry.waits_since + entry.left(),
             home: self.home_under(entry, index, mask),
         }
     }
 
     /// Occupies the places of a run that is already there.
-    fn occupy_run(&mut self, entry: &Entry, run: &Run) -> UseId {
+    fn occupy_run(&mut self, entry: &Entry, run: &Run) -> AllocationOwner {
         self.next_use += 1;
-        let owner = UseId(self.next_use);
+        let owner = AllocationOwner(self.next_use);
         for member in run.members() {
             let Some(index) = self.inventory.index_of(&member.worker) else {
                 continue;
@@ -175,7 +181,7 @@
     fn home_under(&self, entry: &Entry, index: usize, mask: u64) -> Option<GuaranteeId> {
         let worker = &self.inventory.worker_at(index)?.id;
         self.homes
-            .of(&entry.spec.customer)
+            .of_customer(&entry.spec.customer)
             .find(|home| {
                 home.cells
                     .iter()
--- a/crates/stairstall-core/src/placement/scheduler/reports.rs
+++ b/crates/stairstall-core/src/placement/scheduler/reports.rs
@@ -52,7 +52,7 @@
                 .get(usize::from(member))
                 .map_or(0, |m| m.mask);
             let holds = report.spec.accelerators;
-            if known == 0 && holds != 0 && running.run.ending().is_none() {
+            if known == 0 && holds != 0 && running.run.outcome().is_none() {
                 self.occupy_late(key, member, holds);
             }
         }
@@ -78,7 +78,7 @@
             return;
         };
         if running.run.attempt() == task.attempt {
-            running.run.report(task.member, MemberPhase::Absent);
+            running.run.update_member(task.member, MemberPhase::Absent);
         }
     }
 
@@ -106,7 +106,7 @@
         self.for_members_on(worker, |key, run, member| {
             let task = TaskId::new(key.clone(), run.attempt(), member);
             if !reply.tasks.iter().any(|report| report.task == task) {
-                run.report(member, MemberPhase::Absent);
+                run.update_member(member, MemberPhase::Absent);
             }
         });
     }
@@ -116,7 +116,7 @@
         self.for_members_on(worker, |_, run, member| {
             let incarnation = run.members()[usize::from(member)].incarnation;
             if known != Some(incarnation) {
-                run.report(member, MemberPhase::Lost);
+                run.update_member(member, MemberPhase::Lost);
             }
         });
     }
@@ -148,7 +148,9 @@
 /// Takes what a worker says of one member of a run.
 pub(super) fn apply_report(running: &mut Running, report: &TaskReport) {
     let member = report.task.member;
-    running.run.report(member, MemberPhase::from(&report.phase));
+    running
+        .run
+        .update_member(member, MemberPhase::from(&report.phase));
     if let Some(saved) = running.saved.get_mut(usize::from(member)) {
         *saved = report.saved_ms;
     }
--- a/crates/stairstall-core/src/placement/scheduler/runs.rs
+++ b/crates/stairstall-core/src/placement/scheduler/runs.rs
@@ -5,7 +5,7 @@
 use super::entry::{Entry, Running, Stage};
 use super::{Decision, DecisionKind, Effect, Scheduler, WriteId};
 use crate::placement::{
-    Cell, Demand, Ending, JobKey, JobState, Member, PlacedMember, Run, StopReason,
+    Cell, Demand, JobKey, JobState, Member, PlacedMember, Run, RunOutcome, StopReason,
 };
 use crate::{Timestamp, Verdict};
 
@@ -41,7 +41,7 @@
             running.run.stop(StopReason::Cancelled);
         }
         if clear && !running.run.is_cleared() {
-            running.run.note_cleared();
+            running.run.mark_cleared();
         }
         let changed = running.run.advance(now);
         let members = if changed {
@@ -54,7 +54,7 @@
             self.mark_wishes(&member.worker);
         }
         let ending = match &self.jobs.get(key).map(|e| &e.stage) {
-            Some(Stage::Running(running)) => running.run.ending(),
+            Some(Stage::Running(running)) => running.run.outcome(),
             _ => None,
         };
         if let Some(ending) = ending {
@@ -82,10 +82,10 @@
                 mask: member.mask,
             })
         };
-        let demands = Demand::of(running.run.members().iter().filter_map(place));
+        let demands = Demand::per_worker(running.run.members().iter().filter_map(place));
         let in_the_way = |demand: &Demand| {
             self.inventory
-                .in_the_way(demand, &spec.shape, running.owner)
+                .blocking_runs(demand, &spec.shape, running.owner)
         };
         demands.iter().all(|demand| in_the_way(demand).is_empty())
     }
@@ -98,7 +98,7 @@
         let Stage::Running(running) = &mut entry.stage else {
             return;
         };
-        let over = running.run.ending().is_some();
+        let over = running.run.outcome().is_some();
         for (index, member) in running.run.members().iter().enumerate() {
             if (over || member.phase.is_over()) && !running.released[index] {
                 running.released[index] = true;
@@ -110,7 +110,7 @@
     }
 
     /// Decides what follows from the end of a run.
-    fn settle(&mut self, key: &JobKey, ending: Ending, now: Timestamp) {
+    fn settle(&mut self, key: &JobKey, ending: RunOutcome, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
         };
@@ -131,14 +131,14 @@
             .unwrap_or(0)
             .max(entry.saved_ms);
         match ending {
-            Ending::Finished { success } => {
+            RunOutcome::Finished { success } => {
                 let state = JobState::Finished {
                     success,
                     output: running.output,
                 };
                 self.close(key, state, now, "all members ended by themselves");
             }
-            Ending::Stopped { reason, verdict } => {
+            RunOutcome::Stopped { reason, verdict } => {
                 entry.started |= verdict == Verdict::MayHaveRun;
                 self.settle_stopped(key, reason, verdict, running.output, now);
             }
@@ -217,7 +217,7 @@
         let verdict = state.verdict().unwrap_or(Verdict::MayHaveRun);
         self.decide(
             key,
-            DecisionKind::Over,
+            DecisionKind::Ended,
             now,
             &format!("{why}; verdict {verdict}"),
         );
@@ -257,12 +257,12 @@
                 kind,
                 text: text.to_owned(),
             };
-            self.effects.push(Effect::Decide(decision));
+            self.effects.push(Effect::LogDecision(decision));
         }
     }
 
     /// Begins a run on the members' places, which must be occupied already.
-    pub(super) fn begin_run(&mut self, key: &JobKey, run: Run, owner: super::UseId) {
+    pub(super) fn begin_run(&mut self, key: &JobKey, run: Run, owner: super::AllocationOwner) {
         let state = JobState::Placed {
             attempt: run.attempt(),
             members: placed_members(&run),
@@ -275,7 +275,7 @@
     }
 
     /// Enters a run into the indexes.
-    pub(super) fn register_run(&mut self, key: &JobKey, run: &Run, owner: super::UseId) {
+    pub(super) fn register_run(&mut self, key: &JobKey, run: &Run, owner: super::AllocationOwner) {
         self.uses.insert(owner, key.clone());
         for member in run.members() {
             if let Some(contact) = self.contacts.get_mut(&member.worker) {
--- a/crates/stairstall-core/src/placement/scheduler/summary.rs
+++ b/crates/stairstall-core/src/placement/scheduler/summary.rs
@@ -3,7 +3,9 @@
 use super::Scheduler;
 use super::entry::Stage;
 use crate::Timestamp;
-use crate::placement::{Access, Block, Fit, Homes, Inventory, JobKey, Phase, Room, Shape};
+use crate::placement::{
+    Access, Block, Fit, FreeCapacity, HomeBlocks, Inventory, JobKey, RunPhase, Shape,
+};
 use crate::protocol::{Explanation, Stage as ExplainedStage};
 
 /// How broken up the free accelerators are.
@@ -16,7 +18,7 @@
     /// Free accelerators that no waiting or guaranteed shape can use.
     pub unusable: u32,
     /// Free accelerators that no waiting shape can use, while a job waits; else none.
-    pub lost: u32,
+    pub unusable_by_waiting: u32,
     /// Accelerators of the largest free run of neighbouring, wholly free workers.
     pub largest_free: u32,
 }
@@ -58,7 +60,7 @@
     /// Measures how broken up the free accelerators are.
     #[must_use]
     pub fn fragmentation(&self) -> Fragmentation {
-        let rooms = self.inventory.rooms(Access::Borrow);
+        let rooms = self.inventory.free_capacity(Access::Borrow);
         let free: u32 = rooms.iter().map(|r| r.mask.count_ones()).sum();
         let total = (0..self.inventory.len())
             .filter_map(|i| self.inventory.worker_at(i))
@@ -78,7 +80,7 @@
             total,
             free,
             unusable,
-            lost,
+            unusable_by_waiting: lost,
             largest_free: self.largest_free(),
         }
     }
@@ -95,7 +97,7 @@
     }
 
     fn largest_free(&self) -> u32 {
-        let rooms = self.inventory.rooms(Access::Borrow);
+        let rooms = self.inventory.free_capacity(Access::Borrow);
         let mut largest = 0;
         let mut run = 0;
         for (index, room) in rooms.iter().enumerate() {
@@ -119,7 +121,7 @@
 
     /// Returns where a job's run stands; none while it has no run.
     #[must_use]
-    pub fn phase_of(&self, key: &JobKey) -> Option<Phase> {
+    pub fn phase_of(&self, key: &JobKey) -> Option<RunPhase> {
         match &self.jobs.get(key)?.stage {
             Stage::Running(running) => Some(running.run.phase()),
             _ => None,
@@ -128,7 +130,7 @@
 
     /// Returns the home blocks in force.
     #[must_use]
-    pub const fn homes(&self) -> &Homes {
+    pub const fn homes(&self) -> &HomeBlocks {
         &self.homes
     }
 
@@ -167,7 +169,7 @@
 }
 
 /// Returns how many free accelerators no block of any of the shapes covers.
-fn unusable_by(rooms: &[Room], shapes: &BTreeSet<Shape>) -> u32 {
+fn unusable_by(rooms: &[FreeCapacity], shapes: &BTreeSet<Shape>) -> u32 {
     let mut unused: Vec<u64> = rooms.iter().map(|r| r.mask).collect();
     for shape in shapes.iter().filter(|shape| shape.accelerators > 0) {
         let mut left = rooms.to_vec();
--- a/crates/stairstall-core/src/placement/shape.rs
+++ b/crates/stairstall-core/src/placement/shape.rs
@@ -21,7 +21,7 @@
             display("shape.accelerators is from 0 to {MAX_ACCELERATORS}, not {found}")
         }
         /// Nothing at all is asked for.
-        Nothing {
+        Empty {
             display("shape asks for neither accelerators nor processors")
         }
     }
@@ -118,7 +118,7 @@
             return Err(ShapeError::Accelerators(self.accelerators));
         }
         if self.accelerators == 0 && self.processors == 0 {
-            return Err(ShapeError::Nothing);
+            return Err(ShapeError::Empty);
         }
         Ok(())
     }
--- a/crates/stairstall-core/tests/models/gang.rs
+++ b/crates/stairstall-core/tests/models/gang.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stairstall_core::placement::{
-    Attempt, Ending, Member, MemberPhase, Phase, Run, StopReason, Wish,
+    Attempt, Member, MemberOrder, MemberPhase, Run, RunOutcome, RunPhase, StopReason,
 };
 use stairstall_core::{Timestamp, Verdict};
 
@@ -38,7 +38,7 @@
     dead: bool,
     token: u8,
     /// Orders that were given up and may still arrive, and the tokens they carry.
-    late: Vec<(Wish, u8)>,
+    late: Vec<(MemberOrder, u8)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -55,8 +55,8 @@
 fn start(faults: u8) -> State {
     let member = |i: usize| Member::new(format!("worker-{i}").parse().unwrap(), 1, 0xff);
     let mut run = Run::new(Attempt::new(1, 1), (0..MEMBERS).map(member).collect());
-    run.note_recorded();
-    run.note_cleared();
+    run.mark_recorded();
+    run.mark_cleared();
     run.advance(Timestamp::default());
     let task = Task {
         phase: MemberPhase::Absent,
@@ -77,23 +77,23 @@
     }
 }
 
-fn carry_out(task: &mut Task, wish: Wish, now: Timestamp) {
+fn carry_out(task: &mut Task, wish: MemberOrder, now: Timestamp) {
     match (wish, &task.phase) {
-        (Wish::Reserve, MemberPhase::Absent) => {
+        (MemberOrder::Reserve, MemberPhase::Absent) => {
             task.phase = MemberPhase::Reserved;
             task.reserved = true;
             task.lease_until = now + Run::RESERVE_LEASE;
         }
-        (Wish::Start, MemberPhase::Reserved) => {
+        (MemberOrder::Start, MemberPhase::Reserved) => {
             task.phase = MemberPhase::Started;
             task.started = true;
             task.lease_until = now + Run::START_LEASE;
         }
-        (Wish::Confirm, MemberPhase::Started) => {
+        (MemberOrder::Confirm, MemberPhase::Started) => {
             task.phase = MemberPhase::Confirmed;
             task.lease_until = now + Duration::from_secs(20);
         }
-        (Wish::Stop, phase) if phase.is_running() || *phase == MemberPhase::Reserved => {
+        (MemberOrder::Stop, phase) if phase.is_running() || *phase == MemberPhase::Reserved => {
             task.phase = MemberPhase::Stopped {
                 started: task.started,
             };
@@ -115,24 +115,24 @@
     }
 }
 
-fn deliver(state: &mut State, index: usize, wish: Wish, variant: Variant) {
+fn deliver(state: &mut State, index: usize, wish: MemberOrder, variant: Variant) {
     serve(state, index, variant);
     carry_out(&mut state.tasks[index], wish, state.now);
 }
 
 fn answer(state: &mut State, index: usize) {
     let phase = state.tasks[index].phase.clone();
-    state.run.report(member(index), phase);
+    state.run.update_member(member(index), phase);
 }
 
 fn settle(state: &mut State) {
     state.run.advance(state.now);
-    let ending = state.run.ending();
-    let not_run = Ending::Stopped {
+    let ending = state.run.outcome();
+    let not_run = RunOutcome::Stopped {
         reason: StopReason::NotStarted,
         verdict: Verdict::NotRun,
     };
-    let lost = Ending::Stopped {
+    let lost = RunOutcome::Stopped {
         reason: StopReason::MemberLost,
         verdict: Verdict::NotRun,
     };
@@ -174,7 +174,7 @@
                 }
             });
         }
-        if let (Some(wish), false) = (state.run.wish(member(index)), task.dead) {
+        if let (Some(wish), false) = (state.run.next_order(member(index)), task.dead) {
             step(&|s| {
                 deliver(s, index, wish, variant);
                 answer(s, index);
@@ -191,14 +191,14 @@
                 });
             }
         }
-        if !task.dead && state.run.ending().is_none() {
+        if !task.dead && state.run.outcome().is_none() {
             // A sync without orders: it makes every earlier request stale.
             step(&|s| {
                 serve(s, index, variant);
                 answer(s, index);
             });
         }
-        if !task.dead && state.run.ending().is_some() && task.phase.is_over() {
+        if !task.dead && state.run.outcome().is_some() && task.phase.is_over() {
             // The end is recorded, so the worker is told to forget the member.
             step(&|s| {
                 serve(s, index, variant);
@@ -212,16 +212,16 @@
             });
         }
         let surely_ended = variant == Variant::LostTooEarly || state.now >= task.lease_until;
-        if surely_ended && state.run.ending().is_none() {
+        if surely_ended && state.run.outcome().is_none() {
             step(&|s| {
                 let over = !s.tasks[index].phase.is_running();
                 if over || variant == Variant::LostTooEarly {
-                    s.run.report(member(index), MemberPhase::Lost);
+                    s.run.update_member(member(index), MemberPhase::Lost);
                 }
             });
         }
     }
-    if state.token == 1 && state.faults > 0 && state.run.ending().is_none() {
+    if state.token == 1 && state.faults > 0 && state.run.outcome().is_none() {
         step(&|s| {
             s.faults -= 1;
             s.token = 2;
@@ -253,7 +253,7 @@
         .iter()
         .any(|t| t.phase == MemberPhase::Started && state.now >= t.lease_until);
     // Places of a run that is over are free, and what is said not to have run never does.
-    let over = matches!(state.run.phase(), Phase::Over { .. });
+    let over = matches!(state.run.phase(), RunPhase::Over { .. });
     let still_runs = over && state.tasks.iter().any(running);
     let lied = state.proved_not_run && state.tasks.iter().any(|t| t.started);
     part_started || part_confirmed || outlives || still_runs || lied
--- a/crates/stairstall-core/tests/properties/lives.rs
+++ b/crates/stairstall-core/tests/properties/lives.rs
@@ -5,7 +5,9 @@
 
 use quickcheck::{Arbitrary, Gen};
 use stairstall_core::config::{Configuration, Guarantee};
-use stairstall_core::placement::{Capacity, JobSpec, JobState, Phase, PlacedMember, Policy, Shape};
+use stairstall_core::placement::{
+    Capacity, JobSpec, JobState, PlacedMember, Policy, RunPhase, Shape,
+};
 use stairstall_core::{Labels, VmId};
 use stairstall_standin::{VirtualZone, fixtures};
 
@@ -86,13 +88,13 @@
             assert_eq!(*taken & cell.mask, 0, "home blocks overlap");
             *taken |= cell.mask;
             for used in inventory
-                .uses(index)
+                .allocations(index)
                 .iter()
                 .filter(|u| u.mask & cell.mask != 0)
             {
                 let owner = used.home.as_ref() == Some(&home.guarantee.name);
                 assert!(
-                    owner || used.gives_way,
+                    owner || used.preemptible,
                     "work that can't give way in a home block"
                 );
             }
@@ -105,7 +107,7 @@
     let home = zone.scheduler.homes().get(&guarantee.name).cloned();
     let Some(home) = home else { return };
     if home
-        .claim(&guarantee.shape, zone.scheduler.inventory())
+        .find_free(&guarantee.shape, zone.scheduler.inventory())
         .is_none()
     {
         // The owner itself uses the block.
@@ -122,7 +124,7 @@
     let key = spec.key();
     zone.submit(spec);
     let asked = zone.now();
-    while zone.scheduler.phase_of(&key) != Some(Phase::Running) {
+    while zone.scheduler.phase_of(&key) != Some(RunPhase::Running) {
         let over = zone.ended.iter().any(|e| e.job == key);
         assert!(!over, "the claim ended before it ran");
         zone.step();
--- a/crates/stairstall-core/tests/properties/small.rs
+++ b/crates/stairstall-core/tests/properties/small.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::TestResult;
 use stairstall_core::admission::{FairQueue, Flow};
-use stairstall_core::placement::{Block, Fit, Room, Shape};
+use stairstall_core::placement::{Block, Fit, FreeCapacity, Shape};
 use stairstall_core::routing::Shares;
 use stairstall_core::{Selector, Timestamp, VmId};
 
@@ -127,17 +127,17 @@
 #[test]
 fn blocks_are_free_whole_and_adjacent() {
     fn blocks_are_free_whole_and_adjacent(masks: Vec<u8>, members: u8, size: u8) -> bool {
-        let rooms: Vec<Room> = masks
+        let rooms: Vec<FreeCapacity> = masks
             .iter()
             .take(32)
             .enumerate()
-            .map(|(i, mask)| Room {
+            .map(|(i, mask)| FreeCapacity {
                 mask: u64::from(*mask),
                 processors: 64,
                 memory_mb: 1 << 20,
                 rack: u32::try_from(i / 8).unwrap(),
                 position: u16::try_from(i % 8).unwrap(),
-                ..Room::default()
+                ..FreeCapacity::default()
             })
             .collect();
         let shape = Shape::new(u16::from(members % 8) + 1, size % 8 + 1).adjacent();
--- a/crates/stairstall-core/tests/reclaim.rs
+++ b/crates/stairstall-core/tests/reclaim.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use stairstall_core::Labels;
 use stairstall_core::config::{Configuration, Guarantee};
-use stairstall_core::placement::{Capacity, JobSpec, Phase, Policy, Shape};
+use stairstall_core::placement::{Capacity, JobSpec, Policy, RunPhase, Shape};
 use stairstall_standin::VirtualZone;
 use stairstall_standin::fixtures::{self, named as name};
 
@@ -106,7 +106,7 @@
             let key = job.key();
             zone.submit(job);
             let asked = zone.now();
-            while zone.scheduler.phase_of(&key) != Some(Phase::Running) {
+            while zone.scheduler.phase_of(&key) != Some(RunPhase::Running) {
                 let took = zone.now() - asked;
                 assert!(
                     took < LIMIT,
--- a/crates/stairstall-core/tests/recovery.rs
+++ b/crates/stairstall-core/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stairstall_core::placement::{Capacity, JobSpec, JobState, Phase, Policy, Shape};
+use stairstall_core::placement::{Capacity, JobSpec, JobState, Policy, RunPhase, Shape};
 use stairstall_core::{Labels, WorkerId};
 use stairstall_standin::VirtualZone;
 use stairstall_standin::fixtures::{configuration, named};
@@ -71,7 +71,7 @@
     zone.set_cut(&cut, false);
     zone.run_for(Duration::from_secs(5));
     let key = records[0].spec.key();
-    assert_eq!(zone.scheduler.phase_of(&key), Some(Phase::Running));
+    assert_eq!(zone.scheduler.phase_of(&key), Some(RunPhase::Running));
     // All four workers are wanted and only three are free: the job must wait, not be refused.
     zone.submit(spec("other", 4, 8, 60));
     zone.run_for(Duration::from_secs(5));
--- a/crates/stairstall-standin/src/virtual_zone.rs
+++ b/crates/stairstall-standin/src/virtual_zone.rs
@@ -5,7 +5,7 @@
 use stairstall_core::claim::Mark;
 use stairstall_core::config::Configuration;
 use stairstall_core::placement::{
-    Capacity, Effect, JobKey, JobRecord, JobSpec, JobState, Policy, Scheduler, WriteAnswer,
+    Capacity, Effect, JobKey, JobRecord, JobSpec, JobState, Policy, Scheduler, WriteResult,
 };
 use stairstall_core::protocol::{TaskSpec, VmState};
 use stairstall_core::{Labels, RackId, Timestamp, VmId, WorkerId, ZoneId};
@@ -91,7 +91,7 @@
             let id: WorkerId = named(&format!("worker-{index:04}"));
             let rack: RackId = named(&format!("rack-{:04}", index / per_rack));
             let position = index % per_rack;
-            scheduler.list_worker(id.clone(), rack.clone(), position, VmState::Live, now);
+            scheduler.add_listed_worker(id.clone(), rack.clone(), position, VmState::Live, now);
             let state = WorkerState::new(u64::from(index) + 1, capacity, 1);
             places.insert(
                 id,
@@ -121,7 +121,7 @@
             token: 1,
         };
         virtual_zone.exchange();
-        virtual_zone.scheduler.note_store_read();
+        virtual_zone.scheduler.mark_store_read();
         virtual_zone.step();
         virtual_zone
     }
@@ -152,7 +152,7 @@
     /// Accepts a job.
     pub fn submit(&mut self, spec: JobSpec) {
         let record = self.record(spec, JobState::Accepted);
-        self.scheduler.take_record(&record, self.now);
+        self.scheduler.handle_record(&record, self.now);
     }
 
     /// Makes a worker silent for good, or brings a new process in its place.
@@ -201,7 +201,7 @@
     /// Exchanges messages with each worker that is due.
     fn exchange(&mut self) {
         let elapsed = Duration::from_millis(self.now.as_millis());
-        for worker in self.scheduler.due(self.now) {
+        for worker in self.scheduler.workers_to_sync(self.now) {
             let Some(request) = self.scheduler.next_sync(&worker, self.now) else {
                 continue;
             };
@@ -215,9 +215,9 @@
                     if self.count_bytes {
                         self.sync_bytes += json_length(&request) + json_length(&reply);
                     }
-                    self.scheduler.sync_done(&worker, &reply, self.now);
+                    self.scheduler.handle_sync_reply(&worker, &reply, self.now);
                 }
-                _ => self.scheduler.sync_failed(&worker, self.now),
+                _ => self.scheduler.handle_sync_failure(&worker, self.now),
             }
         }
     }
@@ -241,13 +241,14 @@
                             state,
                         });
                     }
-                    self.scheduler.take_answer(&job, id, WriteAnswer::Done);
+                    self.scheduler
+                        .handle_write_result(&job, id, WriteResult::Done);
                 }
-                Effect::Decide(decision) => {
+                Effect::LogDecision(decision) => {
                     *self.decisions.entry(decision.kind.as_str()).or_default() += 1;
                 }
                 Effect::Alarm(text) => self.alarms.push(text),
-                Effect::KeepHomes(_) => {}
+                Effect::StoreHomes(_) => {}
             }
         }
         if self.now.as_millis().is_multiple_of(1_000) {
@@ -263,7 +264,7 @@
         let mut next = Scheduler::new(me, self.zone.clone(), self.token, Policy::standard());
         next.set_configuration(Arc::new(configuration));
         for (id, place) in self.places.iter().filter(|(_, place)| !place.unlisted) {
-            next.list_worker(
+            next.add_listed_worker(
                 id.clone(),
                 place.rack.clone(),
                 place.position,
@@ -273,11 +274,11 @@
         }
         self.scheduler = next;
         self.exchange();
-        self.scheduler.restore_homes(homes);
+        self.scheduler.restore_home_blocks(homes);
         for record in records {
-            self.scheduler.take_record(record, self.now);
+            self.scheduler.handle_record(record, self.now);
         }
-        self.scheduler.note_store_read();
+        self.scheduler.mark_store_read();
     }
 
     /// Returns the records that the store would have of the jobs that run.
--- a/crates/stairstall-standin/src/workload/measure.rs
+++ b/crates/stairstall-standin/src/workload/measure.rs
@@ -90,7 +90,7 @@
         let count = f64::from(u32::try_from(samples.len()).unwrap_or(u32::MAX).max(1));
         let fragmentation = samples.iter().map(share).sum::<f64>() / count;
         let lost = |f: &stairstall_core::placement::Fragmentation| {
-            f64::from(f.lost) * 100.0 / f64::from(f.total.max(1))
+            f64::from(f.unusable_by_waiting) * 100.0 / f64::from(f.total.max(1))
         };
         let lost = samples.iter().map(lost).sum::<f64>() / count;
         let largest_free = samples
--- a/crates/stairstalld/src/holder/records.rs
+++ b/crates/stairstalld/src/holder/records.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use stairstall_core::placement::{Home, JobKey, JobRecord, JobState, WriteAnswer, WriteId};
+use stairstall_core::placement::{HomeBlock, JobKey, JobRecord, JobState, WriteId, WriteResult};
 use stairstall_store::{Entry, Event, Expect, Store, StoreError, Swap};
 use tokio::sync::mpsc;
 
@@ -22,7 +22,7 @@
 /// Home blocks as the store keeps them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct HomesRecord {
-    homes: Vec<Home>,
+    homes: Vec<HomeBlock>,
 }
 
 /// A write that the scheduler asked for.
@@ -50,7 +50,7 @@
     token: u64,
     known: Mutex<HashMap<JobKey, Known>>,
     latest: Mutex<HashMap<JobKey, WriteId>>,
-    answers: mpsc::Sender<(JobKey, WriteId, WriteAnswer)>,
+    answers: mpsc::Sender<(JobKey, WriteId, WriteResult)>,
 }
 
 /// Outcome of one try.
@@ -64,7 +64,7 @@
     pub(super) fn new(
         daemon: Arc<Daemon>,
         token: u64,
-        answers: mpsc::Sender<(JobKey, WriteId, WriteAnswer)>,
+        answers: mpsc::Sender<(JobKey, WriteId, WriteResult)>,
     ) -> Arc<Self> {
         let (known, latest) = (Mutex::default(), Mutex::default());
         Arc::new(Self {
@@ -166,16 +166,16 @@
         tokio::spawn(async move {
             while records.is_latest(&write) {
                 let answer = match records.try_write(&write).await {
-                    Ok(Tried::Done) => WriteAnswer::Done,
-                    Ok(Tried::Superseded) => WriteAnswer::Superseded,
+                    Ok(Tried::Done) => WriteResult::Done,
+                    Ok(Tried::Superseded) => WriteResult::Superseded,
                     Ok(Tried::Again) => continue,
-                    Err(_) => WriteAnswer::Unreachable,
+                    Err(_) => WriteResult::Unreachable,
                 };
                 let sent = records
                     .answers
                     .send((write.job.clone(), write.id, answer))
                     .await;
-                if sent.is_err() || answer != WriteAnswer::Unreachable {
+                if sent.is_err() || answer != WriteResult::Unreachable {
                     return;
                 }
                 tokio::time::sleep(WRITE_PAUSE).await;
@@ -255,7 +255,7 @@
     }
 
     /// Reads the home blocks that the last holder kept.
-    pub(super) async fn read_homes(&self) -> Result<Vec<Home>, StoreError> {
+    pub(super) async fn read_homes(&self) -> Result<Vec<HomeBlock>, StoreError> {
         let entry = self
             .store()
             .get(&keys::homes(&self.daemon.settings.zone))
@@ -267,7 +267,7 @@
     }
 
     /// Keeps the home blocks for the next holder; a failure is made good by the next change.
-    pub(super) fn write_homes(self: &Arc<Self>, homes: Vec<Home>) {
+    pub(super) fn write_homes(self: &Arc<Self>, homes: Vec<HomeBlock>) {
         let records = Arc::clone(self);
         tokio::spawn(async move {
             if let Err(error) = records.try_write_homes(HomesRecord { homes }).await {
--- a/crates/stairstalld/src/holder/tenure.rs
+++ b/crates/stairstalld/src/holder/tenure.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairstall_core::placement::{JobKey, JobRecord, Policy, Scheduler, WriteAnswer, WriteId};
+use stairstall_core::placement::{JobKey, JobRecord, Policy, Scheduler, WriteId, WriteResult};
 use stairstall_core::protocol::VmRole;
 use stairstall_core::{Lease, Timestamp, WorkerId};
 use stairstall_store::StoreError;
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 struct Inbox {
     synced: mpsc::Receiver<(WorkerId, Synced)>,
-    written: mpsc::Receiver<(JobKey, WriteId, WriteAnswer)>,
+    written: mpsc::Receiver<(JobKey, WriteId, WriteResult)>,
     jobs: mpsc::Receiver<JobRecord>,
     lease: mpsc::Receiver<LeaseNews>,
 }
@@ -108,7 +108,7 @@
             .set_configuration(self.daemon.configuration());
         self.list_workers();
         if self.lease.is_none() {
-            self.scheduler.adopt_tasks();
+            self.scheduler.adopt_unknown_tasks();
         }
         if let Err(end) = self.fence_workers().await {
             return end;
@@ -173,21 +173,27 @@
             let Ok(worker) = vm.id.as_str().parse::<WorkerId>() else {
                 continue;
             };
-            self.scheduler
-                .list_worker(worker.clone(), rack.clone(), *position, vm.state, now);
+            self.scheduler.add_listed_worker(
+                worker.clone(),
+                rack.clone(),
+                *position,
+                vm.state,
+                now,
+            );
             addresses.insert(worker.clone(), vm.address);
             listed.insert(worker);
         }
         self.workers.set_addresses(addresses);
         if !listed.is_empty() {
-            self.scheduler.unlist_workers(&listed);
+            self.scheduler.remove_unlisted_workers(&listed);
         }
     }
 
     /// Shows the token to every worker once, and reads back what they run.
     async fn fence_workers(&mut self) -> Result<(), End> {
         let now = self.daemon.clock.now();
-        let mut waiting: BTreeSet<WorkerId> = self.scheduler.due(now).into_iter().collect();
+        let mut waiting: BTreeSet<WorkerId> =
+            self.scheduler.workers_to_sync(now).into_iter().collect();
         self.send_syncs(now);
         while !waiting.is_empty() {
             let Some((worker, synced)) = self.inbox.synced.recv().await else {
@@ -205,13 +211,13 @@
             return Ok(None);
         }
         self.scheduler
-            .restore_homes(self.records.read_homes().await?);
+            .restore_home_blocks(self.records.read_homes().await?);
         let (jobs, next) = self.records.list().await?;
         let now = self.daemon.clock.now();
         for job in &jobs {
-            self.scheduler.take_record(job, now);
+            self.scheduler.handle_record(job, now);
         }
-        self.scheduler.note_store_read();
+        self.scheduler.mark_store_read();
         let watch = Arc::clone(&self.records).watch(next, self.jobs_sender.clone());
         Ok(Some(Background(tokio::spawn(watch))))
     }
@@ -229,10 +235,10 @@
                     }
                 }
                 Some((job, id, answer)) = self.inbox.written.recv() => {
-                    self.scheduler.take_answer(&job, id, answer);
+                    self.scheduler.handle_write_result(&job, id, answer);
                 }
                 Some(record) = self.inbox.jobs.recv() => {
-                    self.scheduler.take_record(&record, self.daemon.clock.now());
+                    self.scheduler.handle_record(&record, self.daemon.clock.now());
                 }
                 Some(news) = self.inbox.lease.recv() => match news {
                     LeaseNews::Renewed(lease) => self.note_renewed(lease),
@@ -262,8 +268,8 @@
     fn take_synced(&mut self, worker: &WorkerId, synced: Synced) -> Result<(), End> {
         let now = self.daemon.clock.now();
         match synced {
-            Synced::Reply(reply) => self.scheduler.sync_done(worker, &reply, now),
-            Synced::Failed => self.scheduler.sync_failed(worker, now),
+            Synced::Reply(reply) => self.scheduler.handle_sync_reply(worker, &reply, now),
+            Synced::Failed => self.scheduler.handle_sync_failure(worker, now),
             Synced::Fenced { highest } => return Err(End::Fenced { highest }),
         }
         Ok(())
@@ -314,7 +320,7 @@
     }
 
     fn send_syncs(&mut self, now: Timestamp) {
-        for worker in self.scheduler.due(now) {
+        for worker in self.scheduler.workers_to_sync(now) {
             if let Some(request) = self.scheduler.next_sync(&worker, now) {
                 self.workers.send(worker, request);
             }
--- a/crates/stairstalld/src/holder/tenure/outward.rs
+++ b/crates/stairstalld/src/holder/tenure/outward.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stairstall_core::Timestamp;
-use stairstall_core::placement::{DecisionKind, Effect, WriteAnswer};
+use stairstall_core::placement::{DecisionKind, Effect, WriteResult};
 use stairstall_core::protocol::{PlacementLoad, WitnessAnswer};
 
 use super::Tenure;
@@ -36,21 +36,21 @@
                     });
                 } else {
                     self.scheduler
-                        .take_answer(&job, id, WriteAnswer::Unreachable);
+                        .handle_write_result(&job, id, WriteResult::Unreachable);
                 }
             }
-            Effect::KeepHomes(homes) => {
+            Effect::StoreHomes(homes) => {
                 if self.lease.is_some() {
                     self.records.write_homes(homes);
                 }
             }
-            Effect::Decide(decision) => {
+            Effect::LogDecision(decision) => {
                 self.daemon.metrics.count(match decision.kind {
                     DecisionKind::Placed => "placement.placed",
-                    DecisionKind::Waits => "placement.waits",
-                    DecisionKind::GivesWay => "placement.gives_way",
+                    DecisionKind::Waiting => "placement.waits",
+                    DecisionKind::Preempted => "placement.gives_way",
                     DecisionKind::Stopped => "placement.stopped",
-                    DecisionKind::Over => "placement.over",
+                    DecisionKind::Ended => "placement.over",
                     DecisionKind::TakenOver => "placement.taken_over",
                 });
                 log::info!(target: "decision", job:% = decision.job, kind:% = decision.kind,
@@ -77,7 +77,7 @@
             total_accelerators: fragmentation.total,
             waiting_jobs: u32::try_from(summary.waiting).unwrap_or(u32::MAX),
             unusable_accelerators: fragmentation.unusable,
-            lost_accelerators: fragmentation.lost,
+            lost_accelerators: fragmentation.unusable_by_waiting,
             largest_free: fragmentation.largest_free,
         };
         let confirmed = self.lease.is_some_and(|role| role.lease.is_valid(now));
