--- a/crates/stairstall-core/src/placement.rs
+++ b/crates/stairstall-core/src/placement.rs
@@ -1,8 +1,11 @@
-//! Placement of gang jobs on racks of workers, and guarantees that can always be reclaimed.
+//! Placement of gang jobs on racks of workers, with guaranteed capacity.
 //!
-//! [`Inventory`] knows what is free, [`HomeBlocks`] keeps a home block for each
-//! guarantee, [`Run`] carries one gang from reservation to its end, and
-//! [`Scheduler`] decides what starts, waits and gives way.
+//! Guaranteed capacity may be lent to preemptible work, but its owner can always reclaim it.
+//!
+//! - [`Inventory`] tracks the capacity of the workers and what is allocated on them.
+//! - [`HomeBlocks`] sets a home block aside for each guarantee.
+//! - [`Run`] is the state machine of one attempt at a gang job, from reservation to end.
+//! - [`Scheduler`] decides which jobs start, wait or are preempted.
 
 mod block;
 mod homes;
--- a/crates/stairstall-core/src/placement/block.rs
+++ b/crates/stairstall-core/src/placement/block.rs
@@ -2,7 +2,7 @@
 
 use super::Shape;
 
-/// What one worker can offer to one request.
+/// Free capacity of one worker, as one request may use it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FreeCapacity {
     /// Free accelerators, one bit each.
@@ -11,15 +11,16 @@
     pub processors: u16,
     /// Free memory, in megabytes.
     pub memory_mb: u32,
-    /// Accelerators that belong to somebody's home block or have to be cleared; avoided.
+    /// Accelerators that belong to a home block or are occupied by work that would have to
+    /// be stopped first, one bit each. They are used only where no others are left.
     pub avoided: u64,
-    /// Which rack, counted along the zone.
+    /// Index of the rack in the zone.
     pub rack: u32,
-    /// Place in the rack.
+    /// Position in the rack.
     pub position: u16,
 }
 
-/// One member's place: a worker, counted along the zone, and its accelerators.
+/// Placement of one gang member: a worker and its accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cell {
     /// Index of the worker in the inventory.
@@ -28,69 +29,71 @@
     pub mask: u64,
 }
 
-/// The places of a whole gang.
+/// Placement of a whole gang.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Block {
-    /// One cell for each member, in order of member.
+    /// One cell for each member, by member index.
     pub cells: Vec<Cell>,
 }
 
-/// How a block is chosen among those that are free.
+/// How a block is chosen among the free ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fit {
-    /// The first along the zone.
+    /// The first one, in order of rack and position.
     First,
-    /// The one that leaves the smallest rest.
+    /// The one that leaves the fewest free accelerators beside it.
     Best,
-    /// The one that leaves the smallest rest and starts at a multiple of its size.
+    /// Like [`Fit::Best`], and among equals one that starts at a multiple of its size.
     #[default]
     Aligned,
 }
 
-/// Ranks a candidate; lower is better.
+/// Score of a candidate block; lower is better. Fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Score {
-    costly: u32,
-    rest: u32,
+    avoided: u32,
+    leftover: u32,
     misaligned: bool,
     start: usize,
 }
 
 impl Block {
-    /// Finds a block for `shape` in the rooms along a zone.
+    /// Finds a block for `shape` in the free capacity of workers sorted by rack and position.
     #[must_use]
-    pub fn find(rooms: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Self> {
+    pub fn find(capacities: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Self> {
         if shape.adjacent && shape.members > 1 {
-            find_adjacent(rooms, shape, fit)
+            find_adjacent(capacities, shape, fit)
         } else {
-            find_scattered(rooms, shape, fit)
+            find_scattered(capacities, shape, fit)
         }
     }
 }
 
-/// How many members fit into one room, bounded by `most`.
-fn member_count(room: &FreeCapacity, shape: &Shape, most: u16) -> u16 {
-    let by_processors = room
+/// Returns how many members fit on one worker, at most `limit`.
+fn members_that_fit(capacity: &FreeCapacity, shape: &Shape, limit: u16) -> u16 {
+    let by_processors = capacity
         .processors
         .checked_div(shape.processors)
         .unwrap_or(u16::MAX);
-    let by_memory = room
+    let by_memory = capacity
         .memory_mb
         .checked_div(shape.memory_mb)
         .unwrap_or(u32::MAX);
     let by_memory = u16::try_from(by_memory).unwrap_or(u16::MAX);
-    let bound = most.min(by_processors).min(by_memory);
+    let bound = limit.min(by_processors).min(by_memory);
     if bound == 0 || shape.accelerators == 0 {
         return bound;
     }
-    let found = aligned_masks(room.mask, shape.accelerators)
+    let found = aligned_masks(capacity.mask, shape.accelerators)
         .take(usize::from(bound))
         .count();
     u16::try_from(found).unwrap_or(u16::MAX)
 }
 
-/// Iterates over free groups of `size` accelerators that start at a multiple of their
-/// size rounded up to a power of two, so that groups nest instead of straddling.
+/// Iterates over free groups of `size` accelerators.
+///
+/// A group starts at a multiple of its size rounded up to a power of two, as in a buddy
+/// allocator, so that a smaller group never overlaps two larger ones.
 fn aligned_masks(free: u64, size: u8) -> impl Iterator<Item = u64> {
     let step = usize::from(size.max(1).next_power_of_two());
     let group = if size >= 64 {
@@ -104,16 +107,19 @@
         .filter(move |mask| free & mask == *mask)
 }
 
-/// Takes the cells of `count` members out of one room; cheap accelerators first.
-fn take_cells(worker: usize, room: &FreeCapacity, shape: &Shape, count: u16) -> Vec<Cell> {
+/// Chooses the cells of `count` members on one worker.
+///
+/// Groups with few avoided accelerators come first, then groups whose buddy is in use, which
+/// keeps larger groups whole.
+fn take_cells(worker: usize, capacity: &FreeCapacity, shape: &Shape, count: u16) -> Vec<Cell> {
     if shape.accelerators == 0 {
         return vec![Cell { worker, mask: 0 }; usize::from(count)];
     }
-    let mut masks: Vec<u64> = aligned_masks(room.mask, shape.accelerators).collect();
+    let mut masks: Vec<u64> = aligned_masks(capacity.mask, shape.accelerators).collect();
     masks.sort_by_key(|mask| {
         (
-            (mask & room.avoided).count_ones(),
-            buddy_is_free(room.mask, *mask),
+            (mask & capacity.avoided).count_ones(),
+            buddy_is_free(capacity.mask, *mask),
         )
     });
     masks.truncate(usize::from(count));
@@ -123,7 +129,7 @@
         .collect()
 }
 
-/// Tells whether the other half of the group's twice as large group is wholly free.
+/// Tells whether the buddy of a group, the other half of the next larger group, is wholly free.
 fn buddy_is_free(free: u64, mask: u64) -> bool {
     let size = mask.count_ones().next_power_of_two();
     if size >= 64 {
@@ -134,19 +140,19 @@
     free & buddy == buddy
 }
 
-/// Finds neighbouring workers that hold all members.
-fn find_adjacent(rooms: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
-    let counts: Vec<u16> = rooms
+/// Finds adjacent workers that hold all members.
+fn find_adjacent(capacities: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
+    let fitting: Vec<u16> = capacities
         .iter()
-        .map(|r| member_count(r, shape, shape.members))
+        .map(|r| members_that_fit(r, shape, shape.members))
         .collect();
-    let spans_racks = needs_several_racks(rooms, shape);
+    let spans_racks = needs_several_racks(capacities, shape);
     let mut best: Option<(Score, usize, usize)> = None;
-    for start in 0..rooms.len() {
-        let Some(end) = window_end(rooms, &counts, start, shape.members, spans_racks) else {
+    for start in 0..capacities.len() {
+        let Some(end) = window_end(capacities, &fitting, start, shape.members, spans_racks) else {
             continue;
         };
-        let score = score_window(rooms, &counts, start, end, shape, spans_racks);
+        let score = score_window(capacities, &fitting, start, end, shape, spans_racks);
         let better = best
             .as_ref()
             .is_none_or(|(b, _, _)| fit != Fit::First && score < *b);
@@ -163,9 +169,9 @@
         let left = shape.members - u16::try_from(cells.len()).unwrap_or(shape.members);
         cells.extend(take_cells(
             worker,
-            &rooms[worker],
+            &capacities[worker],
             shape,
-            counts[worker].min(left),
+            fitting[worker].min(left),
         ));
     }
     Some(Block { cells })
@@ -180,117 +186,127 @@
     }
 }
 
-/// Returns the end of the shortest window from `start` that holds `members`.
+/// Returns the end (exclusive) of the shortest window from `start` that holds `members`.
 fn window_end(
-    rooms: &[FreeCapacity],
-    counts: &[u16],
+    capacities: &[FreeCapacity],
+    fitting: &[u16],
     start: usize,
     members: u16,
     spans_racks: bool,
 ) -> Option<usize> {
-    if counts[start] == 0 {
+    if fitting[start] == 0 {
         return None;
     }
-    if spans_racks && rooms[start].position != first_position(rooms, rooms[start].rack) {
+    if spans_racks
+        && capacities[start].position != first_position(capacities, capacities[start].rack)
+    {
         return None;
     }
-    let mut found = counts[start];
+    let mut found = fitting[start];
     let mut end = start + 1;
     while found < members {
-        let (before, next) = (rooms[end - 1], rooms.get(end)?);
-        if counts[end] == 0 || !neighbours(&before, next, spans_racks) {
+        let (before, next) = (capacities[end - 1], capacities.get(end)?);
+        if fitting[end] == 0 || !are_adjacent(&before, next, spans_racks) {
             return None;
         }
-        found = found.saturating_add(counts[end]);
+        found = found.saturating_add(fitting[end]);
         end += 1;
     }
     Some(end)
 }
 
-const fn neighbours(before: &FreeCapacity, next: &FreeCapacity, spans_racks: bool) -> bool {
+const fn are_adjacent(before: &FreeCapacity, next: &FreeCapacity, spans_racks: bool) -> bool {
     if before.rack == next.rack {
         return next.position == before.position + 1;
     }
     spans_racks && next.rack == before.rack + 1
 }
 
-fn first_position(rooms: &[FreeCapacity], rack: u32) -> u16 {
-    let first = rooms.partition_point(|room| room.rack < rack);
-    rooms.get(first).map_or(0, |room| room.position)
+fn first_position(capacities: &[FreeCapacity], rack: u32) -> u16 {
+    let first = capacities.partition_point(|capacity| capacity.rack < rack);
+    capacities
+        .get(first)
+        .map_or(0, |capacity| capacity.position)
 }
 
-/// Tells whether no rack has as many workers as the shape needs at the least.
-fn needs_several_racks(rooms: &[FreeCapacity], shape: &Shape) -> bool {
+/// Tells whether the shape needs more workers than any rack has.
+fn needs_several_racks(capacities: &[FreeCapacity], shape: &Shape) -> bool {
     let per_worker = (64 / u32::from(shape.accelerators.max(1).next_power_of_two())).max(1);
-    let most_free = rooms.iter().map(|r| r.mask.count_ones()).max().unwrap_or(0);
+    let most_free = capacities
+        .iter()
+        .map(|r| r.mask.count_ones())
+        .max()
+        .unwrap_or(0);
     let per_worker = per_worker.min((most_free / u32::from(shape.accelerators.max(1))).max(1));
-    let least = u32::from(shape.members).div_ceil(per_worker);
-    let largest = rooms
+    let needed = u32::from(shape.members).div_ceil(per_worker);
+    let largest = capacities
         .chunk_by(|a, b| a.rack == b.rack)
         .map(<[FreeCapacity]>::len)
         .max()
         .unwrap_or(0);
-    usize::try_from(least).is_ok_and(|least| least > largest)
+    usize::try_from(needed).is_ok_and(|needed| needed > largest)
 }
 
+/// Scores the window of workers from `start` to `end`. The leftover is what would stay free
+/// in the run of adjacent workers around it.
 fn score_window(
-    rooms: &[FreeCapacity],
-    counts: &[u16],
+    capacities: &[FreeCapacity],
+    fitting: &[u16],
     start: usize,
     end: usize,
     shape: &Shape,
     spans_racks: bool,
 ) -> Score {
-    let costly = rooms[start..end]
+    let avoided = capacities[start..end]
         .iter()
         .map(|r| (r.mask & r.avoided).count_ones())
         .sum();
     let mut first = start;
     while first > 0
-        && counts[first - 1] > 0
-        && neighbours(&rooms[first - 1], &rooms[first], spans_racks)
+        && fitting[first - 1] > 0
+        && are_adjacent(&capacities[first - 1], &capacities[first], spans_racks)
     {
         first -= 1;
     }
     let mut last = end;
-    while last < rooms.len()
-        && counts[last] > 0
-        && neighbours(&rooms[last - 1], &rooms[last], spans_racks)
+    while last < capacities.len()
+        && fitting[last] > 0
+        && are_adjacent(&capacities[last - 1], &capacities[last], spans_racks)
     {
         last += 1;
     }
-    let free: u32 = counts[first..last].iter().map(|c| u32::from(*c)).sum();
+    let free: u32 = fitting[first..last].iter().map(|c| u32::from(*c)).sum();
     let workers = u16::try_from((end - start).next_power_of_two()).unwrap_or(1);
     Score {
-        costly,
-        rest: free.saturating_sub(u32::from(shape.members)),
-        misaligned: !rooms[start].position.is_multiple_of(workers),
+        avoided,
+        leftover: free.saturating_sub(u32::from(shape.members)),
+        misaligned: !capacities[start].position.is_multiple_of(workers),
         start,
     }
 }
 
-/// Finds places on any workers: one that holds all members if there is one, few else.
-fn find_scattered(rooms: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
-    let mut candidates: Vec<(Score, u16)> = rooms
+/// Finds cells on any workers: on a single one that holds all members if possible, else on few.
+fn find_scattered(capacities: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
+    let mut candidates: Vec<(Score, u16)> = capacities
         .iter()
         .enumerate()
-        .filter_map(|(index, room)| {
-            let count = member_count(room, shape, shape.members);
-            (count > 0).then(|| (score_room(index, room, shape, count), count))
+        .filter_map(|(index, capacity)| {
+            let count = members_that_fit(capacity, shape, shape.members);
+            (count > 0).then(|| (score_worker(index, capacity, shape, count), count))
         })
         .collect();
     match fit {
         Fit::First => {}
         Fit::Best | Fit::Aligned => {
-            let whole = |count: u16| count < shape.members;
-            candidates.sort_by_key(|(score, count)| (score.costly, whole(*count), *score));
+            let partial = |count: u16| count < shape.members;
+            candidates.sort_by_key(|(score, count)| (score.avoided, partial(*count), *score));
         }
     }
     let mut cells = Vec::with_capacity(usize::from(shape.members));
     for (score, count) in candidates {
         let left = shape.members - u16::try_from(cells.len()).unwrap_or(shape.members);
-        let room = &rooms[score.start];
-        cells.extend(take_cells(score.start, room, shape, count.min(left)));
+        let capacity = &capacities[score.start];
+        cells.extend(take_cells(score.start, capacity, shape, count.min(left)));
         if cells.len() >= usize::from(shape.members) {
             return Some(Block { cells });
         }
@@ -298,14 +314,14 @@
     None
 }
 
-/// Scores one worker: the fewer accelerators stay free on it, the better.
-fn score_room(index: usize, room: &FreeCapacity, shape: &Shape, count: u16) -> Score {
-    let taken = u32::from(count) * u32::from(shape.accelerators);
-    let cheap = (room.mask & !room.avoided).count_ones();
-    let rest = room.mask.count_ones().saturating_sub(taken);
+/// Scores one worker; fewer accelerators left free on it are better.
+fn score_worker(index: usize, capacity: &FreeCapacity, shape: &Shape, count: u16) -> Score {
+    let used = u32::from(count) * u32::from(shape.accelerators);
+    let preferred = (capacity.mask & !capacity.avoided).count_ones();
+    let leftover = capacity.mask.count_ones().saturating_sub(used);
     Score {
-        costly: taken.saturating_sub(cheap),
-        rest,
+        avoided: used.saturating_sub(preferred),
+        leftover,
         misaligned: false,
         start: index,
     }
--- a/crates/stairstall-core/src/placement/homes.rs
+++ b/crates/stairstall-core/src/placement/homes.rs
@@ -8,10 +8,10 @@
 use crate::{CustomerId, GuaranteeId, WorkerId};
 
 quick_error! {
-    /// No way was found to keep every guarantee at once.
+    /// The guarantees of a zone can't all be satisfied at once.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum UnplaceableGuarantee {
-        /// This guarantee found no home block beside the others.
+        /// No home block was found for this guarantee beside those of the others.
         Guarantee(id: GuaranteeId, shape: Shape) {
             display("guarantee {id} ({shape}) finds no block beside the other guarantees and the work that can't give way")
         }
@@ -32,14 +32,15 @@
 pub struct HomeBlock {
     /// The guarantee.
     pub guarantee: Guarantee,
-    /// Its cells, in order of member.
+    /// Its cells, by member index.
     pub cells: Vec<HomeCell>,
 }
 
-/// A home block for each guarantee: the witness that all can be claimed at once.
+/// The home blocks of all guarantees of a zone.
 ///
-/// Home blocks never overlap one another, nor work that can't give way. A
-/// worker that is lost moves the home blocks that it carried.
+/// Home blocks never overlap one another or work that is not preemptible, so all guaranteed
+/// jobs can start at the same time. When a worker is lost, the home blocks with cells on it
+/// move to other workers.
 #[derive(Debug, Clone, Default)]
 pub struct HomeBlocks {
     homes: BTreeMap<GuaranteeId, HomeBlock>,
@@ -47,7 +48,7 @@
 }
 
 impl HomeBlocks {
-    /// Creates a witness for no guarantees.
+    /// Creates an empty set of home blocks.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -68,7 +69,7 @@
         self.homes.values()
     }
 
-    /// Takes home blocks that an earlier holder kept; those on unknown workers are dropped.
+    /// Restores home blocks that an earlier holder stored; those on unknown workers are dropped.
     pub fn restore(&mut self, homes: Vec<HomeBlock>, inventory: &mut Inventory) {
         for home in homes {
             let known = |c: &HomeCell| inventory.index_of(&c.worker).is_some();
@@ -91,17 +92,17 @@
         self.homes.get(guarantee)
     }
 
-    /// Returns the guarantees that have no home block now: operators have to know.
+    /// Returns the guarantees that have no home block at present. Operators are alerted to them.
     #[must_use]
     pub const fn broken(&self) -> &BTreeSet<GuaranteeId> {
         &self.broken
     }
 
-    /// Says whether `guarantees` could all be kept, without changing anything.
+    /// Checks whether all `guarantees` could get a home block, without changing anything.
     ///
     /// # Errors
     ///
-    /// Names the first guarantee that finds no home block.
+    /// Returns the first guarantee for which no home block is found.
     pub fn check(
         &self,
         guarantees: &[Guarantee],
@@ -121,39 +122,38 @@
         }
     }
 
-    /// Keeps `guarantees` from now on: sound home blocks stay, others are found anew.
+    /// Replaces the set of guarantees. Home blocks that are still valid stay, others are found anew.
     ///
-    /// Returns the guarantees that find no home block; nothing of theirs is
-    /// kept, and what they had is not lent to work that can't give way.
+    /// Returns the guarantees for which no home block is found. Nothing is set aside for them.
     pub fn update(
         &mut self,
         guarantees: &[Guarantee],
         inventory: &mut Inventory,
     ) -> Vec<GuaranteeId> {
-        self.drop_unsound(guarantees, inventory);
+        self.remove_invalid(guarantees, inventory);
         let mut missing = self.place_missing(guarantees, inventory);
         if !missing.is_empty() {
-            missing = self.place_afresh(guarantees, inventory, missing);
+            missing = self.repack(guarantees, inventory, missing);
         }
         self.broken = missing.iter().cloned().collect();
         missing
     }
 
-    /// Forgets home blocks that are not asked for, changed, or stand on lost workers.
-    fn drop_unsound(&mut self, guarantees: &[Guarantee], inventory: &mut Inventory) {
-        let sound = |home: &HomeBlock| {
+    /// Removes home blocks whose guarantee is gone or changed, or that have cells on unusable workers.
+    fn remove_invalid(&mut self, guarantees: &[Guarantee], inventory: &mut Inventory) {
+        let valid = |home: &HomeBlock| {
             guarantees
                 .iter()
-                .any(|g| g.name == home.guarantee.name && same_claim(g, &home.guarantee))
+                .any(|g| g.name == home.guarantee.name && same_terms(g, &home.guarantee))
                 && home.cells.iter().all(|c| inventory.is_usable(&c.worker))
         };
-        let unsound: Vec<GuaranteeId> = self
+        let invalid: Vec<GuaranteeId> = self
             .homes
             .values()
-            .filter(|h| !sound(h))
+            .filter(|h| !valid(h))
             .map(|h| h.guarantee.name.clone())
             .collect();
-        for id in unsound {
+        for id in invalid {
             self.homes.remove(&id);
             inventory.clear_home(&id);
         }
@@ -172,17 +172,19 @@
         waiting.sort_by_key(|g| std::cmp::Reverse((g.shape.total_accelerators(), g.shape.members)));
         let mut missing = Vec::new();
         for guarantee in waiting {
-            let rooms = inventory.free_for_homes();
-            match Block::find(&rooms, &guarantee.shape, Fit::Aligned) {
-                Some(block) => self.settle(guarantee, &block.cells, inventory),
+            let capacities = inventory.free_for_homes();
+            match Block::find(&capacities, &guarantee.shape, Fit::Aligned) {
+                Some(block) => self.set_home(guarantee, &block.cells, inventory),
                 None => missing.push(guarantee.name.clone()),
             }
         }
         missing
     }
 
-    /// Packs all home blocks again, but for those that their owners use; falls back where that is no better.
-    fn place_afresh(
+    /// Moves all home blocks that their owners do not use, so that the missing ones may fit.
+    ///
+    /// Keeps the previous blocks unless fewer guarantees are left without one.
+    fn repack(
         &mut self,
         guarantees: &[Guarantee],
         inventory: &mut Inventory,
@@ -192,7 +194,7 @@
         let movable: Vec<GuaranteeId> = self
             .homes
             .keys()
-            .filter(|id| !is_claimed(id, inventory))
+            .filter(|id| !is_in_use(id, inventory))
             .cloned()
             .collect();
         for id in movable {
@@ -207,7 +209,8 @@
         missing
     }
 
-    fn settle(&mut self, guarantee: &Guarantee, cells: &[Cell], inventory: &mut Inventory) {
+    /// Records the home block of a guarantee here and in the inventory.
+    fn set_home(&mut self, guarantee: &Guarantee, cells: &[Cell], inventory: &mut Inventory) {
         let mut home_cells = Vec::with_capacity(cells.len());
         for cell in cells {
             let Some(worker) = inventory.worker_at(cell.worker).map(|w| w.id.clone()) else {
@@ -232,11 +235,11 @@
     }
 }
 
-fn same_claim(a: &Guarantee, b: &Guarantee) -> bool {
+fn same_terms(a: &Guarantee, b: &Guarantee) -> bool {
     a.customer == b.customer && a.shape == b.shape && a.zone == b.zone
 }
 
-fn is_claimed(guarantee: &GuaranteeId, inventory: &Inventory) -> bool {
+fn is_in_use(guarantee: &GuaranteeId, inventory: &Inventory) -> bool {
     (0..inventory.len()).any(|i| {
         inventory
             .allocations(i)
@@ -246,7 +249,7 @@
 }
 
 impl HomeBlock {
-    /// Returns cells for `shape` that no claim of the owner uses, or none if they are too few.
+    /// Returns free cells for a guaranteed job of `shape`, or none if there are too few.
     #[must_use]
     pub fn find_free(&self, shape: &Shape, inventory: &Inventory) -> Option<Block> {
         if !shape.fits_in(&self.guarantee.shape) {
@@ -255,12 +258,12 @@
         let owner = Some(&self.guarantee.name);
         let free = self.cells.iter().filter_map(|cell| {
             let index = inventory.index_of(&cell.worker)?;
-            let taken = inventory
+            let in_use = inventory
                 .allocations(index)
                 .iter()
                 .any(|u| u.home.as_ref() == owner && u.mask & cell.mask != 0);
             let usable = inventory.is_usable(&cell.worker);
-            (usable && !taken).then(|| Cell {
+            (usable && !in_use).then(|| Cell {
                 worker: index,
                 mask: lowest(cell.mask, shape.accelerators),
             })
@@ -273,13 +276,13 @@
 /// Returns the lowest `count` bits that are set in `mask`.
 const fn lowest(mask: u64, count: u8) -> u64 {
     let mut rest = mask;
-    let mut taken = 0;
+    let mut found = 0;
     let mut left = count;
     while left > 0 && rest != 0 {
         let bit = rest & rest.wrapping_neg();
-        taken |= bit;
+        found |= bit;
         rest &= !bit;
         left -= 1;
     }
-    taken
+    found
 }
--- a/crates/stairstall-core/src/placement/inventory.rs
+++ b/crates/stairstall-core/src/placement/inventory.rs
@@ -8,7 +8,7 @@
 pub use types::{Access, Allocation, AllocationOwner, Capacity, Demand, WorkerInfo};
 use worker::{HomePart, Totals, Worker};
 
-/// The workers of one zone, in order of rack and position, and what occupies them.
+/// The workers of one zone, in order of rack and position, with their allocations and home cells.
 #[derive(Debug, Clone, Default)]
 pub struct Inventory {
     workers: Vec<Worker>,
@@ -22,7 +22,7 @@
         Self::default()
     }
 
-    /// Adds a worker or takes its new capacity or place.
+    /// Adds a worker, or updates its capacity, rack and position.
     pub fn put_worker(&mut self, info: WorkerInfo) {
         if let Some(index) = self.index_of(&info.id) {
             let worker = &mut self.workers[index];
@@ -34,7 +34,7 @@
             self.workers.push(Worker {
                 info,
                 usable: true,
-                uses: Vec::new(),
+                allocations: Vec::new(),
                 homes: Vec::new(),
                 rack_index: 0,
                 totals: Totals::default(),
@@ -43,16 +43,17 @@
         self.reorder();
     }
 
-    /// Forgets a worker that is gone for good and holds nothing.
+    /// Removes a worker for good, unless it still has allocations.
     pub fn remove_worker(&mut self, id: &WorkerId) {
         let before = self.workers.len();
         self.workers
-            .retain(|w| w.info.id != *id || !w.uses.is_empty());
+            .retain(|w| w.info.id != *id || !w.allocations.is_empty());
         if self.workers.len() != before {
             self.reorder();
         }
     }
 
+    /// Sorts the workers again and rebuilds the index.
     fn reorder(&mut self) {
         self.workers.sort_by(|a, b| {
             let key = |w: &Worker| (w.info.rack.clone(), w.info.position, w.info.id.clone());
@@ -73,21 +74,21 @@
             .collect();
     }
 
-    /// Says whether a worker takes new work.
+    /// Sets whether a worker accepts new work.
     pub fn set_usable(&mut self, id: &WorkerId, usable: bool) {
         if let Some(index) = self.index_of(id) {
             self.workers[index].usable = usable;
         }
     }
 
-    /// Tells whether a worker takes new work.
+    /// Tells whether a worker accepts new work.
     #[must_use]
     pub fn is_usable(&self, id: &WorkerId) -> bool {
         self.index_of(id)
             .is_some_and(|index| self.workers[index].usable)
     }
 
-    /// Returns the index of a worker, good until workers are added or removed.
+    /// Returns the index of a worker. It is valid until workers are added, updated or removed.
     #[must_use]
     pub fn index_of(&self, id: &WorkerId) -> Option<usize> {
         self.index.get(id).copied()
@@ -99,7 +100,7 @@
         self.workers.get(index).map(|w| &w.info)
     }
 
-    /// Returns how many workers there are.
+    /// Returns the number of workers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.workers.len()
@@ -111,48 +112,51 @@
         self.workers.is_empty()
     }
 
-    /// Returns what each worker can offer under `access`, along the zone.
+    /// Returns the free capacity of each worker under `access`, in order of rack and position.
     #[must_use]
     pub fn free_capacity(&self, access: Access) -> Vec<FreeCapacity> {
-        self.workers.iter().map(|w| w.room(access)).collect()
+        self.workers
+            .iter()
+            .map(|w| w.free_capacity(access))
+            .collect()
     }
 
-    /// Returns what each worker can offer to home blocks.
+    /// Returns the capacity of each worker that home blocks may be placed on.
     #[must_use]
     pub fn free_for_homes(&self) -> Vec<FreeCapacity> {
-        self.workers.iter().map(Worker::home_room).collect()
+        self.workers.iter().map(Worker::free_for_homes).collect()
     }
 
-    /// Occupies a part of the worker at `index`.
-    pub fn occupy(&mut self, index: usize, used: Allocation) {
+    /// Adds an allocation on the worker at `index`.
+    pub fn occupy(&mut self, index: usize, allocation: Allocation) {
         let worker = &mut self.workers[index];
-        worker.uses.push(used);
-        worker.refresh();
+        worker.allocations.push(allocation);
+        worker.update_totals();
     }
 
-    /// Frees what one run occupies on a worker.
+    /// Removes the allocation of `owner` with this mask from a worker.
     pub fn release(&mut self, id: &WorkerId, mask: u64, owner: AllocationOwner) {
         let Some(index) = self.index_of(id) else {
             return;
         };
         let worker = &mut self.workers[index];
         if let Some(found) = worker
-            .uses
+            .allocations
             .iter()
             .position(|u| u.id == owner && u.mask == mask)
         {
-            worker.uses.swap_remove(found);
-            worker.refresh();
+            worker.allocations.swap_remove(found);
+            worker.update_totals();
         }
     }
 
-    /// Returns what occupies the worker at `index`.
+    /// Returns the allocations on the worker at `index`.
     #[must_use]
     pub fn allocations(&self, index: usize) -> &[Allocation] {
-        &self.workers[index].uses
+        &self.workers[index].allocations
     }
 
-    /// Puts a home cell on the worker at `index`.
+    /// Adds a home cell on the worker at `index`.
     pub fn put_home(&mut self, index: usize, guarantee: GuaranteeId, mask: u64, shape: Shape) {
         let worker = &mut self.workers[index];
         worker.homes.push(HomePart {
@@ -160,29 +164,29 @@
             mask,
             shape,
         });
-        worker.refresh();
+        worker.update_totals();
     }
 
-    /// Takes away the home cells of one guarantee.
+    /// Removes the home cells of one guarantee.
     ///
-    /// What its owner runs there goes on as any other work: the next home block
-    /// has to leave it alone.
+    /// Jobs that its owner runs there become ordinary work: unless they are preemptible, new
+    /// home blocks can't overlap them.
     pub fn clear_home(&mut self, guarantee: &GuaranteeId) {
         for worker in &mut self.workers {
             worker.homes.retain(|h| h.guarantee != *guarantee);
-            for used in &mut worker.uses {
-                if used.home.as_ref() == Some(guarantee) {
-                    used.home = None;
+            for allocation in &mut worker.allocations {
+                if allocation.home.as_ref() == Some(guarantee) {
+                    allocation.home = None;
                 }
             }
-            worker.refresh();
+            worker.update_totals();
         }
     }
 
-    /// Returns who must give way so that `owner` can have a demand met.
+    /// Returns the runs that must end before the demand of `owner` can be met.
     ///
-    /// Whoever overlaps the accelerators does; then, while processors or memory
-    /// are short, those that can, lowest level first.
+    /// These are all runs on the demanded accelerators. While processors or memory are still
+    /// short, preemptible runs outside home blocks are added, lowest level first.
     #[must_use]
     pub fn blocking_runs(
         &self,
@@ -191,14 +195,14 @@
         owner: AllocationOwner,
     ) -> Vec<AllocationOwner> {
         let worker = &self.workers[demand.worker];
-        let others = || worker.uses.iter().filter(|u| u.id != owner);
-        let mut out: Vec<AllocationOwner> = others()
+        let others = || worker.allocations.iter().filter(|u| u.id != owner);
+        let mut blocking: Vec<AllocationOwner> = others()
             .filter(|u| u.mask & demand.mask != 0)
             .map(|u| u.id)
             .collect();
-        let left = |out: &[AllocationOwner]| {
+        let remaining_use = |blocking: &[AllocationOwner]| {
             others()
-                .filter(|u| !out.contains(&u.id))
+                .filter(|u| !blocking.contains(&u.id))
                 .fold((0_u32, 0_u64), |sum, u| {
                     (
                         sum.0 + u32::from(u.processors),
@@ -207,27 +211,27 @@
                 })
         };
         let members = demand.members;
-        let own = (
+        let demanded = (
             u32::from(shape.processors) * u32::from(members),
             u64::from(shape.memory_mb) * u64::from(members),
         );
         let capacity = &worker.info.capacity;
         let fits = |sum: (u32, u64)| {
-            sum.0 + own.0 <= u32::from(capacity.processors)
-                && sum.1 + own.1 <= u64::from(capacity.memory_mb)
+            sum.0 + demanded.0 <= u32::from(capacity.processors)
+                && sum.1 + demanded.1 <= u64::from(capacity.memory_mb)
         };
-        let mut spare: Vec<&Allocation> = others()
+        let mut preemptible: Vec<&Allocation> = others()
             .filter(|u| u.preemptible && u.home.is_none())
             .collect();
-        spare.sort_by_key(|u| u.level);
-        for used in spare {
-            if fits(left(&out)) {
+        preemptible.sort_by_key(|u| u.level);
+        for allocation in preemptible {
+            if fits(remaining_use(&blocking)) {
                 break;
             }
-            if !out.contains(&used.id) {
-                out.push(used.id);
+            if !blocking.contains(&allocation.id) {
+                blocking.push(allocation.id);
             }
         }
-        out
+        blocking
     }
 }
--- a/crates/stairstall-core/src/placement/inventory/types.rs
+++ b/crates/stairstall-core/src/placement/inventory/types.rs
@@ -1,4 +1,4 @@
-//! What workers have, what occupies them, and what a request may take.
+//! Types for the capacity of workers, the allocations on them, and what a request may use.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::placement::Cell;
 use crate::{GuaranteeId, RackId, Timestamp, WorkerId};
 
-/// What a worker has in all.
+/// Total capacity of a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Capacity {
     /// Accelerators, at most 64.
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns all accelerators, one bit each.
+    /// Returns a mask with one bit set for each accelerator.
     #[must_use]
     pub const fn mask(&self) -> u64 {
         if self.accelerators >= 64 {
@@ -40,27 +40,27 @@
     }
 }
 
-/// Where a worker stands and what it has.
+/// Location and capacity of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerInfo {
-    /// Name.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Rack.
+    /// Rack that the worker is in.
     pub rack: RackId,
-    /// Place in the rack.
+    /// Position in the rack; adjacent workers have consecutive positions.
     pub position: u16,
-    /// What it has.
+    /// Total capacity.
     pub capacity: Capacity,
 }
 
-/// Names the holder of an [`Allocation`]: a run of a job, counted by the scheduler.
+/// Id of the run that owns an [`Allocation`], assigned by the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AllocationOwner(pub u64);
 
-/// A part of a worker that one member of a run occupies.
+/// Resources that one member of a run occupies on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Allocation {
-    /// Whose.
+    /// The run that owns the allocation.
     pub id: AllocationOwner,
     /// Accelerators, one bit each.
     pub mask: u64,
@@ -68,40 +68,40 @@
     pub processors: u16,
     /// Memory, in megabytes.
     pub memory_mb: u32,
-    /// Whether the work can be made to give way within the grace.
+    /// Whether the work can be stopped within the preemption grace period and run again.
     pub preemptible: bool,
-    /// Whether it can be moved at the cost of a checkpoint only.
+    /// Whether the work can be moved at the cost of a checkpoint only.
     pub movable: bool,
-    /// Level of its priority class.
+    /// Level of the priority class; higher levels are more urgent.
     pub level: u8,
-    /// When it is expected to end.
+    /// When the work is expected to end.
     pub expected_end: Timestamp,
-    /// The guarantee whose home block it stands in as its owner.
+    /// The guarantee under which the work occupies cells of a home block, if it does.
     pub home: Option<GuaranteeId>,
 }
 
-/// What a request may take.
+/// Which capacity a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// Free accelerators outside of home blocks: for work that can't give way.
+    /// Free capacity outside of home blocks, for work that is not preemptible.
     OutsideHomes,
-    /// Free accelerators anywhere: for work that can give way.
+    /// Free capacity anywhere, home blocks included, for preemptible work.
     Borrow,
-    /// Also what work of lower levels than this, which can give way, occupies.
+    /// Free capacity, and what preemptible work of lower levels occupies.
     Preempt {
         /// The level of the request.
         level: u8,
         /// Whether home blocks may be used.
         borrow: bool,
     },
-    /// Also what is expected to end by then.
+    /// Free capacity, and what work occupies that is expected to end by a given time.
     Until {
-        /// When.
+        /// The time.
         time: Timestamp,
         /// Whether home blocks may be used.
         borrow: bool,
     },
-    /// Also what movable work of this level or lower occupies.
+    /// Free capacity, and what movable work of the same or lower levels occupies.
     Move {
         /// The level of the request.
         level: u8,
@@ -110,19 +110,19 @@
     },
 }
 
-/// What a gang wants of one worker: the accelerators of all its members there.
+/// What all members of a gang on one worker need there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// Index of the worker.
+    /// Index of the worker in the inventory.
     pub worker: usize,
     /// Accelerators of all members, one bit each.
     pub mask: u64,
-    /// Members on the worker.
+    /// Number of members on the worker.
     pub members: u16,
 }
 
 impl Demand {
-    /// Adds up cells by worker.
+    /// Groups cells by worker and adds them up.
     #[must_use]
     pub fn per_worker(cells: impl IntoIterator<Item = Cell>) -> Vec<Self> {
         let mut demands: BTreeMap<usize, Self> = BTreeMap::new();
--- a/crates/stairstall-core/src/placement/inventory/worker.rs
+++ b/crates/stairstall-core/src/placement/inventory/worker.rs
@@ -1,4 +1,4 @@
-//! One worker: what occupies it, and what it can offer.
+//! One worker of the inventory: its allocations, its home cells and its free capacity.
 
 use super::types::{Access, Allocation, WorkerInfo};
 use crate::GuaranteeId;
@@ -12,39 +12,45 @@
     pub(super) shape: Shape,
 }
 
+/// A worker of the inventory.
 #[derive(Debug, Clone)]
 pub(super) struct Worker {
     pub(super) info: WorkerInfo,
     pub(super) usable: bool,
-    pub(super) uses: Vec<Allocation>,
+    pub(super) allocations: Vec<Allocation>,
     pub(super) homes: Vec<HomePart>,
     pub(super) rack_index: u32,
     pub(super) totals: Totals,
 }
 
-/// Sums over a worker's uses and homes, kept up to date.
+/// Sums over the allocations and home cells of a worker.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Totals {
+    /// Accelerators of all allocations, one bit each.
     used: u64,
     used_processors: u16,
     used_memory: u32,
+    /// Accelerators of all home cells, one bit each.
     home: u64,
-    /// Processors of work that can't give way and of home cells.
+    /// Processors of work that is not preemptible and of home cells.
     bound_processors: u16,
-    /// Memory of work that can't give way and of home cells.
+    /// Memory of work that is not preemptible and of home cells.
     bound_memory: u32,
 }
 
 impl Worker {
-    pub(super) fn refresh(&mut self) {
+    /// Computes the totals again. Call it after every change of allocations or home cells.
+    pub(super) fn update_totals(&mut self) {
         let mut totals = Totals::default();
-        for used in &self.uses {
-            totals.used |= used.mask;
-            totals.used_processors = totals.used_processors.saturating_add(used.processors);
-            totals.used_memory = totals.used_memory.saturating_add(used.memory_mb);
-            if !used.preemptible && used.home.is_none() {
-                totals.bound_processors = totals.bound_processors.saturating_add(used.processors);
-                totals.bound_memory = totals.bound_memory.saturating_add(used.memory_mb);
+        for allocation in &self.allocations {
+            totals.used |= allocation.mask;
+            totals.used_processors = totals.used_processors.saturating_add(allocation.processors);
+            totals.used_memory = totals.used_memory.saturating_add(allocation.memory_mb);
+            if !allocation.preemptible && allocation.home.is_none() {
+                totals.bound_processors = totals
+                    .bound_processors
+                    .saturating_add(allocation.processors);
+                totals.bound_memory = totals.bound_memory.saturating_add(allocation.memory_mb);
             }
         }
         for home in &self.homes {
@@ -57,67 +63,76 @@
         self.totals = totals;
     }
 
-    pub(super) fn room(&self, access: Access) -> FreeCapacity {
+    /// Returns the free capacity under `access`; none if the worker is not usable.
+    pub(super) fn free_capacity(&self, access: Access) -> FreeCapacity {
         if !self.usable {
             return self.located(FreeCapacity::default());
         }
         match access {
-            Access::OutsideHomes => self.fixed_room(self.totals.used, (0, 0)),
-            Access::Borrow => self.borrow_room(self.totals.used, (0, 0)),
-            Access::Preempt { level, borrow } => self.cleared_room(borrow, |u| {
+            Access::OutsideHomes => self.free_outside_homes(self.totals.used, (0, 0)),
+            Access::Borrow => self.free_with_homes(self.totals.used, (0, 0)),
+            Access::Preempt { level, borrow } => self.free_after_clearing(borrow, |u| {
                 u.preemptible && u.home.is_none() && u.level < level
             }),
-            Access::Until { time, borrow } => self.cleared_room(borrow, |u| u.expected_end <= time),
-            Access::Move { level, borrow } => self.cleared_room(borrow, |u| {
+            Access::Until { time, borrow } => {
+                self.free_after_clearing(borrow, |u| u.expected_end <= time)
+            }
+            Access::Move { level, borrow } => self.free_after_clearing(borrow, |u| {
                 u.movable && u.home.is_none() && u.level <= level
             }),
         }
     }
 
-    /// Room as it would be after `clears` uses were cleared away.
-    fn cleared_room(&self, borrow: bool, clears: impl Fn(&Allocation) -> bool) -> FreeCapacity {
+    /// Returns the capacity that is free once the allocations that `clears` selects have ended.
+    fn free_after_clearing(
+        &self,
+        borrow: bool,
+        clears: impl Fn(&Allocation) -> bool,
+    ) -> FreeCapacity {
         let mut used = 0;
         let mut cleared = 0;
-        let mut back = (0_u16, 0_u32);
-        for u in &self.uses {
+        let mut released = (0_u16, 0_u32);
+        for u in &self.allocations {
             if clears(u) {
-                back = (
-                    back.0.saturating_add(u.processors),
-                    back.1.saturating_add(u.memory_mb),
+                released = (
+                    released.0.saturating_add(u.processors),
+                    released.1.saturating_add(u.memory_mb),
                 );
                 cleared |= u.mask;
             } else {
                 used |= u.mask;
             }
         }
-        let mut room = if borrow {
-            self.borrow_room(used, back)
+        let mut free = if borrow {
+            self.free_with_homes(used, released)
         } else {
-            self.fixed_room(used, back)
+            self.free_outside_homes(used, released)
         };
-        room.avoided |= cleared;
-        room
+        free.avoided |= cleared;
+        free
     }
 
-    fn borrow_room(&self, used: u64, back: (u16, u32)) -> FreeCapacity {
+    /// Returns all free capacity, home cells included.
+    fn free_with_homes(&self, used: u64, released: (u16, u32)) -> FreeCapacity {
         let capacity = &self.info.capacity;
         self.located(FreeCapacity {
             mask: capacity.mask() & !used,
             processors: capacity
                 .processors
-                .saturating_add(back.0)
+                .saturating_add(released.0)
                 .saturating_sub(self.totals.used_processors),
             memory_mb: capacity
                 .memory_mb
-                .saturating_add(back.1)
+                .saturating_add(released.1)
                 .saturating_sub(self.totals.used_memory),
             avoided: self.totals.home,
             ..FreeCapacity::default()
         })
     }
 
-    fn fixed_room(&self, used: u64, back: (u16, u32)) -> FreeCapacity {
-        let free = self.borrow_room(used, back);
+    /// Returns the free capacity outside home cells.
+    fn free_outside_homes(&self, used: u64, released: (u16, u32)) -> FreeCapacity {
+        let free = self.free_with_homes(used, released);
         let capacity = &self.info.capacity;
         let processors = capacity
             .processors
@@ -132,19 +147,19 @@
         }
     }
 
-    /// Room for a home block: everything that neither fixed work nor another home holds.
-    pub(super) fn home_room(&self) -> FreeCapacity {
+    /// Returns the capacity for home blocks: all but home cells and work that is not preemptible.
+    pub(super) fn free_for_homes(&self) -> FreeCapacity {
         if !self.usable {
             return self.located(FreeCapacity::default());
         }
         let fixed = self
-            .uses
+            .allocations
             .iter()
             .filter(|u| !u.preemptible && u.home.is_none());
-        let held = fixed.fold(self.totals.home, |mask, u| mask | u.mask);
+        let occupied = fixed.fold(self.totals.home, |mask, u| mask | u.mask);
         let capacity = &self.info.capacity;
         self.located(FreeCapacity {
-            mask: capacity.mask() & !held,
+            mask: capacity.mask() & !occupied,
             processors: capacity
                 .processors
                 .saturating_sub(self.totals.bound_processors),
@@ -154,9 +169,10 @@
         })
     }
 
-    const fn located(&self, mut room: FreeCapacity) -> FreeCapacity {
-        room.rack = self.rack_index;
-        room.position = self.info.position;
-        room
+    /// Fills in the location of the worker.
+    const fn located(&self, mut free: FreeCapacity) -> FreeCapacity {
+        free.rack = self.rack_index;
+        free.position = self.info.position;
+        free
     }
 }
--- a/crates/stairstall-core/src/placement/job.rs
+++ b/crates/stairstall-core/src/placement/job.rs
@@ -9,21 +9,21 @@
 use crate::claim::Mark;
 use crate::{ClassId, CustomerId, IdError, JobId, Labels, Verdict, WorkerId, ZoneId};
 
-/// Longest payload of a job, in bytes.
+/// Maximum payload of a job, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
 
-/// Names a job over all customers.
+/// Unique name of a job among all customers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobKey {
     /// The customer.
     pub customer: CustomerId,
-    /// The job's name at that customer.
+    /// The job id, unique within the customer.
     pub id: JobId,
 }
 
 impl JobKey {
-    /// Creates the key of a customer's job.
+    /// Creates a key from a customer and its job id.
     #[must_use]
     pub const fn new(customer: CustomerId, id: JobId) -> Self {
         Self { customer, id }
@@ -59,17 +59,17 @@
     }
 }
 
-/// Names one attempt at a job: the fencing token of the tenure, and a count within it.
+/// Id of one attempt at a job: the fencing token of the tenure and a serial number within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Fencing token of the holder that made the attempt.
+    /// Fencing token of the holder that started the attempt.
     pub token: u64,
-    /// Counts the attempts of that holder.
+    /// Serial number of the attempt within the tenure.
     pub serial: u32,
 }
 
 impl Attempt {
-    /// Creates the name of an attempt.
+    /// Creates an attempt id.
     #[must_use]
     pub const fn new(token: u64, serial: u32) -> Self {
         Self { token, serial }
@@ -83,7 +83,7 @@
 }
 
 quick_error! {
-    /// A job that can't be accepted.
+    /// Reason why a job specification is rejected.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum JobError {
         /// The shape is out of bounds.
@@ -104,7 +104,7 @@
 }
 
 impl JobError {
-    /// Names the field that is wrong.
+    /// Returns the name of the invalid field.
     #[must_use]
     pub const fn field(&self) -> &'static str {
         match self {
@@ -117,48 +117,48 @@
     }
 }
 
-/// A job as its caller describes it.
+/// Specification of a job, as submitted by the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
     /// The customer.
     pub customer: CustomerId,
-    /// The name, unique at the customer.
+    /// The job id, unique within the customer.
     pub id: JobId,
     /// The priority class.
     pub class: ClassId,
-    /// Labels, for rules and queries.
+    /// Labels that rules and queries select jobs by.
     #[serde(default)]
     pub labels: Labels,
-    /// What it needs.
+    /// Members of the gang and the resources of each.
     pub shape: Shape,
-    /// Whether it may run more than once.
+    /// Whether the job may run more than once.
     #[serde(default)]
     pub repeatable: bool,
-    /// How long a checkpoint takes, in milliseconds, where the job can make one.
+    /// Duration of a checkpoint in milliseconds; absent if the job can't checkpoint.
     #[serde(default)]
     pub checkpoint_ms: Option<u64>,
-    /// How long it is expected to run, in milliseconds.
+    /// Expected run time in milliseconds.
     pub expected_ms: u64,
-    /// The zone it must run in, where there is one.
+    /// The zone that the job must run in, if any.
     #[serde(default)]
     pub zone: Option<ZoneId>,
-    /// What to run; the workers' business.
+    /// What to run. Only the workers interpret it.
     #[serde(default)]
     pub payload: String,
 }
 
 impl JobSpec {
-    /// Longest expected run.
+    /// Maximum expected run time, and maximum duration of a checkpoint.
     pub const MAX_EXPECTED_RUN: Duration = Duration::from_secs(90 * 24 * 3600);
 
-    /// Returns the key.
+    /// Returns the key of the job.
     #[must_use]
     pub fn key(&self) -> JobKey {
         JobKey::new(self.customer.clone(), self.id.clone())
     }
 
-    /// Returns the labels with customer, class and name added, as rules and queries see them.
+    /// Returns the labels as rules and queries see them, with customer, class and job id added.
     #[must_use]
     pub fn all_labels(&self) -> Labels {
         [
@@ -176,19 +176,19 @@
     ///
     /// # Errors
     ///
-    /// Names the first field that is out of bounds.
+    /// Returns an error for the first field that is out of bounds.
     pub fn check(&self) -> Result<(), JobError> {
         self.shape.check()?;
         if self.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(JobError::Payload(self.payload.len()));
         }
-        let most = u64::try_from(Self::MAX_EXPECTED_RUN.as_millis()).unwrap_or(u64::MAX);
-        if !(1..=most).contains(&self.expected_ms) {
+        let limit = u64::try_from(Self::MAX_EXPECTED_RUN.as_millis()).unwrap_or(u64::MAX);
+        if !(1..=limit).contains(&self.expected_ms) {
             return Err(JobError::Duration("expected_ms"));
         }
         if self
             .checkpoint_ms
-            .is_some_and(|ms| !(1..=most).contains(&ms))
+            .is_some_and(|ms| !(1..=limit).contains(&ms))
         {
             return Err(JobError::Duration("checkpoint_ms"));
         }
@@ -196,52 +196,52 @@
     }
 }
 
-/// One member of a placed job and the worker process it was given to.
+/// Placement of one member of a job: the worker process that it was assigned to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedMember {
     /// The worker.
     pub worker: WorkerId,
-    /// The worker's incarnation; another one knows nothing of the member.
+    /// Incarnation of the worker. After a restart the worker no longer has the member.
     pub incarnation: u64,
 }
 
-/// Where a job stands, as the store keeps it.
+/// Stored state of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "kebab-case")]
 pub enum JobState {
-    /// Accepted; it waits.
+    /// The job is accepted and waits for a placement.
     Accepted,
-    /// Given to workers; it may run from now on.
+    /// The job is assigned to workers and may run from now on.
     Placed {
         /// The attempt.
         attempt: Attempt,
-        /// Its members.
+        /// Placement of each member, by member index.
         members: Vec<PlacedMember>,
     },
-    /// It ran to its end.
+    /// The job ran to its end.
     Finished {
-        /// Whether it did what it should.
+        /// Whether the job succeeded.
         success: bool,
-        /// What its first member answered.
+        /// Output of the first member.
         output: String,
     },
-    /// It will not run any more.
+    /// The job ended without running to its end and will not run again.
     Ended {
-        /// Whether it may have run.
+        /// Whether the job may have run.
         verdict: Verdict,
-        /// Why.
+        /// Why the job ended.
         reason: String,
     },
 }
 
 impl JobState {
-    /// Tells whether the state never changes again.
+    /// Tells whether the state is final.
     #[must_use]
     pub const fn is_final(&self) -> bool {
         matches!(self, Self::Finished { .. } | Self::Ended { .. })
     }
 
-    /// Returns the word used in queries and logs.
+    /// Returns the name of the state, as used in queries and logs.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -252,9 +252,9 @@
         }
     }
 
-    /// Returns what is known about whether the job ran, once nothing more will change.
+    /// Returns whether the job ran, once the state is final.
     ///
-    /// An accepted job has no verdict: its holder may start it at any moment.
+    /// A job that is accepted or placed has no verdict: it may start at any moment.
     #[must_use]
     pub const fn verdict(&self) -> Option<Verdict> {
         match self {
@@ -265,30 +265,30 @@
     }
 }
 
-/// A job as the store keeps it.
+/// Stored record of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What the caller asked for.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// The zone it was given to.
+    /// The zone that the job is assigned to.
     pub zone: ZoneId,
-    /// Who wrote the acceptance; resolves lost answers.
+    /// Who wrote the acceptance. It tells whether a write succeeded whose answer was lost.
     pub mark: Mark,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// Whether its caller wants it ended.
+    /// Whether the caller has cancelled the job.
     #[serde(default)]
     pub cancel: bool,
-    /// Work that its last checkpoint holds, in milliseconds.
+    /// Work saved by the last checkpoint, in milliseconds.
     #[serde(default)]
     pub saved_ms: u64,
     /// Whether an earlier attempt may have run.
     #[serde(default)]
     pub started: bool,
-    /// Workers that crashed under it.
+    /// Number of worker crashes counted against the job.
     #[serde(default)]
     pub crashes: u32,
-    /// Where it stands.
+    /// State of the job.
     #[serde(flatten)]
     pub state: JobState,
 }
--- a/crates/stairstall-core/src/placement/policy.rs
+++ b/crates/stairstall-core/src/placement/policy.rs
@@ -1,33 +1,34 @@
 use super::Fit;
 
-/// In which order waiting jobs are considered.
+/// Order in which waiting jobs are considered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobOrder {
     /// By time of acceptance.
     Fifo,
-    /// By level, then by time of acceptance.
+    /// By level of the priority class, highest first, then by time of acceptance.
     Level,
-    /// By level, then by the customers' shares, then by time of acceptance.
+    /// By level, then by weighted usage of the customer, work left and time waited, then by
+    /// time of acceptance.
     Fair,
 }
 
-/// The choices that make a placement policy; the baselines are other choices.
+/// A placement policy. The daemon uses [`Policy::standard`]; the others serve as baselines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// How a block is chosen.
+    /// How a block is chosen among the free ones.
     pub fit: Fit,
-    /// Who comes first.
+    /// Order in which waiting jobs are considered.
     pub order: JobOrder,
-    /// Whether the first job that finds no block gets one reserved ahead of time.
+    /// Whether a block is reserved ahead of time for the first job that finds none.
     pub reserves: bool,
-    /// Whether small movable jobs are moved to open a block.
+    /// Whether small movable jobs are moved to free a block.
     pub moves: bool,
-    /// Whether classes may preempt.
+    /// Whether jobs of preempting classes may stop preemptible jobs of lower levels.
     pub preempts: bool,
 }
 
 impl Policy {
-    /// The policy of the daemon.
+    /// Returns the policy of the daemon.
     #[must_use]
     pub const fn standard() -> Self {
         Self {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// First come, first served, at the first block that fits.
+    /// Returns a baseline: first come, first served, at the first block that fits.
     #[must_use]
     pub const fn first_fit() -> Self {
         Self {
@@ -51,7 +52,8 @@
         }
     }
 
-    /// First come, first served, at the block that leaves the smallest rest.
+    /// Returns a baseline: first come, first served, at the block that leaves the fewest free
+    /// accelerators beside it.
     #[must_use]
     pub const fn best_fit() -> Self {
         Self {
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Highest level first, at the first block that fits, preempting lower levels.
+    /// Returns a baseline: highest level first, at the first block that fits, preempting lower
+    /// levels.
     #[must_use]
     pub const fn strict_priority() -> Self {
         Self {
--- a/crates/stairstall-core/src/placement/run.rs
+++ b/crates/stairstall-core/src/placement/run.rs
@@ -6,36 +6,41 @@
 use crate::{Timestamp, Verdict};
 pub use phase::{Member, MemberOrder, MemberPhase, RunOutcome, RunPhase, StopReason};
 
-/// One attempt at a gang job: all members run, or none does.
+/// One attempt at a gang job: either all members run or none does.
 ///
-/// Every member is reserved before any is started, and each starts under a
-/// lease that is too short to do harm; only when all are known to run are they
-/// confirmed. Whatever goes wrong before or after stops all. The run is driven
-/// by the workers' reports alone, so lost and repeated messages do no harm.
+/// Every member is reserved before any is started. Members start under a short lease
+/// ([`Run::START_LEASE`]) and are confirmed only when all are known to run, so a gang that
+/// started in part soon ends by itself. Any failure stops all members. State changes follow
+/// from the reports of the workers and from timeouts alone, so lost or repeated messages are
+/// harmless.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Run {
     attempt: Attempt,
     members: Vec<Member>,
     phase: RunPhase,
+    /// Whether any member may have been ordered to start in this tenure.
     start_sent: bool,
+    /// Whether the placement is stored, or need not be.
     recorded: bool,
+    /// Whether the capacity of all members is free.
     cleared: bool,
+    /// Whether an earlier holder started the run.
     recovered: bool,
 }
 
 impl Run {
-    /// How long members may take to be reserved.
+    /// Timeout for reserving all members.
     pub const RESERVE_TIMEOUT: Duration = Duration::from_secs(4);
-    /// How long members may take to start, once all are reserved.
+    /// Timeout for starting all members, once all are reserved.
     pub const START_TIMEOUT: Duration = Duration::from_secs(3);
-    /// Lease of a started member until it is confirmed; longer than the start may take.
+    /// Lease of a started member until it is confirmed; longer than [`Run::START_TIMEOUT`].
     pub const START_LEASE: Duration = Duration::from_secs(6);
-    /// Lease of a reservation; longer than reserving and starting may take.
+    /// Lease of a reserved member; longer than both timeouts together.
     pub const RESERVE_LEASE: Duration = Duration::from_secs(10);
-    /// How long work that gives way has to save its progress.
+    /// Time that a preempted run has to save its progress.
     pub const PREEMPTION_GRACE: Duration = Duration::from_secs(3);
 
-    /// Creates a run that waits to be recorded and for its places to be cleared.
+    /// Creates a run that waits until it is recorded and its capacity is free.
     #[must_use]
     pub const fn new(attempt: Attempt, members: Vec<Member>) -> Self {
         Self {
@@ -49,7 +54,7 @@
         }
     }
 
-    /// Creates the run of an earlier holder, about which the workers are still asked.
+    /// Creates the run of an earlier holder. It waits for a report about every member.
     #[must_use]
     pub const fn recover(attempt: Attempt, members: Vec<Member>) -> Self {
         let mut run = Self::new(attempt, members);
@@ -60,25 +65,25 @@
         run
     }
 
-    /// Returns the attempt.
+    /// Returns the attempt that this run is.
     #[must_use]
     pub const fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// Returns the members.
+    /// Returns the members, by member index.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Returns the phase.
+    /// Returns the current phase.
     #[must_use]
     pub const fn phase(&self) -> RunPhase {
         self.phase
     }
 
-    /// Returns how the run ended, if it did.
+    /// Returns how the run ended, if it has.
     #[must_use]
     pub const fn outcome(&self) -> Option<RunOutcome> {
         match self.phase {
@@ -87,36 +92,37 @@
         }
     }
 
-    /// Notes which accelerators a member holds, where they were not known.
+    /// Sets the accelerators of a member that were not known before.
     pub fn set_mask(&mut self, member: u16, mask: u64) {
         if let Some(found) = self.members.get_mut(usize::from(member)) {
             found.mask = mask;
         }
     }
 
-    /// Notes that the placement is recorded, or need not be.
+    /// Marks the placement as stored, or as one that need not be stored before the start.
     pub const fn mark_recorded(&mut self) {
         self.recorded = true;
     }
 
-    /// Tells whether the placement is recorded.
+    /// Tells whether the placement is marked as recorded.
     #[must_use]
     pub const fn is_recorded(&self) -> bool {
         self.recorded
     }
 
-    /// Notes that nothing stands in the way any more.
+    /// Marks the capacity of all members as free.
     pub const fn mark_cleared(&mut self) {
         self.cleared = true;
     }
 
-    /// Tells whether the places are clear.
+    /// Tells whether the capacity of all members is marked as free.
     #[must_use]
     pub const fn is_cleared(&self) -> bool {
         self.cleared
     }
 
-    /// Takes what a worker says of a member; a member that is over stays so.
+    /// Sets the phase of a member as reported by its worker. The phase of a member that is over
+    /// does not change any more.
     pub fn update_member(&mut self, member: u16, phase: MemberPhase) {
         let Some(found) = self.members.get_mut(usize::from(member)) else {
             return;
@@ -126,7 +132,7 @@
         }
     }
 
-    /// Begins to stop the run, whatever it does now.
+    /// Starts to stop the run, whatever its phase.
     pub fn stop(&mut self, reason: StopReason) {
         match self.phase {
             RunPhase::Over { .. } | RunPhase::Stopping { .. } => {}
@@ -135,7 +141,7 @@
         }
     }
 
-    /// Makes the run give way: saves progress first, where `checkpoints` says it can.
+    /// Preempts the run. If `checkpoints` is set and the run is running, it saves progress first.
     pub fn preempt(&mut self, now: Timestamp, checkpoints: bool) {
         match self.phase {
             RunPhase::Running if checkpoints => {
@@ -148,7 +154,7 @@
         }
     }
 
-    /// Moves on as far as the reports allow; true where the phase changed.
+    /// Advances as far as the reports allow. Returns whether the phase changed.
     pub fn advance(&mut self, now: Timestamp) -> bool {
         let before = self.phase;
         while self.step(now) {}
@@ -205,12 +211,12 @@
     }
 
     fn step_starting(&mut self, now: Timestamp, until: Timestamp) {
-        let ended = |p: &MemberPhase| matches!(p, MemberPhase::Finished { success: true });
-        if self.any(|p| p.is_over() && !ended(p)) || now >= until {
+        let succeeded = |p: &MemberPhase| matches!(p, MemberPhase::Finished { success: true });
+        if self.any(|p| p.is_over() && !succeeded(p)) || now >= until {
             self.phase = RunPhase::Stopping {
                 reason: StopReason::NotStarted,
             };
-        } else if self.all(|p| p.is_running() || ended(p)) {
+        } else if self.all(|p| p.is_running() || succeeded(p)) {
             self.phase = RunPhase::Running;
         }
     }
@@ -248,7 +254,8 @@
     }
 
     fn step_stopping(&mut self, reason: StopReason) {
-        // An absent member was never reserved, or its reservation is refused below.
+        // Before any start order an absent member counts as stopped: it was never reserved, or its
+        // reservation is refused.
         if !self.all(|p| p.is_over() || (*p == MemberPhase::Absent && !self.start_sent)) {
             return;
         }
@@ -269,18 +276,18 @@
         };
     }
 
-    /// Returns what is known about whether any member ran.
+    /// Returns whether any member may have run.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
-        let fresh = !self.recovered && !self.start_sent;
-        if fresh || self.all(MemberPhase::never_started) {
+        let no_start_sent = !self.recovered && !self.start_sent;
+        if no_start_sent || self.all(MemberPhase::never_started) {
             Verdict::NotRun
         } else {
             Verdict::MayHaveRun
         }
     }
 
-    /// Returns what the member's worker should be told next, if anything.
+    /// Returns the next order for a member's worker, if there is one.
     #[must_use]
     pub fn next_order(&self, member: u16) -> Option<MemberOrder> {
         let phase = &self.members.get(usize::from(member))?.phase;
--- a/crates/stairstall-core/src/placement/run/phase.rs
+++ b/crates/stairstall-core/src/placement/run/phase.rs
@@ -1,40 +1,44 @@
-//! What a run and its members can be.
+//! Phases of a run and its members, and how a run ends.
+//!
+//! `explain` prints a [`RunPhase`] with `{:?}`, so the names of its variants and fields, and of
+//! those inside it, are part of the output.
 
 use crate::{Timestamp, Verdict, WorkerId};
 
-/// Where a member stands, as last reported by its worker.
+/// Phase of a member, as last reported by its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum MemberPhase {
-    /// Nothing was heard yet.
+    /// No report yet.
     Unknown,
-    /// The worker knows nothing of it.
+    /// The worker does not have the member.
     Absent,
-    /// Resources are set aside.
+    /// The resources of the member are reserved.
     Reserved,
-    /// The worker had no room.
+    /// The worker had too little free capacity.
     Refused,
-    /// It runs under a short lease.
+    /// The member runs under a short lease.
     Started,
-    /// It runs, and the worker knows that all members do.
+    /// The member runs, and its worker was told that all members do.
     Confirmed,
-    /// Its progress is saved.
+    /// The member runs, and its progress is saved.
     Checkpointed,
-    /// It was stopped; whether it ever started is known.
+    /// The member was stopped, or its lease expired.
     Stopped {
-        /// Whether it ever started.
+        /// Whether the member ever started.
         started: bool,
     },
-    /// It ended by itself.
+    /// The member ended by itself.
     Finished {
-        /// Whether it did what it should.
+        /// Whether the member succeeded.
         success: bool,
     },
-    /// Its worker is lost, and its lease surely ended.
+    /// The worker was lost or restarted, so the member has ended: its lease has certainly
+    /// expired, or its process is gone.
     Lost,
 }
 
 impl MemberPhase {
-    /// Tells whether the member holds nothing any more and never will.
+    /// Tells whether the member has released its resources for good.
     #[must_use]
     pub const fn is_over(&self) -> bool {
         matches!(
@@ -43,13 +47,13 @@
         )
     }
 
-    /// Tells whether the member's worker said that it runs.
+    /// Tells whether the member runs, by the last report.
     #[must_use]
     pub const fn is_running(&self) -> bool {
         matches!(self, Self::Started | Self::Confirmed | Self::Checkpointed)
     }
 
-    /// Tells whether the member surely never started.
+    /// Tells whether the member has certainly never started.
     pub(super) const fn never_started(&self) -> bool {
         matches!(
             self,
@@ -61,18 +65,18 @@
 /// One member of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Its worker.
+    /// Worker of the member.
     pub worker: WorkerId,
-    /// The worker's incarnation that was given the member.
+    /// Incarnation of the worker that the member was assigned to.
     pub incarnation: u64,
     /// Accelerators, one bit each.
     pub mask: u64,
-    /// Where it stands.
+    /// Last reported phase.
     pub phase: MemberPhase,
 }
 
 impl Member {
-    /// Creates a member that nothing was heard of.
+    /// Creates a member without a report.
     #[must_use]
     pub const fn new(worker: WorkerId, incarnation: u64, mask: u64) -> Self {
         Self {
@@ -89,38 +93,38 @@
 pub enum StopReason {
     /// Not all members could be reserved or started.
     NotStarted,
-    /// A member was lost or stopped by itself.
+    /// A member was lost, or it was stopped without an order.
     MemberLost,
     /// A member failed.
     MemberFailed,
-    /// It gives way to other work.
+    /// The run is preempted.
     GaveWay,
-    /// Its caller wants it ended.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RunPhase {
-    /// The placement is being recorded, and earlier work cleared away.
+    /// The placement is being stored, and work on its capacity is being stopped.
     Preparing,
-    /// A new holder waits to hear of every member.
+    /// A new holder waits for a report about every member.
     Recovering,
     /// Members are being reserved.
     Reserving {
-        /// When it is given up.
+        /// When the attempt is abandoned.
         until: Timestamp,
     },
     /// Members are being started.
     Starting {
-        /// When it is given up.
+        /// When the attempt is abandoned.
         until: Timestamp,
     },
     /// All members run.
     Running,
     /// Progress is being saved before the stop.
     Checkpointing {
-        /// When the stop follows in any case.
+        /// When the run is stopped, whether its progress is saved or not.
         until: Timestamp,
     },
     /// Members are being stopped.
@@ -128,9 +132,9 @@
         /// Why.
         reason: StopReason,
     },
-    /// It is over.
+    /// The run has ended.
     Over {
-        /// How.
+        /// How it ended.
         ending: RunOutcome,
     },
 }
@@ -140,10 +144,10 @@
 pub enum RunOutcome {
     /// All members ended by themselves.
     Finished {
-        /// Whether all did what they should.
+        /// Whether all members succeeded.
         success: bool,
     },
-    /// It was stopped.
+    /// The run was stopped.
     Stopped {
         /// Why.
         reason: StopReason,
@@ -152,17 +156,17 @@
     },
 }
 
-/// What a member's worker should be told next.
+/// Next order for a member's worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberOrder {
-    /// Reserve it.
+    /// Reserve the resources of the member.
     Reserve,
-    /// Start it under a short lease.
+    /// Start the member under a short lease.
     Start,
-    /// Confirm it.
+    /// Confirm that all members run.
     Confirm,
-    /// Save its progress.
+    /// Save the progress of the member.
     Checkpoint,
-    /// Stop it.
+    /// Stop the member, or release its reservation.
     Stop,
 }
--- a/crates/stairstall-core/src/placement/scheduler.rs
+++ b/crates/stairstall-core/src/placement/scheduler.rs
@@ -28,11 +28,14 @@
 use entry::{Entry, Stage};
 pub use summary::{Fragmentation, Summary};
 
-/// Decides for one zone and one tenure which jobs start, wait and give way.
+/// Decides which jobs of one zone start, wait or are preempted, for one tenure of the holder.
 ///
-/// Feed it records from the store, the workers' answers and the time; carry out
-/// the [`Effect`]s that [`Scheduler::tick`] returns and send the requests that
-/// [`Scheduler::workers_to_sync`] and [`Scheduler::next_sync`] ask for.
+/// The scheduler does no input or output. Its caller
+///
+/// - passes in job records, results of writes, replies of workers and the time,
+/// - carries out the [`Effect`]s that [`Scheduler::tick`] returns, and
+/// - sends a request from [`Scheduler::next_sync`] to each worker that
+///   [`Scheduler::workers_to_sync`] returns.
 #[derive(Debug, Clone)]
 pub struct Scheduler {
     me: VmId,
@@ -44,31 +47,37 @@
     homes: HomeBlocks,
     jobs: BTreeMap<JobKey, Entry>,
     contacts: BTreeMap<WorkerId, Contact>,
-    uses: BTreeMap<AllocationOwner, JobKey>,
-    next_use: u64,
-    next_serial: u32,
-    next_write: u64,
+    /// Jobs by the owner id of their current run.
+    owners: BTreeMap<AllocationOwner, JobKey>,
+    last_owner: u64,
+    last_serial: u32,
+    last_write: u64,
     effects: Vec<Effect>,
+    /// Whether the next tick considers all waiting jobs again.
     replan: bool,
+    /// Whether the next tick updates the home blocks.
     homes_stale: bool,
-    knows_store: bool,
-    adopts: bool,
-    written_homes: Vec<HomeBlock>,
+    /// Whether all records of the store were read.
+    store_read: bool,
+    /// Whether running tasks without a record are adopted.
+    adopts_tasks: bool,
+    /// Home blocks as last passed on to be stored.
+    stored_homes: Vec<HomeBlock>,
 }
 
 impl Scheduler {
-    /// Lease of confirmed tasks; each sync renews it.
+    /// Lease of confirmed tasks, renewed by each sync.
     pub const TASK_LEASE: Duration = Duration::from_secs(20);
-    /// Shortest time between two syncs of a worker that has nothing to do.
+    /// Minimum time between two syncs of a worker that has no orders.
     pub const MIN_SYNC_INTERVAL: Duration = Duration::from_millis(500);
-    /// What each worker adds to that time, so that a holder's traffic stays bounded.
+    /// Time between two syncs for each worker of the zone. It bounds the rate of syncs of a holder.
     pub const SYNC_INTERVAL_PER_WORKER: Duration = Duration::from_millis(50);
-    /// Longest time between two syncs, whatever the number of workers.
+    /// Maximum time between two syncs, whatever the number of workers.
     pub const MAX_SYNC_INTERVAL: Duration = Duration::from_secs(6);
-    /// Time between two syncs while orders are being carried out.
+    /// Time between two syncs of a worker that has orders.
     pub const BUSY_SYNC_INTERVAL: Duration = Duration::from_millis(100);
 
-    /// Creates the scheduler of one tenure, which `token` fences.
+    /// Creates the scheduler of one tenure with the fencing token `token`.
     #[must_use]
     pub fn new(me: VmId, zone: ZoneId, token: u64, policy: Policy) -> Self {
         Self {
@@ -81,26 +90,26 @@
             homes: HomeBlocks::new(),
             jobs: BTreeMap::new(),
             contacts: BTreeMap::new(),
-            uses: BTreeMap::new(),
-            next_use: 0,
-            next_serial: 0,
-            next_write: 0,
+            owners: BTreeMap::new(),
+            last_owner: 0,
+            last_serial: 0,
+            last_write: 0,
             effects: Vec::new(),
             replan: true,
             homes_stale: true,
-            knows_store: false,
-            adopts: false,
-            written_homes: Vec::new(),
+            store_read: false,
+            adopts_tasks: false,
+            stored_homes: Vec::new(),
         }
     }
 
-    /// Returns the fencing token.
+    /// Returns the fencing token of the tenure.
     #[must_use]
     pub const fn token(&self) -> u64 {
         self.token
     }
 
-    /// Takes a newer configuration.
+    /// Sets the configuration, unless it is older than the current one.
     pub fn set_configuration(&mut self, configuration: Arc<Configuration>) {
         if configuration.revision <= self.configuration.revision {
             return;
@@ -110,7 +119,7 @@
         self.replan = true;
     }
 
-    /// Takes a worker from the platform's list.
+    /// Adds or updates a worker from the platform's list.
     pub fn add_listed_worker(
         &mut self,
         id: WorkerId,
@@ -123,11 +132,11 @@
             .contacts
             .entry(id)
             .or_insert_with(|| Contact::new(rack.clone(), position, now));
-        contact.list(rack, position, state);
+        contact.update_listing(rack, position, state);
         self.replan = true;
     }
 
-    /// Drops workers that the platform no longer lists and that hold nothing.
+    /// Removes workers that the platform no longer lists and that have neither tasks nor runs.
     pub fn remove_unlisted_workers(&mut self, listed: &BTreeSet<WorkerId>) {
         let gone: Vec<WorkerId> = self
             .contacts
@@ -142,16 +151,16 @@
         }
     }
 
-    /// Says whether `guarantees` could all be kept in this zone.
+    /// Checks whether all `guarantees` could get a home block in this zone.
     ///
     /// # Errors
     ///
-    /// Names the first guarantee that finds no home block.
+    /// Returns the first guarantee for which no home block is found.
     pub fn check_guarantees(&self, guarantees: &[Guarantee]) -> Result<(), UnplaceableGuarantee> {
         self.homes.check(guarantees, &self.inventory)
     }
 
-    /// Takes a job as the store has it.
+    /// Applies a job record of the store.
     pub fn handle_record(&mut self, record: &JobRecord, now: Timestamp) {
         if record.zone != self.zone {
             return;
@@ -177,13 +186,13 @@
         self.replan = true;
     }
 
-    /// Says that every record of the store was taken: tasks of no record are strays.
+    /// Marks all records of the store as read: from now on, tasks without a record are unclaimed.
     pub const fn mark_store_read(&mut self) {
-        self.knows_store = true;
+        self.store_read = true;
     }
 
-    /// Takes the store's answer to the write `id`; answers to earlier writes change nothing.
-    pub fn handle_write_result(&mut self, job: &JobKey, id: WriteId, answer: WriteResult) {
+    /// Applies the result of the write `id`. Results of earlier writes are ignored.
+    pub fn handle_write_result(&mut self, job: &JobKey, id: WriteId, result: WriteResult) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
@@ -191,11 +200,11 @@
             return;
         }
         self.replan = true;
-        let done = answer == WriteResult::Done;
+        let done = result == WriteResult::Done;
         if done {
             entry.pending_write = None;
         }
-        if answer == WriteResult::Superseded {
+        if result == WriteResult::Superseded {
             entry.superseded = true;
             return;
         }
@@ -212,17 +221,20 @@
         }
     }
 
-    /// Returns the workers that want a sync now.
+    /// Returns the workers whose next sync should be sent now.
     #[must_use]
     pub fn workers_to_sync(&self, now: Timestamp) -> Vec<WorkerId> {
         self.contacts
             .iter()
-            .filter(|(_, c)| c.is_due(now))
+            .filter(|(_, c)| c.needs_sync(now))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Returns the next request to a worker; exactly one answer or failure must follow.
+    /// Returns the next request to a worker.
+    ///
+    /// Exactly one call of [`Scheduler::handle_sync_reply`] or
+    /// [`Scheduler::handle_sync_failure`] must follow.
     #[must_use]
     pub fn next_sync(&mut self, worker: &WorkerId, now: Timestamp) -> Option<SyncRequest> {
         let commands = self.commands_for(worker);
@@ -230,43 +242,43 @@
         Some(contact.request(&self.me, self.token, commands, now))
     }
 
-    /// Takes a worker's answer.
+    /// Applies the reply of a worker to a sync.
     pub fn handle_sync_reply(&mut self, worker: &WorkerId, reply: &SyncReply, now: Timestamp) {
         let interval = self.sync_interval();
         let Some(contact) = self.contacts.get_mut(worker) else {
             return;
         };
-        let news = contact.take_reply(reply, now, interval);
+        let changes = contact.handle_reply(reply, now, interval);
         let info = WorkerInfo {
             id: worker.clone(),
             rack: contact.rack.clone(),
             position: contact.position,
             capacity: reply.capacity,
         };
-        let usable = contact.takes_work();
-        if news.first || news.restarted || self.inventory.is_usable(worker) != usable {
+        let usable = contact.accepts_work();
+        if changes.first || changes.restarted || self.inventory.is_usable(worker) != usable {
             self.inventory.put_worker(info);
             self.inventory.set_usable(worker, usable);
             self.homes_stale = true;
             self.replan = true;
         }
-        if news.first || news.restarted {
-            self.settle_suspicion(worker, reply.incarnation, news.restarted, now);
+        if changes.first || changes.restarted {
+            self.attribute_crashes(worker, reply.incarnation, changes.restarted, now);
         }
-        if news.first || news.restarted {
-            self.lose_members(worker, Some(reply.incarnation));
+        if changes.first || changes.restarted {
+            self.mark_members_lost(worker, Some(reply.incarnation));
         }
-        self.apply_reports(worker, reply, &news, now);
-        self.mark_wishes(worker);
+        self.apply_reports(worker, reply, &changes, now);
+        self.expedite_sync(worker);
     }
 
-    /// Notes that a worker did not answer.
+    /// Marks a worker as unresponsive: it gets no new work until it answers a sync.
     pub fn handle_sync_failure(&mut self, worker: &WorkerId, now: Timestamp) {
         let interval = self.sync_interval();
         let Some(contact) = self.contacts.get_mut(worker) else {
             return;
         };
-        contact.fail(now, interval);
+        contact.handle_failure(now, interval);
         if self.inventory.is_usable(worker) {
             self.inventory.set_usable(worker, false);
             self.homes_stale = true;
@@ -274,12 +286,13 @@
         }
     }
 
-    /// Moves on: loses silent workers, advances runs and places waiting jobs.
+    /// Marks silent workers as lost, advances the runs, places waiting jobs, and returns the
+    /// effects to carry out.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Effect> {
-        self.lose_silent_workers(now);
+        self.mark_silent_workers_lost(now);
         self.advance_runs(now);
         if std::mem::take(&mut self.homes_stale) {
-            self.keep_homes();
+            self.update_homes();
         }
         if std::mem::take(&mut self.replan) {
             self.plan(now);
@@ -288,7 +301,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Makes the next tick look at every waiting job again.
+    /// Makes the next tick consider all waiting jobs again.
     pub const fn request_replan(&mut self) {
         self.replan = true;
     }
@@ -299,18 +312,20 @@
         interval.clamp(Self::MIN_SYNC_INTERVAL, Self::MAX_SYNC_INTERVAL)
     }
 
-    fn keep_homes(&mut self) {
+    /// Updates the home blocks, stores them if they changed, and raises alarms about guarantees
+    /// that lost their home block or have one again.
+    fn update_homes(&mut self) {
         let guarantees = self.configuration.guarantees_in(&self.zone);
         let before = self.homes.broken().clone();
         let missing = self.homes.update(&guarantees, &mut self.inventory);
-        let kept: Vec<HomeBlock> = self.homes.iter().cloned().collect();
-        if kept != self.written_homes {
-            self.effects.push(Effect::StoreHomes(kept.clone()));
-            self.written_homes = kept;
+        let homes: Vec<HomeBlock> = self.homes.iter().cloned().collect();
+        if homes != self.stored_homes {
+            self.effects.push(Effect::StoreHomes(homes.clone()));
+            self.stored_homes = homes;
         }
         for id in missing.iter().filter(|id| !before.contains(*id)) {
             self.effects.push(Effect::Alarm(format!(
-                "guarantee {id} can't be kept now: no home block is left for it"
+                "guarantee {id} can't be kept now: no free block is left for it"
             )));
         }
         for id in before.iter().filter(|id| !missing.contains(id)) {
--- a/crates/stairstall-core/src/placement/scheduler/contact.rs
+++ b/crates/stairstall-core/src/placement/scheduler/contact.rs
@@ -8,38 +8,49 @@
 };
 use crate::{Lease, RackId, Timestamp, VmId};
 
-/// What the holder knows of one worker process.
+/// What the holder knows of one worker, and the state of the syncs with it.
 #[derive(Debug, Clone)]
 pub(super) struct Contact {
     pub(super) rack: RackId,
     pub(super) position: u16,
     pub(super) incarnation: Option<u64>,
+    /// Tasks as last reported.
     pub(super) tasks: BTreeMap<TaskId, TaskReport>,
-    /// Jobs with a run that has a member here.
+    /// Jobs whose run has a member on the worker.
     pub(super) runs: BTreeSet<JobKey>,
-    /// Jobs that had started here when all leases ended: the worker may have crashed under them.
+    /// Jobs that had started on the worker when all its leases expired. One of them may have
+    /// crashed it.
     pub(super) lost_jobs: BTreeSet<JobKey>,
+    /// State of the VM, as listed by the platform.
     state: VmState,
+    /// Version of the last reply.
     since: u64,
+    /// Number of the last request.
     sequence: u64,
-    /// When the last request left that may have renewed leases.
+    /// When the last request was sent that may have renewed leases.
     renewed_at: Timestamp,
+    /// Whether the worker answered the last sync.
     healthy: bool,
+    /// Whether a request was sent that has neither been answered nor failed.
     in_flight: bool,
-    due_at: Timestamp,
+    /// When the next sync should be sent.
+    next_sync_at: Timestamp,
     sent_at: Timestamp,
+    /// Tasks that the last request had orders for.
     commanded: Vec<TaskId>,
+    /// Whether all leases on the worker have expired since it last answered.
     lost: bool,
 }
 
-/// What a reply brought, beside the reports in it.
+/// What a reply tells of the worker, beside the task reports in it.
 #[derive(Debug, Clone, Default)]
-pub(super) struct News {
-    /// The first answer of this tenure; it lists every task.
+pub(super) struct ReplyChanges {
+    /// Whether this is the first reply of the tenure or since the worker was lost. Such a reply
+    /// lists every task.
     pub(super) first: bool,
-    /// Another process answers than before.
+    /// Whether the worker has restarted since the last reply.
     pub(super) restarted: bool,
-    /// Tasks that orders were sent for.
+    /// Tasks that the request had orders for.
     pub(super) commanded: Vec<TaskId>,
 }
 
@@ -58,39 +69,43 @@
             renewed_at: now,
             healthy: true,
             in_flight: false,
-            due_at: now,
+            next_sync_at: now,
             sent_at: now,
             commanded: Vec::new(),
             lost: false,
         }
     }
 
-    pub(super) fn list(&mut self, rack: RackId, position: u16, state: VmState) {
+    /// Updates what the platform lists of the worker.
+    pub(super) fn update_listing(&mut self, rack: RackId, position: u16, state: VmState) {
         self.rack = rack;
         self.position = position;
         self.state = state;
     }
 
+    /// Tells whether the worker has neither tasks nor runs, and no sync is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.tasks.is_empty() && self.runs.is_empty() && !self.in_flight
     }
 
-    pub(super) fn takes_work(&self) -> bool {
+    /// Tells whether the worker may get new work.
+    pub(super) fn accepts_work(&self) -> bool {
         self.healthy && self.incarnation.is_some() && self.state == VmState::Live
     }
 
-    pub(super) fn is_due(&self, now: Timestamp) -> bool {
-        !self.in_flight && now >= self.due_at
+    /// Tells whether the next sync should be sent now.
+    pub(super) fn needs_sync(&self, now: Timestamp) -> bool {
+        !self.in_flight && now >= self.next_sync_at
     }
 
-    /// Asks for a sync soon: there are orders.
-    pub(super) fn hasten(&mut self) {
+    /// Brings the next sync forward because there are orders for the worker.
+    pub(super) fn expedite_sync(&mut self) {
         let soon = self.sent_at + Scheduler::BUSY_SYNC_INTERVAL;
-        self.due_at = self.due_at.min(soon);
+        self.next_sync_at = self.next_sync_at.min(soon);
     }
 
-    /// Makes the next request. While the worker does not answer nothing is renewed,
-    /// so that its leases surely end even if only its answers are lost.
+    /// Creates the next request. While the worker does not answer, requests renew no lease, so
+    /// that its leases certainly expire even if only its answers are lost.
     pub(super) fn request(
         &mut self,
         me: &VmId,
@@ -118,12 +133,13 @@
         }
     }
 
-    pub(super) fn take_reply(
+    /// Applies a reply and schedules the next sync.
+    pub(super) fn handle_reply(
         &mut self,
         reply: &SyncReply,
         now: Timestamp,
         interval: Duration,
-    ) -> News {
+    ) -> ReplyChanges {
         let restarted = self
             .incarnation
             .is_some_and(|known| known != reply.incarnation);
@@ -132,31 +148,33 @@
             self.tasks.clear();
         }
         self.incarnation = Some(reply.incarnation);
-        // After a restart the versions start anew, so the next reply must list everything.
+        // Versions start again from zero after a restart, so the next reply must list every task.
         self.since = if restarted { 0 } else { reply.version };
         self.healthy = true;
         self.lost = false;
         self.in_flight = false;
-        self.due_at = now + interval;
+        self.next_sync_at = now + interval;
         for report in &reply.tasks {
             self.tasks.insert(report.task.clone(), report.clone());
         }
-        News {
+        ReplyChanges {
             first,
             restarted,
             commanded: std::mem::take(&mut self.commanded),
         }
     }
 
-    pub(super) fn fail(&mut self, now: Timestamp, interval: Duration) {
+    /// Marks the worker as unresponsive and schedules the next sync.
+    pub(super) fn handle_failure(&mut self, now: Timestamp, interval: Duration) {
         self.healthy = false;
         self.in_flight = false;
-        self.due_at = now + interval;
+        self.next_sync_at = now + interval;
     }
 
-    /// Tells whether every lease on the worker surely ended; true once for each silence.
+    /// Marks the worker as lost if all leases on it have certainly expired. Returns true once for
+    /// each silence.
     pub(super) fn became_lost(&mut self, now: Timestamp) -> bool {
-        if self.healthy || self.lost || self.renewed_surely_until() > now {
+        if self.healthy || self.lost || self.leases_certainly_expired_at() > now {
             return false;
         }
         self.lost = true;
@@ -164,14 +182,17 @@
         true
     }
 
-    fn renewed_surely_until(&self) -> Timestamp {
-        // The last renewing request may have been answered as late as its time-out.
+    /// Returns when all leases on the worker have certainly expired.
+    fn leases_certainly_expired_at(&self) -> Timestamp {
+        // The worker may have renewed its leases as late as the timeout of the last renewing
+        // request.
         let latest = self.renewed_at + SYNC_TIMEOUT;
         Lease::new(latest, Scheduler::TASK_LEASE).surely_ended_at(latest)
     }
 
-    /// Returns the orders for tasks that no current run speaks for.
-    pub(super) fn order_for_stray(report: &TaskReport, may_forget: bool) -> Option<Command> {
+    /// Returns the order for a task that no current run accounts for. `may_forget` tells whether
+    /// the worker may drop the record of the task if it is over.
+    pub(super) fn order_for_unclaimed(report: &TaskReport, may_forget: bool) -> Option<Command> {
         let order = match report.phase {
             TaskPhase::Refused | TaskPhase::Stopped { .. } | TaskPhase::Finished { .. } => {
                 may_forget.then_some(Order::Forget)?
@@ -185,5 +206,5 @@
     }
 }
 
-/// How long a worker may take to answer; the daemon gives a request up after that.
+/// Timeout of a sync request. The daemon treats a later answer as a failure.
 pub const SYNC_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/stairstall-core/src/placement/scheduler/crashes.rs
+++ b/crates/stairstall-core/src/placement/scheduler/crashes.rs
@@ -1,8 +1,8 @@
-//! Which jobs workers have crashed under, and when such a job is given up.
+//! Crash attribution: which jobs a worker crash is counted against, and when such a job is ended.
 //!
-//! A worker that crashes reports no end: only the loss itself tells of work that crashes its workers.
-//! A worker that is silent until its leases have ended may be cut off only; it has crashed if another
-//! process answers in its place.
+//! A crashed worker does not report how its tasks ended, so jobs that crash their workers are known
+//! by the loss of the worker alone. A worker that is silent until its leases have expired may only
+//! be unreachable. It counts as crashed if it answers again with another incarnation.
 
 use std::collections::BTreeSet;
 
@@ -12,20 +12,22 @@
 use crate::{Timestamp, Verdict, WorkerId};
 
 impl Scheduler {
-    /// Workers that may crash under a job before it is given up: two crashes may be chance.
+    /// Number of worker crashes after which a job is ended. Two crashes may be coincidence.
     pub const MAX_CRASHES: u32 = 3;
 
-    /// Notes the jobs that may have crashed a worker whose leases have all ended.
-    pub(super) fn suspect_jobs_on(&mut self, worker: &WorkerId) {
+    /// Records the jobs that may have crashed a worker whose leases have all expired.
+    pub(super) fn record_suspects(&mut self, worker: &WorkerId) {
         let jobs = self.jobs_started_on(worker);
         if let Some(contact) = self.contacts.get_mut(worker) {
             contact.lost_jobs.extend(jobs);
         }
     }
 
-    /// Takes word that a process answers as a worker: the same one as before did not crash, another one
-    /// tells that the one before it did.
-    pub(super) fn settle_suspicion(
+    /// Counts a crash against the jobs of an earlier incarnation if the worker has restarted.
+    ///
+    /// `incarnation` is the one that answers now. If it is the same as before, the worker did not
+    /// crash and the jobs recorded for it are cleared of suspicion.
+    pub(super) fn attribute_crashes(
         &mut self,
         worker: &WorkerId,
         incarnation: u64,
@@ -40,26 +42,26 @@
             jobs.clear();
         }
         let mut started = self.jobs_started_on(worker);
-        started.retain(|key| self.is_on_other(key, worker, incarnation));
+        started.retain(|key| self.is_on_other_incarnation(key, worker, incarnation));
         jobs.extend(started);
         for key in jobs {
             self.count_crash(&key, now);
         }
     }
 
-    /// Counts a crash against a job, and gives it up if it waits and that was one too many.
+    /// Counts a crash against a job. Ends the job if it waits and has reached the limit.
     fn count_crash(&mut self, key: &JobKey, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
         };
         entry.crashes += 1;
         if matches!(entry.stage, Stage::Waiting) && entry.crashes >= Self::MAX_CRASHES {
-            self.give_up_crashing(key, now);
+            self.end_after_crashes(key, now);
         }
     }
 
-    /// Ends a job that waits: each further start would take another worker down.
-    pub(super) fn give_up_crashing(&mut self, key: &JobKey, now: Timestamp) {
+    /// Ends a waiting job that has reached the limit, because it might crash another worker.
+    pub(super) fn end_after_crashes(&mut self, key: &JobKey, now: Timestamp) {
         let Some(entry) = self.jobs.get(key) else {
             return;
         };
@@ -71,8 +73,8 @@
         self.close(key, state, now, &reason);
     }
 
-    /// Tells whether a job's run has a member on another incarnation of a worker.
-    fn is_on_other(&self, key: &JobKey, worker: &WorkerId, incarnation: u64) -> bool {
+    /// Tells whether the run of a job has a member on another incarnation of the worker.
+    fn is_on_other_incarnation(&self, key: &JobKey, worker: &WorkerId, incarnation: u64) -> bool {
         let Some(Stage::Running(running)) = self.jobs.get(key).map(|entry| &entry.stage) else {
             return false;
         };
@@ -80,18 +82,19 @@
         members.any(|member| member.worker == *worker && member.incarnation != incarnation)
     }
 
+    /// Returns the jobs with a run on the worker that may have started.
     fn jobs_started_on(&self, worker: &WorkerId) -> BTreeSet<JobKey> {
         let Some(contact) = self.contacts.get(worker) else {
             return BTreeSet::new();
         };
-        let has_started = |key: &&JobKey| self.jobs.get(*key).is_some_and(Entry::may_run);
+        let has_started = |key: &&JobKey| self.jobs.get(*key).is_some_and(Entry::may_have_started);
         contact.runs.iter().filter(has_started).cloned().collect()
     }
 }
 
 impl Entry {
-    /// Tells whether its present run may have started.
-    fn may_run(&self) -> bool {
+    /// Tells whether the current run of the job may have started.
+    fn may_have_started(&self) -> bool {
         match &self.stage {
             Stage::Running(running) => running.run.verdict() == Verdict::MayHaveRun,
             Stage::Waiting | Stage::Closing => false,
--- a/crates/stairstall-core/src/placement/scheduler/effect.rs
+++ b/crates/stairstall-core/src/placement/scheduler/effect.rs
@@ -2,40 +2,41 @@
 
 use crate::placement::{HomeBlock, JobKey, JobState};
 
-/// Names a write of one tenure, so that answers are told apart.
+/// Id of a write to a job record, unique within a tenure. It matches results to writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteId(pub u64);
 
-/// What became of a write to a job's record.
+/// Result of a write to a job record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It stands in the store.
+    /// The record was written.
     Done,
-    /// The store can't be reached now; the write is tried again.
+    /// The store can't be reached at present; the write is retried.
     Unreachable,
-    /// A holder with a higher token wrote the record: this one must leave the job alone.
+    /// A holder with a higher fencing token wrote the record. This one must not act on the job any
+    /// more.
     Superseded,
 }
 
-/// What kind of decision was made.
+/// Kind of a placement decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DecisionKind {
-    /// A job was given a block.
+    /// A job was assigned a block.
     Placed,
     /// A job waits.
     Waiting,
-    /// A job gives way to another.
+    /// A job is preempted by another.
     Preempted,
-    /// A job is stopped, and tried again where it may be.
+    /// The run of a job was stopped, and the job waits to be retried.
     Stopped,
-    /// A job is over.
+    /// A job has ended.
     Ended,
-    /// A job of an earlier tenure was taken over.
+    /// The run of a job was taken over from an earlier tenure.
     TakenOver,
 }
 
 impl DecisionKind {
-    /// Returns the word used in logs.
+    /// Returns the name of the kind, as used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -58,36 +59,38 @@
 /// A placement decision, for the log and for `explain`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// About which job.
+    /// The job that the decision is about.
     pub job: JobKey,
-    /// What kind.
+    /// Kind of the decision.
     pub kind: DecisionKind,
-    /// What was chosen, why, and what was passed over.
+    /// What was decided and why.
     pub text: String,
 }
 
-/// Something for the daemon to carry out.
+/// An action for the daemon to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Write a job's new state to the store, in place of earlier writes, and answer.
+    /// Write the new state of a job to the store and pass the result to
+    /// [`Scheduler::handle_write_result`](super::Scheduler::handle_write_result). The write
+    /// replaces earlier ones of the same job.
     Write {
-        /// Names the write.
+        /// Id of the write.
         id: WriteId,
         /// The job.
         job: JobKey,
-        /// Its new state.
+        /// New state of the job.
         state: JobState,
-        /// Work that its last checkpoint holds, in milliseconds.
+        /// Work saved by the last checkpoint, in milliseconds.
         saved_ms: u64,
         /// Whether an attempt before this state may have run.
         started: bool,
-        /// Workers that crashed under it.
+        /// Number of worker crashes counted against the job.
         crashes: u32,
     },
-    /// Keep the home blocks for the next holder, so that they stay where they are.
+    /// Store the home blocks, so that they stay in place when another holder takes over.
     StoreHomes(Vec<HomeBlock>),
-    /// Log a decision.
+    /// Log and count a decision.
     LogDecision(Decision),
-    /// Tell operators.
+    /// Alert the operators.
     Alarm(String),
 }
--- a/crates/stairstall-core/src/placement/scheduler/entry.rs
+++ b/crates/stairstall-core/src/placement/scheduler/entry.rs
@@ -6,55 +6,60 @@
 use crate::Timestamp;
 use crate::placement::{AllocationOwner, JobRecord, JobSpec, Run};
 
-/// How many decisions about one job are kept for `explain`.
-const KEPT_DECISIONS: usize = 12;
+/// Number of decisions about one job that are available to `explain`.
+const MAX_DECISIONS: usize = 12;
 
-/// A job that is not over yet.
+/// A job whose end is not stored yet.
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
     pub(super) spec: Arc<JobSpec>,
     pub(super) accepted_ms: u64,
-    pub(super) waits_since: Timestamp,
+    pub(super) waiting_since: Timestamp,
+    /// When the job is eligible again after an attempt that did not start.
     pub(super) not_before: Timestamp,
     pub(super) saved_ms: u64,
     pub(super) cancel: bool,
-    /// Whether the store's record says that the job is placed.
+    /// Whether the stored record says that the job is placed.
     pub(super) recorded: bool,
-    /// Whether a later holder wrote the record.
+    /// Whether a holder with a higher fencing token wrote the record.
     pub(super) superseded: bool,
-    /// Whether it is known from its workers only.
+    /// Whether the job is known from the reports of its workers only.
     pub(super) adopted: bool,
-    pub(super) failures: u32,
-    /// Workers that crashed under it.
+    /// Number of attempts that did not start.
+    pub(super) failed_starts: u32,
+    /// Number of worker crashes counted against the job.
     pub(super) crashes: u32,
     /// Whether any attempt may have run.
     pub(super) started: bool,
+    /// The last write, until it is done.
     pub(super) pending_write: Option<WriteId>,
     pub(super) stage: Stage,
+    /// The last decisions, oldest first.
     pub(super) history: VecDeque<(Timestamp, String)>,
 }
 
-/// Where a job stands in this tenure.
+/// Stage of a job in this tenure.
 #[derive(Debug, Clone)]
 pub(super) enum Stage {
-    /// It waits for a block.
+    /// The job waits for a block.
     Waiting,
-    /// A run of it is under way.
+    /// A run of the job is in progress.
     Running(Running),
-    /// It is over; the store has yet to be told.
+    /// The job has ended; its end is not stored yet.
     Closing,
 }
 
-/// A run and what it occupies.
+/// A run and its allocations.
 #[derive(Debug, Clone)]
 pub(super) struct Running {
     pub(super) run: Run,
+    /// Owner id of the allocations.
     pub(super) owner: AllocationOwner,
-    /// Members whose places are free again, by index.
+    /// Whether the allocation of each member was released, by member index.
     pub(super) released: Vec<bool>,
-    /// What the first member answered.
+    /// Output of the first member.
     pub(super) output: String,
-    /// Work saved by each member's last checkpoint, in milliseconds.
+    /// Work saved by the last checkpoint of each member, in milliseconds.
     pub(super) saved: Vec<u64>,
 }
 
@@ -76,14 +81,14 @@
         Self {
             spec: Arc::new(record.spec.clone()),
             accepted_ms: record.accepted_ms,
-            waits_since: now,
+            waiting_since: now,
             not_before: now,
             saved_ms: record.saved_ms,
             cancel: record.cancel,
             recorded: false,
             superseded: false,
             adopted: false,
-            failures: 0,
+            failed_starts: 0,
             crashes: record.crashes,
             started: record.started,
             pending_write: None,
@@ -96,29 +101,31 @@
         matches!(self.stage, Stage::Running(_))
     }
 
-    /// Work that is left, in milliseconds.
-    pub(super) fn left(&self) -> Duration {
+    /// Returns the expected run time that is left, at least one millisecond.
+    pub(super) fn remaining_work(&self) -> Duration {
         Duration::from_millis(self.spec.expected_ms.saturating_sub(self.saved_ms).max(1))
     }
 
-    /// Whether the job can be stopped within the grace and run again: not-repeatable
-    /// work never can, since a checkpoint that fails would leave no way to keep both promises.
-    pub(super) fn gives_way(&self) -> bool {
+    /// Tells whether the job can be stopped within the grace period and run again.
+    ///
+    /// A job that is not repeatable is never preemptible. If its checkpoint failed, it could
+    /// not both be stopped within the grace period and run at most once to its end.
+    pub(super) fn is_preemptible(&self) -> bool {
         self.spec.repeatable
     }
 
-    /// Whether giving way costs little: its progress can be saved within the grace.
+    /// Tells whether preemption costs little: the progress can be saved within the grace period.
     pub(super) fn is_movable(&self) -> bool {
         let in_grace = |ms: u64| Duration::from_millis(ms) <= Run::PREEMPTION_GRACE;
-        self.gives_way() && self.spec.checkpoint_ms.is_some_and(in_grace)
+        self.is_preemptible() && self.spec.checkpoint_ms.is_some_and(in_grace)
     }
 
-    /// Keeps a line for `explain`; false where it says nothing new.
-    pub(super) fn note(&mut self, now: Timestamp, text: &str) -> bool {
+    /// Records a decision for `explain`. Returns false if it is the same as the last one.
+    pub(super) fn record_decision(&mut self, now: Timestamp, text: &str) -> bool {
         if self.history.back().is_some_and(|(_, last)| last == text) {
             return false;
         }
-        if self.history.len() >= KEPT_DECISIONS {
+        if self.history.len() >= MAX_DECISIONS {
             self.history.pop_front();
         }
         self.history.push_back((now, text.to_owned()));
--- a/crates/stairstall-core/src/placement/scheduler/orders.rs
+++ b/crates/stairstall-core/src/placement/scheduler/orders.rs
@@ -1,4 +1,6 @@
-//! Orders for workers: what runs wish of their members, and what strays get.
+//! Orders for workers: those of runs to their members, and those for unclaimed tasks.
+//!
+//! An unclaimed task is one that no current run accounts for.
 
 use super::Scheduler;
 use super::contact::Contact;
@@ -11,7 +13,7 @@
 use crate::time::millis;
 
 impl Scheduler {
-    /// Returns the orders for one worker: what its runs wish, and what strays get.
+    /// Returns all orders for one worker.
     pub(super) fn commands_for(&self, worker: &WorkerId) -> Vec<Command> {
         let Some(contact) = self.contacts.get(worker) else {
             return Vec::new();
@@ -26,15 +28,15 @@
             }
         }
         for report in contact.tasks.values() {
-            commands.extend(self.stray_command(report));
+            commands.extend(self.unclaimed_task_command(report));
         }
         commands
     }
 
-    /// Returns the order for a task that no current run speaks for, if it is one.
-    fn stray_command(&self, report: &TaskReport) -> Option<Command> {
+    /// Returns the order for a task if it is unclaimed.
+    fn unclaimed_task_command(&self, report: &TaskReport) -> Option<Command> {
         let may_forget = match self.jobs.get(&report.task.job) {
-            None => self.knows_store,
+            None => self.store_read,
             Some(entry) if entry.superseded => return None,
             Some(entry) => match &entry.stage {
                 Stage::Running(r) if r.run.attempt() == report.task.attempt => return None,
@@ -43,24 +45,24 @@
                 Stage::Closing => false,
             },
         };
-        if !self.knows_store && !self.jobs.contains_key(&report.task.job) {
+        if !self.store_read && !self.jobs.contains_key(&report.task.job) {
             return None;
         }
-        Contact::order_for_stray(report, may_forget)
+        Contact::order_for_unclaimed(report, may_forget)
     }
 
-    /// Brings a worker's next sync forward where there are orders for it.
-    pub(super) fn mark_wishes(&mut self, worker: &WorkerId) {
+    /// Brings the next sync of a worker forward if there are orders for it.
+    pub(super) fn expedite_sync(&mut self, worker: &WorkerId) {
         if self.commands_for(worker).is_empty() {
             return;
         }
         if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.hasten();
+            contact.expedite_sync();
         }
     }
 }
 
-/// Adds what a run wishes of its members on one worker.
+/// Adds the orders of a run to its members on one worker.
 fn run_commands(
     key: &JobKey,
     entry: &Entry,
@@ -73,10 +75,10 @@
         return;
     }
     for member in members_on(run, worker) {
-        let Some(wish) = run.next_order(member) else {
+        let Some(member_order) = run.next_order(member) else {
             continue;
         };
-        let order = match wish {
+        let order = match member_order {
             MemberOrder::Reserve => Order::Reserve {
                 spec: Box::new(task_spec(entry, run, member)),
                 lease_ms: millis(Run::RESERVE_LEASE),
--- a/crates/stairstall-core/src/placement/scheduler/plan.rs
+++ b/crates/stairstall-core/src/placement/scheduler/plan.rs
@@ -1,4 +1,4 @@
-//! Chooses which waiting jobs start, where, and who gives way.
+//! Chooses which waiting jobs start, where they are placed, and which runs are preempted.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -10,33 +10,35 @@
 };
 use crate::{GuaranteeId, Timestamp, Verdict};
 
-/// Of a block that is opened by moves, at most one part in this many may be in use.
-const MOVED_SHARE: u32 = 2;
+/// Limit on moves: the jobs moved off a block, each and together, have at most one in this many
+/// of the accelerators of the job that gets it.
+const MOVE_DIVISOR: u32 = 2;
 
-/// A block kept for the first job that finds none, and from when.
+/// A block that is reserved for the first job that finds no free one.
 struct Reservation {
     block: Block,
     shape: Shape,
-    from: Timestamp,
+    /// When the block should be free.
+    expected_start: Timestamp,
 }
 
-/// A block for a job, and on what grounds.
+/// A block for a job, and why it was chosen.
 struct Choice {
     block: Block,
     home: Option<GuaranteeId>,
-    grounds: &'static str,
+    reason: &'static str,
 }
 
 impl Scheduler {
-    /// Looks at every waiting job once, in order.
+    /// Considers every waiting job once, in order.
     pub(super) fn plan(&mut self, now: Timestamp) {
         self.cancel_waiting(now);
         self.explain_held(now);
         let mut reservation = None;
-        let mut failed: HashSet<(Shape, bool, u8)> = HashSet::new();
+        let mut failed_searches: HashSet<(Shape, bool, u8)> = HashSet::new();
         let mut used = self.accelerators_in_use();
         for candidate in self.candidates(now, &used) {
-            if let Some(choice) = self.claim_home(&candidate) {
+            if let Some(choice) = self.choose_home(&candidate) {
                 self.place(&candidate, &choice, now);
                 continue;
             }
@@ -47,8 +49,8 @@
                 self.decide(&candidate.key, DecisionKind::Waiting, now, &reason);
                 continue;
             }
-            let memo = (candidate.spec.shape, candidate.borrow, candidate.level);
-            let choice = if failed.contains(&memo) {
+            let search_key = (candidate.spec.shape, candidate.borrow, candidate.level);
+            let choice = if failed_searches.contains(&search_key) {
                 None
             } else {
                 self.choose(&candidate, reservation.as_ref(), now)
@@ -61,12 +63,13 @@
             if reservation.is_none() && self.policy.reserves {
                 reservation = self.reserve(&candidate, now);
             } else {
-                failed.insert(memo);
+                failed_searches.insert(search_key);
             }
             self.explain_wait(&candidate, reservation.as_ref(), now);
         }
     }
 
+    /// Ends waiting jobs that their callers have cancelled.
     fn cancel_waiting(&mut self, now: Timestamp) {
         let waiting = |e: &Entry| matches!(e.stage, Stage::Waiting) && e.cancel && !e.adopted;
         let keys: Vec<JobKey> = self
@@ -90,8 +93,8 @@
         }
     }
 
-    /// Returns free cells in one of the customer's home blocks.
-    fn claim_home(&self, candidate: &Candidate) -> Option<Choice> {
+    /// Returns free cells in a home block of the customer, if there are enough.
+    fn choose_home(&self, candidate: &Candidate) -> Option<Choice> {
         self.homes
             .of_customer(&candidate.spec.customer)
             .find_map(|home| {
@@ -99,12 +102,13 @@
                 Some(Choice {
                     block,
                     home: Some(home.guarantee.name.clone()),
-                    grounds: "claims its guarantee",
+                    reason: "claims its guarantee",
                 })
             })
     }
 
-    /// Looks for a block: free, then by preemption, then by moves.
+    /// Looks for a free block, then for one that preemption would free, then for one that moving
+    /// smaller jobs would free.
     fn choose(
         &self,
         candidate: &Candidate,
@@ -112,11 +116,13 @@
         now: Timestamp,
     ) -> Option<Choice> {
         let find = |access: Access| {
-            let mut rooms = self.inventory.free_capacity(access);
-            if let Some(reservation) = reservation.filter(|r| now + candidate.left > r.from) {
-                reservation.keep_out_of(&mut rooms);
+            let mut capacities = self.inventory.free_capacity(access);
+            if let Some(reservation) =
+                reservation.filter(|r| now + candidate.left > r.expected_start)
+            {
+                reservation.exclude_from(&mut capacities);
             }
-            Block::find(&rooms, &candidate.spec.shape, self.policy.fit)
+            Block::find(&capacities, &candidate.spec.shape, self.policy.fit)
         };
         let free = if candidate.borrow {
             Access::Borrow
@@ -127,7 +133,7 @@
             return Some(Choice {
                 block,
                 home: None,
-                grounds: "best free block",
+                reason: "best free block",
             });
         }
         let (level, borrow) = (candidate.level, candidate.borrow);
@@ -138,57 +144,57 @@
             return Some(Choice {
                 block,
                 home: None,
-                grounds: "lower levels give way",
+                reason: "lower levels give way",
             });
         }
         if self.policy.moves && reservation.is_none() && candidate.spec.shape.adjacent {
             let block = find(Access::Move { level, borrow })?;
-            if self.moves_pay(&block, candidate) {
+            if self.can_move(&block, candidate) {
                 return Some(Choice {
                     block,
                     home: None,
-                    grounds: "smaller jobs move away",
+                    reason: "smaller jobs move away",
                 });
             }
         }
         None
     }
 
-    /// Tells whether the jobs that a block would displace are few and fit elsewhere now.
-    fn moves_pay(&self, block: &Block, candidate: &Candidate) -> bool {
-        let owners = self.displaced(block, &candidate.spec.shape, AllocationOwner(0));
-        let keys: BTreeSet<&JobKey> = owners.iter().filter_map(|id| self.uses.get(id)).collect();
+    /// Tells whether the jobs to be moved off a block are small enough and fit elsewhere now.
+    fn can_move(&self, block: &Block, candidate: &Candidate) -> bool {
+        let owners = self.victims_on(block, &candidate.spec.shape, AllocationOwner(0));
+        let keys: BTreeSet<&JobKey> = owners.iter().filter_map(|id| self.owners.get(id)).collect();
         let moved: Vec<&Entry> = keys.iter().filter_map(|key| self.jobs.get(*key)).collect();
         let total: u32 = moved
             .iter()
             .map(|e| e.spec.shape.total_accelerators())
             .sum();
         let smaller = |e: &&Entry| {
-            e.spec.shape.total_accelerators() * MOVED_SHARE
+            e.spec.shape.total_accelerators() * MOVE_DIVISOR
                 <= candidate.spec.shape.total_accelerators()
         };
-        if total * MOVED_SHARE > candidate.spec.shape.total_accelerators()
+        if total * MOVE_DIVISOR > candidate.spec.shape.total_accelerators()
             || !moved.iter().all(smaller)
         {
             return false;
         }
-        let mut rooms = self.inventory.free_capacity(Access::Borrow);
+        let mut capacities = self.inventory.free_capacity(Access::Borrow);
         for cell in &block.cells {
-            rooms[cell.worker].mask &= !cell.mask;
+            capacities[cell.worker].mask &= !cell.mask;
         }
         moved.iter().all(|entry| {
-            let Some(place) = Block::find(&rooms, &entry.spec.shape, self.policy.fit) else {
+            let Some(target) = Block::find(&capacities, &entry.spec.shape, self.policy.fit) else {
                 return false;
             };
-            for cell in &place.cells {
-                rooms[cell.worker].mask &= !cell.mask;
+            for cell in &target.cells {
+                capacities[cell.worker].mask &= !cell.mask;
             }
             true
         })
     }
 
-    /// Returns whose work stands in the way on a block.
-    fn displaced(
+    /// Returns the runs that must be preempted or moved before a block can be used.
+    fn victims_on(
         &self,
         block: &Block,
         shape: &Shape,
@@ -201,12 +207,12 @@
             .collect()
     }
 
-    /// Gives a job its block, and makes whoever stands there give way.
+    /// Starts a run of a job on its block, and preempts the runs that occupy it.
     fn place(&mut self, candidate: &Candidate, choice: &Choice, now: Timestamp) {
-        self.next_use += 1;
-        let owner = AllocationOwner(self.next_use);
+        self.last_owner += 1;
+        let owner = AllocationOwner(self.last_owner);
         let shape = candidate.spec.shape;
-        let victims = self.displaced(&choice.block, &shape, owner);
+        let victims = self.victims_on(&choice.block, &shape, owner);
         let mut members = Vec::with_capacity(choice.block.cells.len());
         for cell in &choice.block.cells {
             let Some(worker) = self.inventory.worker_at(cell.worker).map(|w| w.id.clone()) else {
@@ -220,20 +226,22 @@
             members.push(Member::new(worker, incarnation, cell.mask));
         }
         for cell in &choice.block.cells {
-            let used = self.use_of(candidate, owner, cell.mask, choice.home.clone(), now);
-            self.inventory.occupy(cell.worker, used);
+            let allocation =
+                self.allocation_for(candidate, owner, cell.mask, choice.home.clone(), now);
+            self.inventory.occupy(cell.worker, allocation);
         }
-        self.next_serial += 1;
-        let run = Run::new(Attempt::new(self.token, self.next_serial), members);
+        self.last_serial += 1;
+        let run = Run::new(Attempt::new(self.token, self.last_serial), members);
         let text = placed_text(choice, &run, victims.len());
         self.begin_run(&candidate.key, run, owner);
         self.decide(&candidate.key, DecisionKind::Placed, now, &text);
         for victim in victims {
-            self.make_way(victim, &candidate.key, now);
+            self.preempt(victim, &candidate.key, now);
         }
     }
 
-    fn use_of(
+    /// Returns the allocation of one member of a candidate.
+    fn allocation_for(
         &self,
         candidate: &Candidate,
         id: AllocationOwner,
@@ -255,8 +263,9 @@
         }
     }
 
-    fn make_way(&mut self, victim: AllocationOwner, for_whom: &JobKey, now: Timestamp) {
-        let Some(key) = self.uses.get(&victim).cloned() else {
+    /// Preempts a run for another job.
+    fn preempt(&mut self, victim: AllocationOwner, for_job: &JobKey, now: Timestamp) {
+        let Some(key) = self.owners.get(&victim).cloned() else {
             return;
         };
         let Some(entry) = self.jobs.get_mut(&key) else {
@@ -270,18 +279,18 @@
             &key,
             DecisionKind::Preempted,
             now,
-            &format!("it gives way to {for_whom}"),
+            &format!("it gives way to {for_job}"),
         );
         let workers: Vec<_> = match self.jobs.get(&key).map(|e| &e.stage) {
             Some(Stage::Running(r)) => r.run.members().iter().map(|m| m.worker.clone()).collect(),
             _ => Vec::new(),
         };
         for worker in workers {
-            self.mark_wishes(&worker);
+            self.expedite_sync(&worker);
         }
     }
 
-    /// Finds where the job could start first as work ends, and keeps that block for it.
+    /// Reserves the block on which a job could start first as running work ends.
     fn reserve(&self, candidate: &Candidate, now: Timestamp) -> Option<Reservation> {
         let mut ends: Vec<Timestamp> = (0..self.inventory.len())
             .flat_map(|i| {
@@ -295,8 +304,8 @@
         ends.dedup();
         let borrow = candidate.borrow;
         let find = |time: Timestamp| {
-            let rooms = self.inventory.free_capacity(Access::Until { time, borrow });
-            Block::find(&rooms, &candidate.spec.shape, self.policy.fit)
+            let capacities = self.inventory.free_capacity(Access::Until { time, borrow });
+            Block::find(&capacities, &candidate.spec.shape, self.policy.fit)
         };
         let (mut low, mut high) = (0, ends.len());
         while low < high {
@@ -307,14 +316,15 @@
                 low = middle + 1;
             }
         }
-        let from = *ends.get(low)?;
+        let expected_start = *ends.get(low)?;
         Some(Reservation {
-            block: find(from)?,
+            block: find(expected_start)?,
             shape: candidate.spec.shape,
-            from,
+            expected_start,
         })
     }
 
+    /// Records why a candidate waits.
     fn explain_wait(
         &mut self,
         candidate: &Candidate,
@@ -323,7 +333,7 @@
     ) {
         let shape = &candidate.spec.shape;
         let text = match reservation {
-            Some(r) if r.shape == *shape && r.from > now => {
+            Some(r) if r.shape == *shape && r.expected_start > now => {
                 format!(
                     "it waits: no free block for {shape}; one is reserved for the first in line"
                 )
@@ -336,15 +346,15 @@
 }
 
 impl Reservation {
-    /// Takes the reserved block out of what others may use.
-    fn keep_out_of(&self, rooms: &mut [FreeCapacity]) {
+    /// Removes the reserved block from the free capacity that other jobs may use.
+    fn exclude_from(&self, capacities: &mut [FreeCapacity]) {
         for cell in &self.block.cells {
-            let Some(room) = rooms.get_mut(cell.worker) else {
+            let Some(capacity) = capacities.get_mut(cell.worker) else {
                 continue;
             };
-            room.mask &= !cell.mask;
-            room.processors = room.processors.saturating_sub(self.shape.processors);
-            room.memory_mb = room.memory_mb.saturating_sub(self.shape.memory_mb);
+            capacity.mask &= !cell.mask;
+            capacity.processors = capacity.processors.saturating_sub(self.shape.processors);
+            capacity.memory_mb = capacity.memory_mb.saturating_sub(self.shape.memory_mb);
         }
     }
 }
@@ -358,7 +368,7 @@
         .map_or(String::new(), |g| format!(" {g}"));
     format!(
         "{}{home}: attempt {} on {}; {victims} runs give way",
-        choice.grounds,
+        choice.reason,
         run.attempt(),
         workers.join(",")
     )
--- a/crates/stairstall-core/src/placement/scheduler/queue.rs
+++ b/crates/stairstall-core/src/placement/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! Which waiting jobs may start, and whose turn it is.
+//! The queue: which waiting jobs are eligible, and in which order they are considered.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,26 +10,29 @@
 use crate::placement::{JobKey, JobOrder, JobSpec};
 use crate::{CustomerId, Timestamp};
 
-/// Waiting that outweighs one accelerator in use, when customers' shares are compared.
-const AGING: Duration = Duration::from_secs(30);
-/// Work left that outweighs one accelerator in use: short jobs come first, but for
-/// as long only as longer ones have not waited that much more.
-const SIZE: Duration = Duration::from_secs(40);
+/// Waiting time that offsets one accelerator in use by the customer in [`JobOrder::Fair`].
+const WAIT_PER_ACCELERATOR: Duration = Duration::from_secs(30);
+/// Work left that counts as much as one accelerator in use by the customer. Short jobs come
+/// first, until longer ones have waited that much longer.
+const WORK_PER_ACCELERATOR: Duration = Duration::from_secs(40);
 
-/// A waiting job with all that ranks it.
+/// An eligible job with everything that its order depends on.
 pub(super) struct Candidate {
     pub(super) key: JobKey,
     pub(super) spec: Arc<JobSpec>,
+    /// Level of the priority class.
     pub(super) level: u8,
+    /// Whether the priority class may preempt lower levels.
     pub(super) preempts: bool,
+    /// Whether the job may use home blocks of others, because it is preemptible.
     pub(super) borrow: bool,
     pub(super) left: Duration,
     pub(super) accepted_ms: u64,
-    pub(super) waits_since: Timestamp,
+    pub(super) waiting_since: Timestamp,
 }
 
 impl Scheduler {
-    /// Tells of the jobs that rules keep from starting.
+    /// Records why rules keep jobs from starting.
     pub(super) fn explain_held(&mut self, now: Timestamp) {
         let waiting = self
             .jobs
@@ -43,25 +46,25 @@
         }
     }
 
-    /// Returns accelerators in use by customer, claims of guarantees left out.
+    /// Returns the accelerators in use by each customer, without those of guaranteed jobs.
     pub(super) fn accelerators_in_use(&self) -> BTreeMap<CustomerId, u32> {
         let mut used = BTreeMap::new();
         for index in 0..self.inventory.len() {
-            for one in self
+            for allocation in self
                 .inventory
                 .allocations(index)
                 .iter()
                 .filter(|u| u.home.is_none())
             {
-                if let Some(key) = self.uses.get(&one.id) {
-                    *used.entry(key.customer.clone()).or_default() += one.mask.count_ones();
+                if let Some(key) = self.owners.get(&allocation.id) {
+                    *used.entry(key.customer.clone()).or_default() += allocation.mask.count_ones();
                 }
             }
         }
         used
     }
 
-    /// Returns the jobs that may start now, in the order of the policy.
+    /// Returns the eligible jobs, in the order of the policy.
     pub(super) fn candidates(
         &self,
         now: Timestamp,
@@ -86,7 +89,7 @@
         found
     }
 
-    /// Returns a candidate, or why a rule keeps the job from starting here.
+    /// Returns the candidate for a job, or the reason why a rule keeps it from starting here.
     fn candidate(&self, key: &JobKey, entry: &Entry) -> Result<Candidate, &'static str> {
         let spec = &entry.spec;
         let effect = self.configuration.effect_on(&spec.all_labels());
@@ -106,15 +109,18 @@
             spec: Arc::clone(spec),
             level: class.map_or(0, |c| c.level),
             preempts: class.is_some_and(|c| c.preempts),
-            borrow: entry.gives_way(),
-            left: entry.left(),
+            borrow: entry.is_preemptible(),
+            left: entry.remaining_work(),
             accepted_ms: entry.accepted_ms,
-            waits_since: entry.waits_since,
+            waiting_since: entry.waiting_since,
         })
     }
 
-    /// Orders by level, then by what the customer would use for its weight and how
-    /// much work is left, less the waiting.
+    /// Sorts by level, highest first, then by a score, lowest first.
+    ///
+    /// The score is the number of accelerators that the customer uses or that its earlier
+    /// candidates need, divided by its weight, plus the work left, minus the time waited. The
+    /// constants of this module convert both durations to accelerators.
     fn sort_fairly(
         &self,
         found: &mut Vec<Candidate>,
@@ -122,7 +128,7 @@
         used: &BTreeMap<CustomerId, u32>,
     ) {
         found.sort_by(|a, b| (Reverse(a.level), by_age(a)).cmp(&(Reverse(b.level), by_age(b))));
-        let mut ahead: BTreeMap<CustomerId, u64> = used
+        let mut usage: BTreeMap<CustomerId, u64> = used
             .iter()
             .map(|(c, n)| (c.clone(), u64::from(*n)))
             .collect();
@@ -130,23 +136,27 @@
         for candidate in found.drain(..) {
             let customer = self.configuration.customers.get(&candidate.spec.customer);
             let weight = u64::from(customer.map_or(1, |c| c.weight));
-            let before = ahead.entry(candidate.spec.customer.clone()).or_default();
-            let waited = now.since(candidate.waits_since).as_millis() * 1_000 / AGING.as_millis();
+            let customer_usage = usage.entry(candidate.spec.customer.clone()).or_default();
+            let waited = now.since(candidate.waiting_since).as_millis() * 1_000
+                / WAIT_PER_ACCELERATOR.as_millis();
             let waited = u64::try_from(waited).unwrap_or(u64::MAX);
-            let size = candidate.left.as_millis() * 1_000 / SIZE.as_millis();
+            let size = candidate.left.as_millis() * 1_000 / WORK_PER_ACCELERATOR.as_millis();
             let size = u64::try_from(size).unwrap_or(u64::MAX);
-            let share = (*before * 1_000 / weight)
+            let score = (*customer_usage * 1_000 / weight)
                 .saturating_add(size)
                 .saturating_sub(waited);
-            *before += u64::from(candidate.spec.shape.total_accelerators());
-            ranked.push((share, candidate));
+            *customer_usage += u64::from(candidate.spec.shape.total_accelerators());
+            ranked.push((score, candidate));
         }
-        ranked.sort_by(|(share_a, a), (share_b, b)| {
-            (Reverse(a.level), share_a, by_age(a)).cmp(&(Reverse(b.level), share_b, by_age(b)))
+        ranked.sort_by(|(score_a, a), (score_b, b)| {
+            (Reverse(a.level), score_a, by_age(a)).cmp(&(Reverse(b.level), score_b, by_age(b)))
         });
         found.extend(ranked.into_iter().map(|(_, candidate)| candidate));
     }
 
+    /// Returns why the quota of a customer keeps a job from starting, if it does.
+    ///
+    /// `needed` is the number of accelerators that the customer would use with the job.
     pub(super) fn quota_reason(&self, customer: &CustomerId, needed: u32) -> Option<String> {
         let quota = self.configuration.customers.get(customer)?.quota?;
         (needed > quota).then(|| {
--- a/crates/stairstall-core/src/placement/scheduler/recovery.rs
+++ b/crates/stairstall-core/src/placement/scheduler/recovery.rs
@@ -1,4 +1,4 @@
-//! Takes over what an earlier holder left: from the store's records and the workers' tasks.
+//! Takes over the runs of an earlier holder from the stored records and the tasks on the workers.
 
 use super::contact::Contact;
 use super::entry::{Entry, Running, Stage};
@@ -12,27 +12,29 @@
 use crate::protocol::{SyncReply, TaskId, TaskReport};
 use crate::{ClassId, GuaranteeId, Labels, RackId, Timestamp, VmId, ZoneId};
 
-/// Level of adopted jobs, whose class is not known: they are not preempted.
+/// Level of jobs whose class is unknown, such as adopted ones, so that they are not preempted.
 const ADOPTED_LEVEL: u8 = u8::MAX;
 
 impl Scheduler {
-    /// Takes the home blocks of the last tenure, so that they stay where they are.
+    /// Restores the home blocks of the last tenure, so that they stay in place.
     ///
-    /// Call it once the workers were asked, and before the records are taken.
+    /// Call it after a first sync with the workers and before [`Scheduler::handle_record`].
     pub fn restore_home_blocks(&mut self, homes: Vec<HomeBlock>) {
         self.homes.restore(homes, &mut self.inventory);
         self.homes_stale = true;
     }
 
-    /// Makes the tenure one without the store: running tasks are kept alive as their
-    /// workers describe them, and nothing is started.
+    /// Adopts running tasks that no record is known of, for a tenure without the store.
+    ///
+    /// Such tasks go on running as their workers describe them. No job is started without a
+    /// record.
     pub const fn adopt_unknown_tasks(&mut self) {
-        self.adopts = true;
+        self.adopts_tasks = true;
     }
 
-    /// Rebuilds the run that a record tells of; the workers' reports fill it in.
+    /// Restores the run of a placed job from its record and the reports of its workers.
     ///
-    /// Call it after the workers were asked once, so that their tasks are known.
+    /// Call it after a first sync with the workers, so that their tasks are known.
     pub(super) fn recover_run(
         &mut self,
         entry: &mut Entry,
@@ -41,7 +43,7 @@
         now: Timestamp,
     ) {
         let key = entry.spec.key();
-        self.meet_unlisted(placed, now);
+        self.add_unlisted_workers(placed, now);
         let members = placed.iter().enumerate().map(|(index, member)| {
             let member_index = u16::try_from(index).unwrap_or(u16::MAX);
             let report = self.report_of(&key, attempt, member_index, member);
@@ -50,7 +52,7 @@
         });
         let members: Vec<Member> = members.collect();
         let run = Run::recover(attempt, members);
-        let owner = self.occupy_run(entry, &run);
+        let owner = self.allocate_run(entry, &run);
         self.register_run(&key, &run, owner);
         let mut running = Running::new(run, owner);
         if placed.iter().any(|member| self.has_restarted(member)) {
@@ -58,11 +60,11 @@
         }
         for (index, member) in placed.iter().enumerate() {
             let index = u16::try_from(index).unwrap_or(u16::MAX);
-            self.fill_in(&key, &mut running, index, member);
+            self.update_from_report(&key, &mut running, index, member);
         }
         entry.stage = Stage::Running(running);
         let text = format!("attempt {attempt} of an earlier holder was found in the store");
-        entry.note(now, &text);
+        entry.record_decision(now, &text);
         self.effects.push(Effect::LogDecision(Decision {
             job: key,
             kind: DecisionKind::TakenOver,
@@ -70,9 +72,9 @@
         }));
     }
 
-    /// Counts workers that the platform no longer lists as silent ones, so that
-    /// their members are lost once every lease on them surely ended.
-    fn meet_unlisted(&mut self, placed: &[PlacedMember], now: Timestamp) {
+    /// Adds workers that the platform no longer lists, as silent ones, so that their members are
+    /// lost once all leases on them have certainly expired.
+    fn add_unlisted_workers(&mut self, placed: &[PlacedMember], now: Timestamp) {
         for member in placed {
             let silent = || Contact::new(RackId::unknown(), 0, now);
             self.contacts
@@ -81,8 +83,14 @@
         }
     }
 
-    /// Tells a recovered run what is known of one member by now.
-    fn fill_in(&self, key: &JobKey, running: &mut Running, index: u16, member: &PlacedMember) {
+    /// Sets the phase of one member of a recovered run, as far as it is known.
+    fn update_from_report(
+        &self,
+        key: &JobKey,
+        running: &mut Running,
+        index: u16,
+        member: &PlacedMember,
+    ) {
         let contact = self.contacts.get(&member.worker);
         if contact.is_none_or(|contact| contact.incarnation.is_none()) {
             return;
@@ -98,13 +106,14 @@
         }
     }
 
-    /// Tells whether another process than a member's answers as its worker.
+    /// Tells whether the worker of a member has restarted since the member was placed.
     fn has_restarted(&self, member: &PlacedMember) -> bool {
         let contact = self.contacts.get(&member.worker);
         let known = contact.and_then(|contact| contact.incarnation);
         known.is_some_and(|incarnation| incarnation != member.incarnation)
     }
 
+    /// Returns the last report of a member.
     fn report_of(
         &self,
         key: &JobKey,
@@ -116,8 +125,8 @@
         self.contacts.get(&member.worker)?.tasks.get(&task)
     }
 
-    /// Occupies the place of a member that was not heard of when its run was taken over.
-    pub(super) fn occupy_late(&mut self, key: &JobKey, member: u16, mask: u64) {
+    /// Allocates the accelerators of a member that had no report when its run was taken over.
+    pub(super) fn allocate_late(&mut self, key: &JobKey, member: u16, mask: u64) {
         let Some(Entry {
             stage: Stage::Running(running),
             ..
@@ -134,16 +143,16 @@
         let Some(index) = self.inventory.index_of(&worker) else {
             return;
         };
-        // Its resources were counted, but no accelerators.
+        // The allocation so far counts processors and memory, but no accelerators.
         self.inventory.release(&worker, 0, owner);
         let Some(entry) = self.jobs.get(key) else {
             return;
         };
-        let used = self.use_of_member(entry, owner, index, mask);
-        self.inventory.occupy(index, used);
+        let allocation = self.allocation_of_member(entry, owner, index, mask);
+        self.inventory.occupy(index, allocation);
     }
 
-    fn use_of_member(
+    fn allocation_of_member(
         &self,
         entry: &Entry,
         id: AllocationOwner,
@@ -155,30 +164,30 @@
             mask,
             processors: entry.spec.shape.processors,
             memory_mb: entry.spec.shape.memory_mb,
-            preemptible: entry.gives_way(),
+            preemptible: entry.is_preemptible(),
             movable: entry.is_movable(),
             level: self.level_of(&entry.spec),
-            expected_end: entry.waits_since + entry.left(),
-            home: self.home_under(entry, index, mask),
+            expected_end: entry.waiting_since + entry.remaining_work(),
+            home: self.guarantee_at(entry, index, mask),
         }
     }
 
-    /// Occupies the places of a run that is already there.
-    fn occupy_run(&mut self, entry: &Entry, run: &Run) -> AllocationOwner {
-        self.next_use += 1;
-        let owner = AllocationOwner(self.next_use);
+    /// Allocates the resources of a run that is taken over.
+    fn allocate_run(&mut self, entry: &Entry, run: &Run) -> AllocationOwner {
+        self.last_owner += 1;
+        let owner = AllocationOwner(self.last_owner);
         for member in run.members() {
             let Some(index) = self.inventory.index_of(&member.worker) else {
                 continue;
             };
-            let used = self.use_of_member(entry, owner, index, member.mask);
-            self.inventory.occupy(index, used);
+            let allocation = self.allocation_of_member(entry, owner, index, member.mask);
+            self.inventory.occupy(index, allocation);
         }
         owner
     }
 
-    /// Returns the customer's own guarantee whose home block holds these accelerators.
-    fn home_under(&self, entry: &Entry, index: usize, mask: u64) -> Option<GuaranteeId> {
+    /// Returns the guarantee of the job's customer whose home block contains these accelerators.
+    fn guarantee_at(&self, entry: &Entry, index: usize, mask: u64) -> Option<GuaranteeId> {
         let worker = &self.inventory.worker_at(index)?.id;
         self.homes
             .of_customer(&entry.spec.customer)
@@ -190,10 +199,10 @@
             .map(|home| home.guarantee.name.clone())
     }
 
-    /// Adopts running tasks of jobs that are not known, while the store can't be read.
+    /// Adopts running tasks of unknown jobs while the store can't be read.
     ///
-    /// Without the store a new holder keeps gangs alive that it knows only from
-    /// their workers; it starts nothing that it finds no record of.
+    /// Without the store, a new holder keeps gangs running that it knows from their workers
+    /// only. It starts no job without a record.
     pub(super) fn adopt_unknown(&mut self, reply: &SyncReply, now: Timestamp) {
         for report in &reply.tasks {
             if self.jobs.contains_key(&report.task.job) {
@@ -208,6 +217,7 @@
         }
     }
 
+    /// Returns the level of a job, or [`ADOPTED_LEVEL`] if its class is unknown.
     pub(super) fn level_of(&self, spec: &JobSpec) -> u8 {
         let class = self.class_of(spec);
         self.configuration
@@ -216,13 +226,14 @@
             .map_or(ADOPTED_LEVEL, |c| c.level)
     }
 
+    /// Returns the priority class of a job, with rules applied.
     pub(super) fn class_of(&self, spec: &JobSpec) -> ClassId {
         let effect = self.configuration.effect_on(&spec.all_labels());
         effect.class.unwrap_or_else(|| spec.class.clone())
     }
 }
 
-/// Makes up a record for a task whose job is known from its worker only.
+/// Builds a record for a task whose job is known from its worker only.
 fn adopted_record(report: &TaskReport, zone: &ZoneId) -> JobRecord {
     let spec = &report.spec;
     let customer = report.task.job.customer.clone();
--- a/crates/stairstall-core/src/placement/scheduler/reports.rs
+++ b/crates/stairstall-core/src/placement/scheduler/reports.rs
@@ -1,6 +1,6 @@
-//! Takes what workers report, and what their silence means.
+//! Applies the task reports of workers, and marks members as lost when their workers are silent.
 
-use super::contact::News;
+use super::contact::ReplyChanges;
 use super::entry::{Entry, Running, Stage};
 use super::{Effect, Scheduler};
 use crate::placement::{JobKey, Member, MemberPhase, Run};
@@ -22,15 +22,15 @@
 }
 
 impl Scheduler {
-    /// Takes what a worker says of its tasks.
+    /// Applies the task reports in a reply.
     pub(super) fn apply_reports(
         &mut self,
         worker: &WorkerId,
         reply: &SyncReply,
-        news: &News,
+        changes: &ReplyChanges,
         now: Timestamp,
     ) {
-        if self.adopts {
+        if self.adopts_tasks {
             self.adopt_unknown(reply, now);
         }
         for report in &reply.tasks {
@@ -46,31 +46,32 @@
                 continue;
             }
             apply_report(running, report);
-            let known = running
+            let known_mask = running
                 .run
                 .members()
                 .get(usize::from(member))
                 .map_or(0, |m| m.mask);
-            let holds = report.spec.accelerators;
-            if known == 0 && holds != 0 && running.run.outcome().is_none() {
-                self.occupy_late(key, member, holds);
+            let reported_mask = report.spec.accelerators;
+            if known_mask == 0 && reported_mask != 0 && running.run.outcome().is_none() {
+                self.allocate_late(key, member, reported_mask);
             }
         }
         let absent = |task: &TaskId| !reply.tasks.iter().any(|r| r.task == *task);
-        for task in news.commanded.iter().filter(|task| absent(task)) {
-            self.note_absent(task);
+        for task in changes.commanded.iter().filter(|task| absent(task)) {
+            self.mark_absent(task);
         }
         if let Some(contact) = self.contacts.get_mut(worker) {
             contact
                 .tasks
-                .retain(|task, _| !news.commanded.contains(task) || !absent(task));
+                .retain(|task, _| !changes.commanded.contains(task) || !absent(task));
         }
-        if news.first {
-            self.note_unlisted(worker, reply);
+        if changes.first {
+            self.mark_unlisted_absent(worker, reply);
         }
     }
 
-    fn note_absent(&mut self, task: &TaskId) {
+    /// Marks a member as absent if it is part of the current run of its job.
+    fn mark_absent(&mut self, task: &TaskId) {
         let Some(entry) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Calls `each` for every run with a member on a worker, and that member.
+    /// Calls `each` with the job, run and index of every member on a worker.
     fn for_members_on(&mut self, worker: &WorkerId, mut each: impl FnMut(&JobKey, &mut Run, u16)) {
         let Some(contact) = self.contacts.get(worker) else {
             return;
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Marks members absent that a worker's whole list does not name.
-    fn note_unlisted(&mut self, worker: &WorkerId, reply: &SyncReply) {
+    /// Marks members as absent that are missing in a reply which lists every task.
+    fn mark_unlisted_absent(&mut self, worker: &WorkerId, reply: &SyncReply) {
         self.for_members_on(worker, |key, run, member| {
             let task = TaskId::new(key.clone(), run.attempt(), member);
             if !reply.tasks.iter().any(|report| report.task == task) {
@@ -111,8 +112,8 @@
         });
     }
 
-    /// Marks a worker's members lost: all, or those of other incarnations than `known`.
-    pub(super) fn lose_members(&mut self, worker: &WorkerId, known: Option<u64>) {
+    /// Marks the members on a worker as lost, except those of the incarnation `known`.
+    pub(super) fn mark_members_lost(&mut self, worker: &WorkerId, known: Option<u64>) {
         self.for_members_on(worker, |_, run, member| {
             let incarnation = run.members()[usize::from(member)].incarnation;
             if known != Some(incarnation) {
@@ -121,8 +122,8 @@
         });
     }
 
-    /// Loses the workers whose leases have all surely ended.
-    pub(super) fn lose_silent_workers(&mut self, now: Timestamp) {
+    /// Marks workers as lost on which all leases have certainly expired.
+    pub(super) fn mark_silent_workers_lost(&mut self, now: Timestamp) {
         let lost: Vec<WorkerId> = self
             .contacts
             .iter_mut()
@@ -130,14 +131,15 @@
             .collect();
         for worker in lost {
             self.effects.push(Effect::Alarm(format!(
-                "worker {worker} is lost: it was silent until every lease on it ended"
+                "worker {worker} is lost: it did not answer before all leases on it expired"
             )));
-            self.suspect_jobs_on(&worker);
-            self.lose_members(&worker, None);
+            self.record_suspects(&worker);
+            self.mark_members_lost(&worker, None);
         }
     }
 }
 
+/// Returns the indexes of the members of a run on one worker.
 pub(super) fn members_on<'a>(run: &'a Run, worker: &'a WorkerId) -> Vec<u16> {
     let on = |(index, member): (usize, &Member)| {
         (member.worker == *worker).then(|| u16::try_from(index).unwrap_or(u16::MAX))
@@ -145,7 +147,7 @@
     run.members().iter().enumerate().filter_map(on).collect()
 }
 
-/// Takes what a worker says of one member of a run.
+/// Applies a task report to its member of a run.
 pub(super) fn apply_report(running: &mut Running, report: &TaskReport) {
     let member = report.task.member;
     running
--- a/crates/stairstall-core/src/placement/scheduler/runs.rs
+++ b/crates/stairstall-core/src/placement/scheduler/runs.rs
@@ -1,4 +1,4 @@
-//! Carries runs from their placement to their end.
+//! Advances runs from their placement to their end, and decides what follows for their jobs.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 };
 use crate::{Timestamp, Verdict};
 
-/// First pause before a job that failed to start is tried again; it doubles each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(200);
-/// How often that pause doubles at most.
+/// Back-off after the first attempt of a job that did not start. It doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum number of times that the back-off doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 impl Scheduler {
-    /// Advances every run, frees places and settles runs that are over.
+    /// Advances every run, releases allocations of members that are over and finishes ended runs.
     pub(super) fn advance_runs(&mut self, now: Timestamp) {
         let keys: Vec<JobKey> = self
             .jobs
@@ -51,18 +51,18 @@
         };
         self.release_over(key);
         for member in members {
-            self.mark_wishes(&member.worker);
+            self.expedite_sync(&member.worker);
         }
-        let ending = match &self.jobs.get(key).map(|e| &e.stage) {
+        let outcome = match &self.jobs.get(key).map(|e| &e.stage) {
             Some(Stage::Running(running)) => running.run.outcome(),
             _ => None,
         };
-        if let Some(ending) = ending {
-            self.settle(key, ending, now);
+        if let Some(outcome) = outcome {
+            self.finish_run(key, outcome, now);
         }
     }
 
-    /// Tells whether nothing stands in the way of a run any more.
+    /// Tells whether no other run blocks the capacity of a run any more.
     fn is_clear(&self, key: &JobKey) -> bool {
         let Some(Entry {
             stage: Stage::Running(running),
@@ -75,22 +75,22 @@
         if running.run.is_cleared() {
             return true;
         }
-        let place = |member: &Member| {
+        let cell = |member: &Member| {
             let worker = self.inventory.index_of(&member.worker)?;
             Some(Cell {
                 worker,
                 mask: member.mask,
             })
         };
-        let demands = Demand::per_worker(running.run.members().iter().filter_map(place));
-        let in_the_way = |demand: &Demand| {
+        let demands = Demand::per_worker(running.run.members().iter().filter_map(cell));
+        let blocking = |demand: &Demand| {
             self.inventory
                 .blocking_runs(demand, &spec.shape, running.owner)
         };
-        demands.iter().all(|demand| in_the_way(demand).is_empty())
+        demands.iter().all(|demand| blocking(demand).is_empty())
     }
 
-    /// Frees the places of members that are over.
+    /// Releases the allocations of members that are over.
     fn release_over(&mut self, key: &JobKey) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
@@ -109,15 +109,15 @@
         }
     }
 
-    /// Decides what follows from the end of a run.
-    fn settle(&mut self, key: &JobKey, ending: RunOutcome, now: Timestamp) {
+    /// Finishes a run that has ended, and decides what follows for its job.
+    fn finish_run(&mut self, key: &JobKey, outcome: RunOutcome, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
         };
         let Stage::Running(running) = std::mem::replace(&mut entry.stage, Stage::Waiting) else {
             return;
         };
-        self.uses.remove(&running.owner);
+        self.owners.remove(&running.owner);
         for member in running.run.members() {
             if let Some(contact) = self.contacts.get_mut(&member.worker) {
                 contact.runs.remove(key);
@@ -130,7 +130,7 @@
             .min()
             .unwrap_or(0)
             .max(entry.saved_ms);
-        match ending {
+        match outcome {
             RunOutcome::Finished { success } => {
                 let state = JobState::Finished {
                     success,
@@ -140,15 +140,16 @@
             }
             RunOutcome::Stopped { reason, verdict } => {
                 entry.started |= verdict == Verdict::MayHaveRun;
-                self.settle_stopped(key, reason, verdict, running.output, now);
+                self.handle_stopped_run(key, reason, verdict, running.output, now);
             }
         }
         for member in running.run.members() {
-            self.mark_wishes(&member.worker);
+            self.expedite_sync(&member.worker);
         }
     }
 
-    fn settle_stopped(
+    /// Retries or ends a job whose run was stopped.
+    fn handle_stopped_run(
         &mut self,
         key: &JobKey,
         reason: StopReason,
@@ -180,15 +181,15 @@
                 self.close(key, state, now, "a member failed");
             }
             StopReason::MemberLost if entry.crashes >= Self::MAX_CRASHES => {
-                self.give_up_crashing(key, now);
+                self.end_after_crashes(key, now);
             }
             _ if verdict.allows_retry(entry.spec.repeatable) => {
                 if reason == StopReason::NotStarted {
-                    entry.failures += 1;
-                    let doublings = (entry.failures - 1).min(MAX_DOUBLINGS);
-                    entry.not_before = now + FIRST_BACKOFF * 2_u32.pow(doublings);
+                    entry.failed_starts += 1;
+                    let doublings = (entry.failed_starts - 1).min(MAX_DOUBLINGS);
+                    entry.not_before = now + INITIAL_BACKOFF * 2_u32.pow(doublings);
                 }
-                entry.waits_since = now;
+                entry.waiting_since = now;
                 self.decide(
                     key,
                     DecisionKind::Stopped,
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Ends a job for good.
+    /// Ends a job: logs the verdict and writes the final state.
     pub(super) fn close(&mut self, key: &JobKey, state: JobState, now: Timestamp, why: &str) {
         let verdict = state.verdict().unwrap_or(Verdict::MayHaveRun);
         self.decide(
@@ -228,13 +229,13 @@
         self.replan = true;
     }
 
-    /// Asks for a job's state to be written.
+    /// Requests a write of the state of a job, in place of earlier writes.
     pub(super) fn write(&mut self, key: &JobKey, state: JobState) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
         };
-        self.next_write += 1;
-        let id = WriteId(self.next_write);
+        self.last_write += 1;
+        let id = WriteId(self.last_write);
         entry.pending_write = Some(id);
         self.effects.push(Effect::Write {
             id,
@@ -246,12 +247,12 @@
         });
     }
 
-    /// Notes a decision for the log and for `explain`, unless it was the last one too.
+    /// Records a decision for the log and for `explain`, unless it is the same as the last one.
     pub(super) fn decide(&mut self, key: &JobKey, kind: DecisionKind, now: Timestamp, text: &str) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
         };
-        if entry.note(now, text) {
+        if entry.record_decision(now, text) {
             let decision = Decision {
                 job: key.clone(),
                 kind,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Begins a run on the members' places, which must be occupied already.
+    /// Begins a run. The allocations of its members must exist already.
     pub(super) fn begin_run(&mut self, key: &JobKey, run: Run, owner: super::AllocationOwner) {
         let state = JobState::Placed {
             attempt: run.attempt(),
@@ -274,9 +275,9 @@
         self.write(key, state);
     }
 
-    /// Enters a run into the indexes.
+    /// Registers a run with its owner id and its workers.
     pub(super) fn register_run(&mut self, key: &JobKey, run: &Run, owner: super::AllocationOwner) {
-        self.uses.insert(owner, key.clone());
+        self.owners.insert(owner, key.clone());
         for member in run.members() {
             if let Some(contact) = self.contacts.get_mut(&member.worker) {
                 contact.runs.insert(key.clone());
@@ -295,10 +296,11 @@
     }
 }
 
+/// Returns the stored form of the placement of each member.
 pub(super) fn placed_members(run: &Run) -> Vec<PlacedMember> {
-    let place = |m: &Member| PlacedMember {
+    let placed = |m: &Member| PlacedMember {
         worker: m.worker.clone(),
         incarnation: m.incarnation,
     };
-    run.members().iter().map(place).collect()
+    run.members().iter().map(placed).collect()
 }
--- a/crates/stairstall-core/src/placement/scheduler/summary.rs
+++ b/crates/stairstall-core/src/placement/scheduler/summary.rs
@@ -8,43 +8,43 @@
 };
 use crate::protocol::{Explanation, Stage as ExplainedStage};
 
-/// How broken up the free accelerators are.
+/// Fragmentation of the free accelerators of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Fragmentation {
-    /// Accelerators of usable workers.
+    /// Accelerators of all usable workers.
     pub total: u32,
     /// Free accelerators.
     pub free: u32,
     /// Free accelerators that no waiting or guaranteed shape can use.
     pub unusable: u32,
-    /// Free accelerators that no waiting shape can use, while a job waits; else none.
+    /// Free accelerators that no waiting shape can use; zero while no job waits.
     pub unusable_by_waiting: u32,
-    /// Accelerators of the largest free run of neighbouring, wholly free workers.
+    /// Accelerators of the largest group of adjacent, wholly free workers.
     pub largest_free: u32,
 }
 
-/// Counts of one zone's jobs.
+/// Number of jobs in a zone by stage, and of its guarantees and workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Jobs that wait.
+    /// Jobs that wait for a placement.
     pub waiting: usize,
-    /// Jobs with a run.
+    /// Jobs with a run in progress.
     pub running: usize,
-    /// Jobs that are over and whose end is being recorded.
+    /// Jobs that have ended and whose end is not stored yet.
     pub closing: usize,
     /// Guarantees without a home block.
     pub broken_guarantees: usize,
-    /// Workers that answer.
+    /// Workers that accept new work.
     pub usable_workers: usize,
 }
 
 impl Scheduler {
-    /// Counts jobs and workers.
+    /// Returns the number of jobs, broken guarantees and usable workers.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let mut summary = Summary {
             broken_guarantees: self.homes.broken().len(),
-            usable_workers: self.contacts.values().filter(|c| c.takes_work()).count(),
+            usable_workers: self.contacts.values().filter(|c| c.accepts_work()).count(),
             ..Summary::default()
         };
         for entry in self.jobs.values() {
@@ -57,11 +57,11 @@
         summary
     }
 
-    /// Measures how broken up the free accelerators are.
+    /// Measures the fragmentation of the free accelerators.
     #[must_use]
     pub fn fragmentation(&self) -> Fragmentation {
-        let rooms = self.inventory.free_capacity(Access::Borrow);
-        let free: u32 = rooms.iter().map(|r| r.mask.count_ones()).sum();
+        let capacities = self.inventory.free_capacity(Access::Borrow);
+        let free: u32 = capacities.iter().map(|r| r.mask.count_ones()).sum();
         let total = (0..self.inventory.len())
             .filter_map(|i| self.inventory.worker_at(i))
             .filter(|w| self.inventory.is_usable(&w.id))
@@ -70,21 +70,22 @@
         let waiting = self.waiting_shapes();
         let guaranteed = self.homes.iter().map(|home| home.guarantee.shape);
         let wanted = waiting.iter().copied().chain(guaranteed).collect();
-        let unusable = unusable_by(&rooms, &wanted);
-        let lost = if waiting.is_empty() {
+        let unusable = unusable_by(&capacities, &wanted);
+        let unusable_by_waiting = if waiting.is_empty() {
             0
         } else {
-            unusable_by(&rooms, &waiting)
+            unusable_by(&capacities, &waiting)
         };
         Fragmentation {
             total,
             free,
             unusable,
-            unusable_by_waiting: lost,
+            unusable_by_waiting,
             largest_free: self.largest_free(),
         }
     }
 
+    /// Returns the shapes of waiting jobs that need accelerators.
     fn waiting_shapes(&self) -> BTreeSet<Shape> {
         let waiting = self
             .jobs
@@ -96,19 +97,20 @@
             .collect()
     }
 
+    /// Returns the accelerators of the largest group of adjacent, wholly free workers.
     fn largest_free(&self) -> u32 {
-        let rooms = self.inventory.free_capacity(Access::Borrow);
+        let capacities = self.inventory.free_capacity(Access::Borrow);
         let mut largest = 0;
         let mut run = 0;
-        for (index, room) in rooms.iter().enumerate() {
+        for (index, capacity) in capacities.iter().enumerate() {
             let whole = self
                 .inventory
                 .worker_at(index)
                 .map_or(0, |w| w.capacity.mask());
             let follows = index > 0
-                && rooms[index - 1].rack == room.rack
-                && rooms[index - 1].position + 1 == room.position;
-            let all_free = whole != 0 && room.mask == whole;
+                && capacities[index - 1].rack == capacity.rack
+                && capacities[index - 1].position + 1 == capacity.position;
+            let all_free = whole != 0 && capacity.mask == whole;
             run = match (all_free, follows) {
                 (true, true) => run + whole.count_ones(),
                 (true, false) => whole.count_ones(),
@@ -119,7 +121,7 @@
         largest
     }
 
-    /// Returns where a job's run stands; none while it has no run.
+    /// Returns the phase of the current run of a job, if it has one.
     #[must_use]
     pub fn phase_of(&self, key: &JobKey) -> Option<RunPhase> {
         match &self.jobs.get(key)?.stage {
@@ -128,19 +130,19 @@
         }
     }
 
-    /// Returns the home blocks in force.
+    /// Returns the current home blocks.
     #[must_use]
     pub const fn homes(&self) -> &HomeBlocks {
         &self.homes
     }
 
-    /// Returns the workers and what occupies them.
+    /// Returns the workers and their allocations.
     #[must_use]
     pub const fn inventory(&self) -> &Inventory {
         &self.inventory
     }
 
-    /// Explains where a job stands and what was decided about it.
+    /// Returns the stage of a job and the last decisions about it.
     #[must_use]
     pub fn explain(&self, key: &JobKey, now: Timestamp) -> Option<Explanation> {
         let entry = self.jobs.get(key)?;
@@ -168,11 +170,11 @@
     }
 }
 
-/// Returns how many free accelerators no block of any of the shapes covers.
-fn unusable_by(rooms: &[FreeCapacity], shapes: &BTreeSet<Shape>) -> u32 {
-    let mut unused: Vec<u64> = rooms.iter().map(|r| r.mask).collect();
+/// Returns the number of free accelerators that no block of any of the shapes covers.
+fn unusable_by(capacities: &[FreeCapacity], shapes: &BTreeSet<Shape>) -> u32 {
+    let mut unused: Vec<u64> = capacities.iter().map(|r| r.mask).collect();
     for shape in shapes.iter().filter(|shape| shape.accelerators > 0) {
-        let mut left = rooms.to_vec();
+        let mut left = capacities.to_vec();
         while let Some(block) = Block::find(&left, shape, Fit::Aligned) {
             for cell in &block.cells {
                 left[cell.worker].mask &= !cell.mask;
--- a/crates/stairstall-core/src/placement/shape.rs
+++ b/crates/stairstall-core/src/placement/shape.rs
@@ -3,31 +3,31 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Most members of a gang.
+/// Maximum number of members of a gang.
 pub const MAX_MEMBERS: u16 = 64;
-/// Most accelerators of one worker, and so of one member.
+/// Maximum number of accelerators of one worker, and so of one member.
 pub const MAX_ACCELERATORS: u8 = 64;
 
 quick_error! {
-    /// A shape that no rack can hold.
+    /// Reason why a shape is invalid.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum ShapeError {
         /// The number of members is out of bounds.
         Members(found: u16) {
             display("shape.members is from 1 to {MAX_MEMBERS}, not {found}")
         }
-        /// A member asks for more accelerators than a worker has.
+        /// A member needs more accelerators than a worker can have.
         Accelerators(found: u8) {
             display("shape.accelerators is from 0 to {MAX_ACCELERATORS}, not {found}")
         }
-        /// Nothing at all is asked for.
+        /// The members need neither accelerators nor processors.
         Empty {
             display("shape asks for neither accelerators nor processors")
         }
     }
 }
 
-/// What a gang needs: so many members, each with so much of one worker.
+/// Size of a gang: the number of members, and the resources that each needs on one worker.
 ///
 /// # Examples
 ///
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shape {
-    /// Members of the gang.
+    /// Number of members.
     pub members: u16,
     /// Accelerators of each member.
     pub accelerators: u8,
@@ -51,7 +51,8 @@
     /// Memory of each member, in megabytes.
     #[serde(default)]
     pub memory_mb: u32,
-    /// Whether the members must be on neighbouring workers of a rack.
+    /// Whether the members must be on adjacent workers. They stay within one rack unless the
+    /// gang needs more workers than any rack has.
     #[serde(default)]
     pub adjacent: bool,
 }
@@ -83,7 +84,7 @@
         self
     }
 
-    /// Asks for neighbouring workers.
+    /// Requires adjacent workers.
     #[must_use]
     pub const fn adjacent(mut self) -> Self {
         self.adjacent = true;
@@ -96,7 +97,7 @@
         u32::from(self.members) * u32::from(self.accelerators)
     }
 
-    /// Tells whether a gang of this shape fits where one of `other` does.
+    /// Tells whether a gang of this shape fits wherever one of shape `other` does.
     #[must_use]
     pub const fn fits_in(&self, other: &Self) -> bool {
         self.members <= other.members
@@ -109,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// Names the field that is out of bounds.
+    /// Returns an error for the first field that is out of bounds.
     pub const fn check(&self) -> Result<(), ShapeError> {
         if self.members == 0 || self.members > MAX_MEMBERS {
             return Err(ShapeError::Members(self.members));
