--- a/crates/stairstall-core/src/placement/scheduler.rs
+++ b/crates/stairstall-core/src/placement/scheduler.rs
@@ -109,7 +109,7 @@
         self.token
     }
 
-    /// Sets the configuration, unless it is older than the current one.
+    /// Sets the configuration if its revision is newer than the current one.
     pub fn set_configuration(&mut self, configuration: Arc<Configuration>) {
         if configuration.revision <= self.configuration.revision {
             return;
@@ -136,7 +136,8 @@
         self.replan = true;
     }
 
-    /// Removes workers that the platform no longer lists and that have neither tasks nor runs.
+    /// Removes workers that the platform no longer lists and that have no tasks, runs or sync in
+    /// flight.
     pub fn remove_unlisted_workers(&mut self, listed: &BTreeSet<WorkerId>) {
         let gone: Vec<WorkerId> = self
             .contacts
--- a/crates/stairstall-core/src/placement/scheduler/effect.rs
+++ b/crates/stairstall-core/src/placement/scheduler/effect.rs
@@ -63,7 +63,7 @@
     pub job: JobKey,
     /// Kind of the decision.
     pub kind: DecisionKind,
-    /// What was decided and why.
+    /// What was chosen and why, and which alternatives were rejected.
     pub text: String,
 }
 
--- a/crates/stairstall-core/src/placement/scheduler/entry.rs
+++ b/crates/stairstall-core/src/placement/scheduler/entry.rs
@@ -14,10 +14,13 @@
 pub(super) struct Entry {
     pub(super) spec: Arc<JobSpec>,
     pub(super) accepted_ms: u64,
+    /// When the job began to wait in this tenure, or again after its last run.
     pub(super) waiting_since: Timestamp,
     /// When the job is eligible again after an attempt that did not start.
     pub(super) not_before: Timestamp,
+    /// Work saved by the last checkpoint, in milliseconds.
     pub(super) saved_ms: u64,
+    /// Whether the caller has cancelled the job.
     pub(super) cancel: bool,
     /// Whether the stored record says that the job is placed.
     pub(super) recorded: bool,
@@ -108,8 +111,8 @@
 
     /// Tells whether the job can be stopped within the grace period and run again.
     ///
-    /// A job that is not repeatable is never preemptible. If its checkpoint failed, it could
-    /// not both be stopped within the grace period and run at most once to its end.
+    /// A job that is not repeatable is never preemptible. If its checkpoint failed, it would
+    /// have to either run on beyond the grace period or be run again, and neither is allowed.
     pub(super) fn is_preemptible(&self) -> bool {
         self.spec.repeatable
     }
--- a/crates/stairstall-core/src/placement/scheduler/plan.rs
+++ b/crates/stairstall-core/src/placement/scheduler/plan.rs
@@ -162,6 +162,7 @@
 
     /// Tells whether the jobs to be moved off a block are small enough and fit elsewhere now.
     fn can_move(&self, block: &Block, candidate: &Candidate) -> bool {
+        // Owner ids start at 1, so that 0 excludes no run.
         let owners = self.victims_on(block, &candidate.spec.shape, AllocationOwner(0));
         let keys: BTreeSet<&JobKey> = owners.iter().filter_map(|id| self.owners.get(id)).collect();
         let moved: Vec<&Entry> = keys.iter().filter_map(|key| self.jobs.get(*key)).collect();
--- a/crates/stairstall-core/src/placement/scheduler/queue.rs
+++ b/crates/stairstall-core/src/placement/scheduler/queue.rs
@@ -140,10 +140,10 @@
             let waited = now.since(candidate.waiting_since).as_millis() * 1_000
                 / WAIT_PER_ACCELERATOR.as_millis();
             let waited = u64::try_from(waited).unwrap_or(u64::MAX);
-            let size = candidate.left.as_millis() * 1_000 / WORK_PER_ACCELERATOR.as_millis();
-            let size = u64::try_from(size).unwrap_or(u64::MAX);
+            let work = candidate.left.as_millis() * 1_000 / WORK_PER_ACCELERATOR.as_millis();
+            let work = u64::try_from(work).unwrap_or(u64::MAX);
             let score = (*customer_usage * 1_000 / weight)
-                .saturating_add(size)
+                .saturating_add(work)
                 .saturating_sub(waited);
             *customer_usage += u64::from(candidate.spec.shape.total_accelerators());
             ranked.push((score, candidate));
