--- a/crates/stairstall-core/src/placement/run.rs
+++ b/crates/stairstall-core/src/placement/run.rs
@@ -4,44 +4,49 @@
 
 use super::Attempt;
 use crate::{Timestamp, Verdict};
-pub use phase::{Ending, Member, MemberPhase, Phase, StopReason, Wish};
+pub use phase::{Member, MemberOrder, MemberPhase, RunOutcome, RunPhase, StopReason};
 
-/// One attempt at a gang job: all members run, or none does.
+/// One attempt at a gang job: either all members run or none does.
 ///
-/// Every member is reserved before any is started, and each starts under a
-/// lease that is too short to do harm; only when all are known to run are they
-/// confirmed. Whatever goes wrong before or after stops all. The run is driven
-/// by the workers' reports alone, so lost and repeated messages do no harm.
+/// Every member is reserved before any is started. Members start under a short lease
+/// ([`Run::START_LEASE`]) and are confirmed only when all are known to run, so a gang that
+/// started in part soon ends by itself. Any failure stops all members. State changes follow
+/// from the reports of the workers and from timeouts alone, so lost or repeated messages are
+/// harmless.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Run {
     attempt: Attempt,
     members: Vec<Member>,
-    phase: Phase,
+    phase: RunPhase,
+    /// Whether any member may have been ordered to start in this tenure.
     start_sent: bool,
+    /// Whether the placement is stored, or need not be.
     recorded: bool,
+    /// Whether the capacity of all members is free.
     cleared: bool,
+    /// Whether an earlier holder started the run.
     recovered: bool,
 }
 
 impl Run {
-    /// How long members may take to be reserved.
+    /// Timeout for reserving all members.
     pub const RESERVE_TIMEOUT: Duration = Duration::from_secs(4);
-    /// How long members may take to start, once all are reserved.
+    /// Timeout for starting all members, once all are reserved.
     pub const START_TIMEOUT: Duration = Duration::from_secs(3);
-    /// Lease of a started member until it is confirmed; longer than the start may take.
+    /// Lease of a started member until it is confirmed; longer than [`Run::START_TIMEOUT`].
     pub const START_LEASE: Duration = Duration::from_secs(6);
-    /// Lease of a reservation; longer than reserving and starting may take.
+    /// Lease of a reserved member; longer than both timeouts together.
     pub const RESERVE_LEASE: Duration = Duration::from_secs(10);
-    /// How long work that gives way has to save its progress.
-    pub const GRACE: Duration = Duration::from_secs(3);
+    /// Time that a preempted run has to save its progress.
+    pub const PREEMPTION_GRACE: Duration = Duration::from_secs(3);
 
-    /// Creates a run that waits to be recorded and for its places to be cleared.
+    /// Creates a run that waits until it is recorded and its capacity is free.
     #[must_use]
     pub const fn new(attempt: Attempt, members: Vec<Member>) -> Self {
         Self {
             attempt,
             members,
-            phase: Phase::Preparing,
+            phase: RunPhase::Preparing,
             start_sent: false,
             recorded: false,
             cleared: false,
@@ -49,75 +54,76 @@
         }
     }
 
-    /// Creates the run of an earlier holder, about which the workers are still asked.
+    /// Creates the run of an earlier holder. It waits for a report about every member.
     #[must_use]
     pub const fn recover(attempt: Attempt, members: Vec<Member>) -> Self {
         let mut run = Self::new(attempt, members);
-        run.phase = Phase::Recovering;
+        run.phase = RunPhase::Recovering;
         run.recorded = true;
         run.cleared = true;
         run.recovered = true;
         run
     }
 
-    /// Returns the attempt.
+    /// Returns the attempt that this run is.
     #[must_use]
     pub const fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// Returns the members.
+    /// Returns the members, by member index.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Returns the phase.
+    /// Returns the current phase.
     #[must_use]
-    pub const fn phase(&self) -> Phase {
+    pub const fn phase(&self) -> RunPhase {
         self.phase
     }
 
-    /// Returns how the run ended, if it did.
+    /// Returns how the run ended, if it has.
     #[must_use]
-    pub const fn ending(&self) -> Option<Ending> {
+    pub const fn outcome(&self) -> Option<RunOutcome> {
         match self.phase {
-            Phase::Over { ending } => Some(ending),
+            RunPhase::Over { ending } => Some(ending),
             _ => None,
         }
     }
 
-    /// Notes which accelerators a member holds, where they were not known.
+    /// Sets the accelerators of a member that were not known before.
     pub fn set_mask(&mut self, member: u16, mask: u64) {
         if let Some(found) = self.members.get_mut(usize::from(member)) {
             found.mask = mask;
         }
     }
 
-    /// Notes that the placement is recorded, or need not be.
-    pub const fn note_recorded(&mut self) {
+    /// Marks the placement as stored, or as one that need not be stored before the start.
+    pub const fn mark_recorded(&mut self) {
         self.recorded = true;
     }
 
-    /// Tells whether the placement is recorded.
+    /// Tells whether the placement is marked as recorded.
     #[must_use]
     pub const fn is_recorded(&self) -> bool {
         self.recorded
     }
 
-    /// Notes that nothing stands in the way any more.
-    pub const fn note_cleared(&mut self) {
+    /// Marks the capacity of all members as free.
+    pub const fn mark_cleared(&mut self) {
         self.cleared = true;
     }
 
-    /// Tells whether the places are clear.
+    /// Tells whether the capacity of all members is marked as free.
     #[must_use]
     pub const fn is_cleared(&self) -> bool {
         self.cleared
     }
 
-    /// Takes what a worker says of a member; a member that is over stays so.
-    pub fn report(&mut self, member: u16, phase: MemberPhase) {
+    /// Sets the phase of a member as reported by its worker. The phase of a member that is over
+    /// does not change any more.
+    pub fn update_member(&mut self, member: u16, phase: MemberPhase) {
         let Some(found) = self.members.get_mut(usize::from(member)) else {
             return;
         };
@@ -126,29 +132,29 @@
         }
     }
 
-    /// Begins to stop the run, whatever it does now.
+    /// Starts to stop the run, whatever its phase.
     pub fn stop(&mut self, reason: StopReason) {
         match self.phase {
-            Phase::Over { .. } | Phase::Stopping { .. } => {}
-            Phase::Preparing => self.end(reason),
-            _ => self.phase = Phase::Stopping { reason },
+            RunPhase::Over { .. } | RunPhase::Stopping { .. } => {}
+            RunPhase::Preparing => self.end(reason),
+            _ => self.phase = RunPhase::Stopping { reason },
         }
     }
 
-    /// Makes the run give way: saves progress first, where `checkpoints` says it can.
-    pub fn give_way(&mut self, now: Timestamp, checkpoints: bool) {
+    /// Preempts the run. If `checkpoints` is set and the run is running, it saves progress first.
+    pub fn preempt(&mut self, now: Timestamp, checkpoints: bool) {
         match self.phase {
-            Phase::Running if checkpoints => {
-                self.phase = Phase::Checkpointing {
-                    until: now + Self::GRACE,
+            RunPhase::Running if checkpoints => {
+                self.phase = RunPhase::Checkpointing {
+                    until: now + Self::PREEMPTION_GRACE,
                 };
             }
-            Phase::Checkpointing { .. } => {}
+            RunPhase::Checkpointing { .. } => {}
             _ => self.stop(StopReason::GaveWay),
         }
     }
 
-    /// Moves on as far as the reports allow; true where the phase changed.
+    /// Advances as far as the reports allow. Returns whether the phase changed.
     pub fn advance(&mut self, now: Timestamp) -> bool {
         let before = self.phase;
         while self.step(now) {}
@@ -158,21 +164,21 @@
     fn step(&mut self, now: Timestamp) -> bool {
         let before = self.phase;
         match self.phase {
-            Phase::Preparing => self.step_preparing(now),
-            Phase::Recovering => self.step_recovering(),
-            Phase::Reserving { until } => self.step_reserving(now, until),
-            Phase::Starting { until } => self.step_starting(now, until),
-            Phase::Running => self.step_running(),
-            Phase::Checkpointing { until } => self.step_checkpointing(now, until),
-            Phase::Stopping { reason } => self.step_stopping(reason),
-            Phase::Over { .. } => {}
+            RunPhase::Preparing => self.step_preparing(now),
+            RunPhase::Recovering => self.step_recovering(),
+            RunPhase::Reserving { until } => self.step_reserving(now, until),
+            RunPhase::Starting { until } => self.step_starting(now, until),
+            RunPhase::Running => self.step_running(),
+            RunPhase::Checkpointing { until } => self.step_checkpointing(now, until),
+            RunPhase::Stopping { reason } => self.step_stopping(reason),
+            RunPhase::Over { .. } => {}
         }
         self.phase != before
     }
 
     fn step_preparing(&mut self, now: Timestamp) {
         if self.recorded && self.cleared {
-            self.phase = Phase::Reserving {
+            self.phase = RunPhase::Reserving {
                 until: now + Self::RESERVE_TIMEOUT,
             };
         }
@@ -183,9 +189,9 @@
             return;
         }
         if self.all(|p| p.is_running() || matches!(p, MemberPhase::Finished { .. })) {
-            self.phase = Phase::Running;
+            self.phase = RunPhase::Running;
         } else {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberLost,
             };
         }
@@ -193,39 +199,39 @@
 
     fn step_reserving(&mut self, now: Timestamp, until: Timestamp) {
         if self.any(MemberPhase::is_over) || now >= until {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::NotStarted,
             };
         } else if self.all(|p| *p == MemberPhase::Reserved) {
             self.start_sent = true;
-            self.phase = Phase::Starting {
+            self.phase = RunPhase::Starting {
                 until: now + Self::START_TIMEOUT,
             };
         }
     }
 
     fn step_starting(&mut self, now: Timestamp, until: Timestamp) {
-        let ended = |p: &MemberPhase| matches!(p, MemberPhase::Finished { success: true });
-        if self.any(|p| p.is_over() && !ended(p)) || now >= until {
-            self.phase = Phase::Stopping {
+        let succeeded = |p: &MemberPhase| matches!(p, MemberPhase::Finished { success: true });
+        if self.any(|p| p.is_over() && !succeeded(p)) || now >= until {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::NotStarted,
             };
-        } else if self.all(|p| p.is_running() || ended(p)) {
-            self.phase = Phase::Running;
+        } else if self.all(|p| p.is_running() || succeeded(p)) {
+            self.phase = RunPhase::Running;
         }
     }
 
     fn step_running(&mut self) {
         if self.all(|p| *p == MemberPhase::Finished { success: true }) {
-            self.phase = Phase::Over {
-                ending: Ending::Finished { success: true },
+            self.phase = RunPhase::Over {
+                ending: RunOutcome::Finished { success: true },
             };
         } else if self.any(|p| *p == MemberPhase::Finished { success: false }) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberFailed,
             };
         } else if self.any(|p| matches!(p, MemberPhase::Stopped { .. } | MemberPhase::Lost)) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberLost,
             };
         }
@@ -233,29 +239,30 @@
 
     fn step_checkpointing(&mut self, now: Timestamp, until: Timestamp) {
         if self.all(|p| *p == MemberPhase::Finished { success: true }) {
-            self.phase = Phase::Over {
-                ending: Ending::Finished { success: true },
+            self.phase = RunPhase::Over {
+                ending: RunOutcome::Finished { success: true },
             };
         } else if self.any(|p| matches!(p, MemberPhase::Stopped { .. } | MemberPhase::Lost)) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::MemberLost,
             };
         } else if now >= until || self.all(|p| *p == MemberPhase::Checkpointed || p.is_over()) {
-            self.phase = Phase::Stopping {
+            self.phase = RunPhase::Stopping {
                 reason: StopReason::GaveWay,
             };
         }
     }
 
     fn step_stopping(&mut self, reason: StopReason) {
-        // An absent member was never reserved, or its reservation is refused below.
+        // Before any start order an absent member counts as stopped: it was never reserved, or its
+        // reservation is refused.
         if !self.all(|p| p.is_over() || (*p == MemberPhase::Absent && !self.start_sent)) {
             return;
         }
         if self.all(|p| matches!(p, MemberPhase::Finished { .. })) {
             let success = self.all(|p| *p == MemberPhase::Finished { success: true });
-            self.phase = Phase::Over {
-                ending: Ending::Finished { success },
+            self.phase = RunPhase::Over {
+                ending: RunOutcome::Finished { success },
             };
         } else {
             self.end(reason);
@@ -264,38 +271,38 @@
 
     fn end(&mut self, reason: StopReason) {
         let verdict = self.verdict();
-        self.phase = Phase::Over {
-            ending: Ending::Stopped { reason, verdict },
+        self.phase = RunPhase::Over {
+            ending: RunOutcome::Stopped { reason, verdict },
         };
     }
 
-    /// Returns what is known about whether any member ran.
+    /// Returns whether any member may have run.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
-        let fresh = !self.recovered && !self.start_sent;
-        if fresh || self.all(MemberPhase::never_started) {
+        let no_start_sent = !self.recovered && !self.start_sent;
+        if no_start_sent || self.all(MemberPhase::never_started) {
             Verdict::NotRun
         } else {
             Verdict::MayHaveRun
         }
     }
 
-    /// Returns what the member's worker should be told next, if anything.
+    /// Returns the next order for a member's worker, if there is one.
     #[must_use]
-    pub fn wish(&self, member: u16) -> Option<Wish> {
+    pub fn next_order(&self, member: u16) -> Option<MemberOrder> {
         let phase = &self.members.get(usize::from(member))?.phase;
         match (self.phase, phase) {
             (_, p) if p.is_over() => None,
-            (Phase::Reserving { .. }, MemberPhase::Unknown | MemberPhase::Absent) => {
-                Some(Wish::Reserve)
+            (RunPhase::Reserving { .. }, MemberPhase::Unknown | MemberPhase::Absent) => {
+                Some(MemberOrder::Reserve)
             }
-            (Phase::Starting { .. }, MemberPhase::Reserved) => Some(Wish::Start),
-            (Phase::Running, MemberPhase::Started) => Some(Wish::Confirm),
-            (Phase::Checkpointing { .. }, MemberPhase::Started | MemberPhase::Confirmed) => {
-                Some(Wish::Checkpoint)
+            (RunPhase::Starting { .. }, MemberPhase::Reserved) => Some(MemberOrder::Start),
+            (RunPhase::Running, MemberPhase::Started) => Some(MemberOrder::Confirm),
+            (RunPhase::Checkpointing { .. }, MemberPhase::Started | MemberPhase::Confirmed) => {
+                Some(MemberOrder::Checkpoint)
             }
-            (Phase::Stopping { .. }, p) if *p != MemberPhase::Absent || self.start_sent => {
-                Some(Wish::Stop)
+            (RunPhase::Stopping { .. }, p) if *p != MemberPhase::Absent || self.start_sent => {
+                Some(MemberOrder::Stop)
             }
             _ => None,
         }
