--- a/crates/stairstall-core/src/admission/fair_queue.rs
+++ b/crates/stairstall-core/src/admission/fair_queue.rs
@@ -3,7 +3,7 @@
 
 use quick_error::quick_error;
 
-use super::ReturnBounds;
+use super::RetryAfterBounds;
 use crate::{ClassId, CustomerId, Timestamp, Verdict};
 
 /// Returns by how much a cost moves on the virtual time of whoever has a weight.
@@ -116,7 +116,7 @@
     /// Virtual time that one request of weight one takes.
     const COST: u64 = 1 << 20;
     /// Bounds of the hint of when to come back.
-    const RETURN_BOUNDS: ReturnBounds = ReturnBounds {
+    const RETURN_BOUNDS: RetryAfterBounds = RetryAfterBounds {
         shortest: Duration::from_secs(1),
         longest: Duration::from_secs(30),
     };
--- a/crates/stairstall-core/src/admission/return_times.rs
+++ b/crates/stairstall-core/src/admission/retry_after.rs
@@ -6,14 +6,14 @@
 
 /// Bounds of how long callers are told to stay away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReturnBounds {
+pub struct RetryAfterBounds {
     /// The shortest time.
     pub shortest: Duration,
     /// The longest.
     pub longest: Duration,
 }
 
-impl ReturnBounds {
+impl RetryAfterBounds {
     /// Returns a wait within the bounds.
     #[must_use]
     pub fn clamp(&self, wait: Duration) -> Duration {
@@ -24,20 +24,20 @@
 /// Gives those who are refused times to return at, one after the other in the order in which they
 /// asked, so that they don't come all at once.
 #[derive(Debug, Clone, Copy)]
-pub struct ReturnTimes {
-    bounds: ReturnBounds,
+pub struct RetryAfterSchedule {
+    bounds: RetryAfterBounds,
     /// Between two of them.
     spacing: Duration,
     last: Option<Timestamp>,
 }
 
-impl ReturnTimes {
+impl RetryAfterSchedule {
     /// Part of the longest wait over which those are spread that would have to wait longer.
     const SPREAD_DIVISOR: u32 = 4;
 
     /// Creates times of which none is taken.
     #[must_use]
-    pub const fn new(bounds: ReturnBounds, spacing: Duration) -> Self {
+    pub const fn new(bounds: RetryAfterBounds, spacing: Duration) -> Self {
         Self {
             bounds,
             spacing,
--- a/crates/stairstall-core/src/admission/retry_budget.rs
+++ b/crates/stairstall-core/src/admission/retry_budget.rs
@@ -40,7 +40,7 @@
     }
 
     /// Counts one first attempt.
-    pub fn note_request(&mut self) {
+    pub fn record_request(&mut self) {
         self.tokens = (self.tokens + Self::REQUEST_EARNS).min(Self::MOST);
     }
 
--- a/crates/stairstall-core/src/claim.rs
+++ b/crates/stairstall-core/src/claim.rs
@@ -34,7 +34,7 @@
 
 /// The whole answer to a claimed request, kept for callers that lost theirs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, where the minion gave one.
@@ -49,7 +49,7 @@
     /// Who claimed it.
     pub mark: Mark,
     /// The answer, once it is known and small enough to keep.
-    pub answer: Option<KeptAnswer>,
+    pub answer: Option<StoredResponse>,
     /// Whether the request was seen to end with a whole answer.
     pub finished: bool,
 }
@@ -68,7 +68,7 @@
 
 /// The store's answer to the write of a claim, as far as it is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimWriteResult {
     /// The write took effect.
     Applied,
     /// Another record stands in its place; it may be our own, written earlier.
@@ -83,15 +83,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
     /// Send the same write, with the same mark, again.
-    WriteAgain,
+    RetryWrite,
     /// The claim is held: the request may be sent while [`ClaimAttempt::may_send`] says so.
     Held,
     /// Somebody else holds or held the claim.
     Taken(ClaimRecord),
     /// Given up; nothing was sent, and a record may stand that has to be released.
-    GivenUp {
+    GaveUp {
         /// Whether a record with our mark may stand in the store.
-        may_stand: bool,
+        record_may_exist: bool,
     },
 }
 
@@ -102,15 +102,15 @@
 /// ```
 /// use std::time::Duration;
 /// use stairstall_core::Timestamp;
-/// use stairstall_core::claim::{ClaimAnswer, ClaimAttempt, ClaimRecord, ClaimStep, Mark};
+/// use stairstall_core::claim::{ClaimWriteResult, ClaimAttempt, ClaimRecord, ClaimStep, Mark};
 ///
 /// let mark = Mark::new("vm-1".parse().unwrap(), 7, 1);
 /// let start = Timestamp::from_millis(0);
 /// let mut attempt = ClaimAttempt::new(mark.clone(), start, Duration::from_secs(60));
 /// // The answer of the first write is lost; the second finds our own mark.
-/// assert_eq!(attempt.on_answer(ClaimAnswer::Lost), ClaimStep::WriteAgain);
-/// let own = ClaimAnswer::Conflict(ClaimRecord::new(mark));
-/// assert_eq!(attempt.on_answer(own), ClaimStep::Held);
+/// assert_eq!(attempt.handle_write_result(ClaimWriteResult::Lost), ClaimStep::RetryWrite);
+/// let own = ClaimWriteResult::Conflict(ClaimRecord::new(mark));
+/// assert_eq!(attempt.handle_write_result(own), ClaimStep::Held);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimAttempt {
@@ -150,13 +150,13 @@
     }
 
     /// Takes the store's answer to the last write.
-    pub fn on_answer(&mut self, answer: ClaimAnswer) -> ClaimStep {
+    pub fn handle_write_result(&mut self, answer: ClaimWriteResult) -> ClaimStep {
         match answer {
-            ClaimAnswer::Applied => self.hold(),
-            ClaimAnswer::Conflict(record) if record.mark == self.mark => self.hold(),
-            ClaimAnswer::Conflict(record) => ClaimStep::Taken(record),
-            ClaimAnswer::NotSent => self.again(),
-            ClaimAnswer::Lost => {
+            ClaimWriteResult::Applied => self.hold(),
+            ClaimWriteResult::Conflict(record) if record.mark == self.mark => self.hold(),
+            ClaimWriteResult::Conflict(record) => ClaimStep::Taken(record),
+            ClaimWriteResult::NotSent => self.again(),
+            ClaimWriteResult::Lost => {
                 self.lost = true;
                 self.again()
             }
@@ -176,11 +176,11 @@
 
     fn again(&mut self) -> ClaimStep {
         if self.writes >= Self::MAX_WRITES {
-            return ClaimStep::GivenUp {
-                may_stand: self.lost,
+            return ClaimStep::GaveUp {
+                record_may_exist: self.lost,
             };
         }
         self.writes += 1;
-        ClaimStep::WriteAgain
+        ClaimStep::RetryWrite
     }
 }
--- a/crates/stairstall-core/src/config.rs
+++ b/crates/stairstall-core/src/config.rs
@@ -7,10 +7,12 @@
 mod state;
 
 pub use change::{Assignment, Change, Operation};
-pub use follower::{Follower, Offer};
+pub use follower::{Follower, OfferOutcome};
 pub use head::{Head, HeadError, TailEntry};
-pub use resource::{Customer, Guarantee, Kind, PriorityClass, Resource, Rule, RuleEffect, Service};
-pub use state::{Configuration, Invalid};
+pub use resource::{
+    Customer, Guarantee, PriorityClass, Resource, ResourceKind, Rule, RuleEffect, Service,
+};
+pub use state::{Configuration, InvalidChange};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/stairstall-core/src/config/change.rs
+++ b/crates/stairstall-core/src/config/change.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Kind, Resource, Revision};
+use super::{Resource, ResourceKind, Revision};
 use crate::{ChangeId, Selector, ZoneId};
 
 /// One field of a group of resources and its new value.
@@ -111,7 +111,7 @@
     Delete {
         /// Its kind.
         #[serde(rename = "of")]
-        kind: Kind,
+        kind: ResourceKind,
         /// Its name.
         name: String,
     },
@@ -119,7 +119,7 @@
     Set {
         /// The kind.
         #[serde(rename = "of")]
-        kind: Kind,
+        kind: ResourceKind,
         /// Which resources.
         selector: Selector,
         /// The new value.
--- a/crates/stairstall-core/src/config/follower.rs
+++ b/crates/stairstall-core/src/config/follower.rs
@@ -4,7 +4,7 @@
 
 /// What became of an offered head or configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It was newer and is in force now.
     Applied,
     /// It is not newer than what is in force.
@@ -18,13 +18,13 @@
 /// # Examples
 ///
 /// ```
-/// use stairstall_core::config::{Configuration, Follower, Offer, Revision};
+/// use stairstall_core::config::{Configuration, Follower, OfferOutcome, Revision};
 ///
 /// let mut follower = Follower::new();
 /// let newer = Configuration { revision: Revision(3), ..Default::default() };
-/// assert_eq!(follower.offer_full(newer), Offer::Applied);
+/// assert_eq!(follower.offer_configuration(newer), OfferOutcome::Applied);
 /// let older = Configuration { revision: Revision(2), ..Default::default() };
-/// assert_eq!(follower.offer_full(older), Offer::Stale);
+/// assert_eq!(follower.offer_configuration(older), OfferOutcome::Stale);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Follower {
@@ -45,9 +45,9 @@
     }
 
     /// Takes the store's head, if it is newer.
-    pub fn offer_head(&mut self, head: &Head) -> Offer {
+    pub fn offer_head(&mut self, head: &Head) -> OfferOutcome {
         if head.revision <= self.current.revision {
-            return Offer::Stale;
+            return OfferOutcome::Stale;
         }
         let mut next = Configuration::clone(&self.current);
         for entry in &head.tail {
@@ -56,22 +56,22 @@
             }
             match next.apply(&entry.change) {
                 Ok(applied) => next = applied,
-                Err(_) => return Offer::NeedsSnapshot(head.snapshot),
+                Err(_) => return OfferOutcome::NeedsSnapshot(head.snapshot),
             }
         }
         if next.revision != head.revision {
-            return Offer::NeedsSnapshot(head.snapshot);
+            return OfferOutcome::NeedsSnapshot(head.snapshot);
         }
         self.current = Arc::new(next);
-        Offer::Applied
+        OfferOutcome::Applied
     }
 
     /// Takes a whole configuration, from a snapshot or a peer, if it is newer.
-    pub fn offer_full(&mut self, configuration: Configuration) -> Offer {
+    pub fn offer_configuration(&mut self, configuration: Configuration) -> OfferOutcome {
         if configuration.revision <= self.current.revision {
-            return Offer::Stale;
+            return OfferOutcome::Stale;
         }
         self.current = Arc::new(configuration);
-        Offer::Applied
+        OfferOutcome::Applied
     }
 }
--- a/crates/stairstall-core/src/config/head.rs
+++ b/crates/stairstall-core/src/config/head.rs
@@ -1,7 +1,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-use super::{Change, Configuration, Invalid, Revision};
+use super::{Change, Configuration, InvalidChange, Revision};
 
 quick_error! {
     /// Why a change was not appended.
@@ -12,11 +12,11 @@
             display("the configuration is at revision {current} by now; look at it and try again")
         }
         /// The head or the configuration was read too early; read both again.
-        OutOfStep {
+        RevisionMismatch {
             display("the configuration moved on meanwhile")
         }
         /// The change itself is wrong.
-        Invalid(source: Invalid) {
+        Invalid(source: InvalidChange) {
             display("{source}")
             from()
             source(source)
@@ -74,7 +74,7 @@
         change: &Change,
     ) -> Result<(Self, Configuration), HeadError> {
         if current.revision != self.revision {
-            return Err(HeadError::OutOfStep);
+            return Err(HeadError::RevisionMismatch);
         }
         if change.base.is_some_and(|base| base != self.revision) {
             return Err(HeadError::Conflict(self.revision));
@@ -91,13 +91,13 @@
 
     /// Tells whether a snapshot of the newest revision should be written.
     #[must_use]
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.tail.len() > Self::MAX_TAIL
     }
 
     /// Returns the head after a snapshot of its newest revision was written.
     #[must_use]
-    pub fn cut(mut self) -> Self {
+    pub fn truncate_tail(mut self) -> Self {
         self.snapshot = self.revision;
         let surplus = self.tail.len().saturating_sub(Self::KEPT_TAIL);
         self.tail.drain(..surplus);
--- a/crates/stairstall-core/src/config/resource.rs
+++ b/crates/stairstall-core/src/config/resource.rs
@@ -114,7 +114,7 @@
 /// The kinds of resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum ResourceKind {
     /// [`Customer`].
     Customer,
     /// [`PriorityClass`].
@@ -127,7 +127,7 @@
     Service,
 }
 
-impl Kind {
+impl ResourceKind {
     /// All kinds, in the order in which they depend on one another.
     pub const ALL: [Self; 5] = [
         Self::Customer,
@@ -150,13 +150,13 @@
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ResourceKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for ResourceKind {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -191,13 +191,13 @@
 impl Resource {
     /// Returns the kind.
     #[must_use]
-    pub const fn kind(&self) -> Kind {
+    pub const fn kind(&self) -> ResourceKind {
         match self {
-            Self::Customer(_) => Kind::Customer,
-            Self::PriorityClass(_) => Kind::PriorityClass,
-            Self::Guarantee(_) => Kind::Guarantee,
-            Self::Rule(_) => Kind::Rule,
-            Self::Service(_) => Kind::Service,
+            Self::Customer(_) => ResourceKind::Customer,
+            Self::PriorityClass(_) => ResourceKind::PriorityClass,
+            Self::Guarantee(_) => ResourceKind::Guarantee,
+            Self::Rule(_) => ResourceKind::Rule,
+            Self::Service(_) => ResourceKind::Service,
         }
     }
 
--- a/crates/stairstall-core/src/config/state.rs
+++ b/crates/stairstall-core/src/config/state.rs
@@ -4,17 +4,17 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Assignment, Change, Customer, Guarantee, Kind, Operation, PriorityClass, Resource, Revision,
-    Rule, RuleEffect, Service,
+    Assignment, Change, Customer, Guarantee, Operation, PriorityClass, Resource, ResourceKind,
+    Revision, Rule, RuleEffect, Service,
 };
 use crate::{ClassId, CustomerId, GuaranteeId, Labels, RuleId, ServiceId, ZoneId};
 
 quick_error! {
     /// A change that can't be applied.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum Invalid {
+    pub enum InvalidChange {
         /// A resource is not there.
-        Missing(kind: Kind, name: String) {
+        Missing(kind: ResourceKind, name: String) {
             display("there is no {kind} {name:?}")
         }
         /// A name is not allowed.
@@ -22,7 +22,7 @@
             display("{name:?} is not an allowed name or value")
         }
         /// A field does not belong to the kind.
-        Field(kind: Kind, assignment: String) {
+        Field(kind: ResourceKind, assignment: String) {
             display("{assignment}: a {kind} has no such field")
         }
         /// A value is out of bounds.
@@ -30,7 +30,7 @@
             display("{what}")
         }
         /// A resource is still in use.
-        InUse(kind: Kind, name: String, by: String) {
+        InUse(kind: ResourceKind, name: String, by: String) {
             display("{kind} {name:?} is still named by {by}")
         }
     }
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Returns what is wrong; the configuration then stays as it is.
-    pub fn apply(&self, change: &Change) -> Result<Self, Invalid> {
+    pub fn apply(&self, change: &Change) -> Result<Self, InvalidChange> {
         let mut next = self.clone();
         for operation in &change.operations {
             next.apply_operation(operation)?;
@@ -71,28 +71,28 @@
 
     /// Returns the resources of one kind, in order of name.
     #[must_use]
-    pub fn resources(&self, kind: Kind) -> Vec<Resource> {
+    pub fn resources(&self, kind: ResourceKind) -> Vec<Resource> {
         match kind {
-            Kind::Customer => self
+            ResourceKind::Customer => self
                 .customers
                 .values()
                 .cloned()
                 .map(Resource::Customer)
                 .collect(),
-            Kind::PriorityClass => self
+            ResourceKind::PriorityClass => self
                 .classes
                 .values()
                 .cloned()
                 .map(Resource::PriorityClass)
                 .collect(),
-            Kind::Guarantee => self
+            ResourceKind::Guarantee => self
                 .guarantees
                 .values()
                 .cloned()
                 .map(Resource::Guarantee)
                 .collect(),
-            Kind::Rule => self.rules.values().cloned().map(Resource::Rule).collect(),
-            Kind::Service => self
+            ResourceKind::Rule => self.rules.values().cloned().map(Resource::Rule).collect(),
+            ResourceKind::Service => self
                 .services
                 .values()
                 .cloned()
@@ -129,7 +129,7 @@
             .collect()
     }
 
-    fn apply_operation(&mut self, operation: &Operation) -> Result<(), Invalid> {
+    fn apply_operation(&mut self, operation: &Operation) -> Result<(), InvalidChange> {
         match operation {
             Operation::Put { resource } => {
                 self.put(resource.clone());
@@ -162,26 +162,26 @@
         }
     }
 
-    fn delete(&mut self, kind: Kind, name: &str) -> Result<(), Invalid> {
-        let bad_name = |_| Invalid::Name(name.to_owned());
+    fn delete(&mut self, kind: ResourceKind, name: &str) -> Result<(), InvalidChange> {
+        let bad_name = |_| InvalidChange::Name(name.to_owned());
         let found = match kind {
-            Kind::Customer => self
+            ResourceKind::Customer => self
                 .customers
                 .remove(&name.parse().map_err(bad_name)?)
                 .is_some(),
-            Kind::PriorityClass => self
+            ResourceKind::PriorityClass => self
                 .classes
                 .remove(&name.parse().map_err(bad_name)?)
                 .is_some(),
-            Kind::Guarantee => self
+            ResourceKind::Guarantee => self
                 .guarantees
                 .remove(&name.parse().map_err(bad_name)?)
                 .is_some(),
-            Kind::Rule => self
+            ResourceKind::Rule => self
                 .rules
                 .remove(&name.parse().map_err(bad_name)?)
                 .is_some(),
-            Kind::Service => self
+            ResourceKind::Service => self
                 .services
                 .remove(&name.parse().map_err(bad_name)?)
                 .is_some(),
@@ -189,12 +189,12 @@
         if found {
             Ok(())
         } else {
-            Err(Invalid::Missing(kind, name.to_owned()))
+            Err(InvalidChange::Missing(kind, name.to_owned()))
         }
     }
 
     /// Checks what the resources say of one another.
-    fn check(&self) -> Result<(), Invalid> {
+    fn check(&self) -> Result<(), InvalidChange> {
         for customer in self.customers.values() {
             check_weight("customer", customer.name.as_str(), customer.weight)?;
         }
@@ -204,8 +204,8 @@
         for guarantee in self.guarantees.values() {
             if !self.customers.contains_key(&guarantee.customer) {
                 let by = format!("guarantee {:?}", guarantee.name.as_str());
-                return Err(Invalid::InUse(
-                    Kind::Customer,
+                return Err(InvalidChange::InUse(
+                    ResourceKind::Customer,
                     guarantee.customer.to_string(),
                     by,
                 ));
@@ -213,7 +213,7 @@
             guarantee
                 .shape
                 .check()
-                .map_err(|e| Invalid::Value(format!("guarantee {}: {e}", guarantee.name)))?;
+                .map_err(|e| InvalidChange::Value(format!("guarantee {}: {e}", guarantee.name)))?;
         }
         for rule in self.rules.values() {
             if let Some(class) = rule
@@ -223,7 +223,11 @@
                 .filter(|c| !self.classes.contains_key(*c))
             {
                 let by = format!("rule {:?}", rule.name.as_str());
-                return Err(Invalid::InUse(Kind::PriorityClass, class.to_string(), by));
+                return Err(InvalidChange::InUse(
+                    ResourceKind::PriorityClass,
+                    class.to_string(),
+                    by,
+                ));
             }
         }
         for service in self.services.values() {
@@ -232,28 +236,29 @@
                     "service {}: slots and deadline-ms are at least 1",
                     service.name
                 );
-                return Err(Invalid::Value(what));
+                return Err(InvalidChange::Value(what));
             }
         }
         Ok(())
     }
 }
 
-fn check_weight(kind: &str, name: &str, weight: u32) -> Result<(), Invalid> {
+fn check_weight(kind: &str, name: &str, weight: u32) -> Result<(), InvalidChange> {
     if (1..=1_000).contains(&weight) {
         return Ok(());
     }
-    Err(Invalid::Value(format!(
+    Err(InvalidChange::Value(format!(
         "{kind} {name}: weight is from 1 to 1000, not {weight}"
     )))
 }
 
-fn assign(resource: &mut Resource, assignment: &Assignment) -> Result<(), Invalid> {
+fn assign(resource: &mut Resource, assignment: &Assignment) -> Result<(), InvalidChange> {
     let kind = resource.kind();
     if let Assignment::Label(name, value) = assignment {
         let labels = resource.labels_mut();
         let changed = std::mem::take(labels).with(name, value);
-        *labels = changed.map_err(|e| Invalid::Value(format!("label.{name}={value}: {e}")))?;
+        *labels =
+            changed.map_err(|e| InvalidChange::Value(format!("label.{name}={value}: {e}")))?;
         return Ok(());
     }
     match (resource, assignment) {
@@ -268,7 +273,7 @@
         (Resource::Rule(r), Assignment::Hold(b)) => r.effect.hold = Some(*b),
         (Resource::Service(r), Assignment::Slots(n)) => r.slots = *n,
         (Resource::Service(r), Assignment::DeadlineMs(n)) => r.deadline_ms = *n,
-        _ => return Err(Invalid::Field(kind, assignment.to_string())),
+        _ => return Err(InvalidChange::Field(kind, assignment.to_string())),
     }
     Ok(())
 }
--- a/crates/stairstall-core/src/lease.rs
+++ b/crates/stairstall-core/src/lease.rs
@@ -45,7 +45,7 @@
 
     /// Returns when every other party may count the lease as ended.
     #[must_use]
-    pub fn surely_ended_at(&self, granted_at: Timestamp) -> Timestamp {
+    pub fn expired_for_all_at(&self, granted_at: Timestamp) -> Timestamp {
         granted_at + (self.ttl + self.ttl / Self::DRIFT_SHARE)
     }
 
--- a/crates/stairstall-core/src/membership.rs
+++ b/crates/stairstall-core/src/membership.rs
@@ -13,22 +13,22 @@
 /// wrongly taken for dead is still bounded by the minions and fenced by the
 /// workers.
 #[derive(Debug, Clone, Default)]
-pub struct Members {
+pub struct MemberTable {
     heard: BTreeMap<VmId, (Timestamp, Heartbeat)>,
 }
 
-impl Members {
+impl MemberTable {
     /// How often daemons of one zone exchange heartbeats.
     pub const INTERVAL: Duration = Duration::from_millis(500);
     /// How long a daemon counts as alive after its last heartbeat, at the least.
     pub const TIMEOUT: Duration = Duration::from_secs(2);
     /// What each daemon of other zones adds to the time between their heartbeats, so
     /// that a daemon's traffic stays bounded as zones are added.
-    pub const FAR_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(200);
+    pub const CROSS_ZONE_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(200);
     /// Shortest time between heartbeats to other zones.
-    pub const MIN_FAR_INTERVAL: Duration = Duration::from_secs(1);
+    pub const MIN_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(1);
     /// Longest such time.
-    pub const MAX_FAR_INTERVAL: Duration = Duration::from_secs(6);
+    pub const MAX_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(6);
     /// So many heartbeats may be missed.
     const MISSED: u32 = 3;
     /// How long a silent daemon is remembered at all.
@@ -41,7 +41,7 @@
     }
 
     /// Takes a heartbeat.
-    pub fn note(&mut self, heartbeat: Heartbeat, now: Timestamp) {
+    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, now: Timestamp) {
         self.heard
             .insert(heartbeat.daemon.clone(), (now, heartbeat));
         self.heard.retain(|_, (at, _)| now - *at < Self::FORGET);
@@ -49,15 +49,15 @@
 
     /// Returns the time between heartbeats to so many daemons of other zones.
     #[must_use]
-    pub fn far_interval(daemons: usize) -> Duration {
+    pub fn cross_zone_interval(daemons: usize) -> Duration {
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
-        let interval = Self::FAR_INTERVAL_PER_DAEMON.saturating_mul(daemons);
-        interval.clamp(Self::MIN_FAR_INTERVAL, Self::MAX_FAR_INTERVAL)
+        let interval = Self::CROSS_ZONE_INTERVAL_PER_DAEMON.saturating_mul(daemons);
+        interval.clamp(Self::MIN_CROSS_ZONE_INTERVAL, Self::MAX_CROSS_ZONE_INTERVAL)
     }
 
     /// Returns how long ago a daemon was heard, if it ever was.
     #[must_use]
-    pub fn heard_before(&self, daemon: &VmId, now: Timestamp) -> Option<Duration> {
+    pub fn time_since_heartbeat(&self, daemon: &VmId, now: Timestamp) -> Option<Duration> {
         self.heard.get(daemon).map(|(at, _)| now - *at)
     }
 
@@ -100,14 +100,14 @@
     /// A holder that is cut off from the store goes on, but a daemon that
     /// reaches the store may take the role once the lease ended.
     #[must_use]
-    pub fn is_held(&self, zone: &ZoneId, now: Timestamp) -> bool {
+    pub fn has_confirmed_holder(&self, zone: &ZoneId, now: Timestamp) -> bool {
         self.live(now)
             .any(|h| h.zone == *zone && h.token.is_some() && h.confirmed)
     }
 
     /// Returns the highest token that any daemon of `zone` was heard to hold.
     #[must_use]
-    pub fn last_token(&self, zone: &ZoneId) -> Option<u64> {
+    pub fn highest_token(&self, zone: &ZoneId) -> Option<u64> {
         self.heard
             .values()
             .filter(|(_, h)| h.zone == *zone)
@@ -117,7 +117,7 @@
 
     /// Returns how long no holder of `zone` was heard, if one ever was.
     #[must_use]
-    pub fn holder_silent_for(&self, zone: &ZoneId, now: Timestamp) -> Option<Duration> {
+    pub fn time_since_holder_heartbeat(&self, zone: &ZoneId, now: Timestamp) -> Option<Duration> {
         self.heard
             .values()
             .filter(|(_, h)| h.zone == *zone && h.token.is_some())
--- a/crates/stairstall-core/src/placement/scheduler/contact.rs
+++ b/crates/stairstall-core/src/placement/scheduler/contact.rs
@@ -167,7 +167,7 @@
     fn renewed_surely_until(&self) -> Timestamp {
         // The last renewing request may have been answered as late as its time-out.
         let latest = self.renewed_at + SYNC_TIMEOUT;
-        Lease::new(latest, Scheduler::TASK_LEASE).surely_ended_at(latest)
+        Lease::new(latest, Scheduler::TASK_LEASE).expired_for_all_at(latest)
     }
 
     /// Returns the orders for tasks that no current run speaks for.
--- a/crates/stairstall-core/src/placement/scheduler/summary.rs
+++ b/crates/stairstall-core/src/placement/scheduler/summary.rs
@@ -4,7 +4,7 @@
 use super::entry::Stage;
 use crate::Timestamp;
 use crate::placement::{Access, Block, Fit, Homes, Inventory, JobKey, Phase, Room, Shape};
-use crate::protocol::{Explanation, Stage as ExplainedStage};
+use crate::protocol::{Explanation, ExplanationEntry};
 
 /// How broken up the free accelerators are.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -153,7 +153,7 @@
             }
             Stage::Closing => "over; its end is being recorded".to_owned(),
         };
-        let stage = |(at, text): &(Timestamp, String)| ExplainedStage {
+        let stage = |(at, text): &(Timestamp, String)| ExplanationEntry {
             age_ms: u64::try_from(now.since(*at).as_millis()).unwrap_or(u64::MAX),
             text: text.clone(),
         };
--- a/crates/stairstall-core/src/protocol.rs
+++ b/crates/stairstall-core/src/protocol.rs
@@ -5,9 +5,12 @@
 mod vm;
 mod worker;
 
-pub use caller::{ConfigReply, ErrorBody, Explanation, JobPage, JobStatus, Stage, header};
-pub use peer::{Heartbeat, PlacementLoad, ServiceLoad, WitnessAnswer, WitnessQuestion};
+pub use caller::{
+    ConfigReply, ErrorBody, Explanation, ExplanationEntry, JobPage, JobStatus, header,
+};
+pub use peer::{GuaranteeCheckReply, GuaranteeCheckRequest, Heartbeat, PlacementLoad, ServiceLoad};
 pub use vm::{VmEntry, VmList, VmRole, VmState};
 pub use worker::{
-    Command, Order, Stale, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, TaskSpec, Usage,
+    Command, Order, StaleRequest, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, TaskSpec,
+    Usage,
 };
--- a/crates/stairstall-core/src/protocol/caller.rs
+++ b/crates/stairstall-core/src/protocol/caller.rs
@@ -71,7 +71,7 @@
 
 /// One decision about a job or request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stage {
+pub struct ExplanationEntry {
     /// Milliseconds ago.
     pub age_ms: u64,
     /// What was decided and why.
@@ -86,5 +86,5 @@
     /// Where it stands.
     pub summary: String,
     /// The last decisions, oldest first.
-    pub stages: Vec<Stage>,
+    pub stages: Vec<ExplanationEntry>,
 }
--- a/crates/stairstall-core/src/protocol/peer.rs
+++ b/crates/stairstall-core/src/protocol/peer.rs
@@ -58,7 +58,7 @@
 
 /// Asks a placement holder whether guarantees can all be kept at once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WitnessQuestion {
+pub struct GuaranteeCheckRequest {
     /// Every guarantee of the zone after the change.
     pub guarantees: Vec<Guarantee>,
 }
@@ -66,7 +66,7 @@
 /// Whether the guarantees can be kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
-pub enum WitnessAnswer {
+pub enum GuaranteeCheckReply {
     /// Every guarantee has a home block.
     Kept,
     /// This guarantee found none.
--- a/crates/stairstall-core/src/protocol/worker.rs
+++ b/crates/stairstall-core/src/protocol/worker.rs
@@ -188,7 +188,7 @@
 
 /// A worker's refusal of a token or sequence that is too low; nothing was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stale {
+pub struct StaleRequest {
     /// The highest token it has seen.
     pub highest: u64,
 }
--- a/crates/stairstall-core/src/routing.rs
+++ b/crates/stairstall-core/src/routing.rs
@@ -4,6 +4,6 @@
 mod minions;
 mod shares;
 
-pub use circuit::Circuit;
-pub use minions::{MinionInfo, MinionTable, Outcome, Pick, PickRefusal};
-pub use shares::Shares;
+pub use circuit::CircuitBreaker;
+pub use minions::{MinionInfo, MinionTable, Pick, PickRefusal, RequestOutcome};
+pub use shares::SlotShares;
--- a/crates/stairstall-core/src/routing/circuit.rs
+++ b/crates/stairstall-core/src/routing/circuit.rs
@@ -7,12 +7,12 @@
 /// After a few faults in a row it opens for a while that doubles with each
 /// further fault; then one request at a time may try.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Circuit {
+pub struct CircuitBreaker {
     faults: u32,
     open_until: Option<Timestamp>,
 }
 
-impl Circuit {
+impl CircuitBreaker {
     /// A circuit that lets requests through.
     pub const CLOSED: Self = Self {
         faults: 0,
@@ -35,13 +35,13 @@
     }
 
     /// Notes an answer: the minion works.
-    pub const fn note_success(&mut self) {
+    pub const fn record_success(&mut self) {
         self.faults = 0;
         self.open_until = None;
     }
 
     /// Notes a fault: no answer, or a broken one.
-    pub fn note_fault(&mut self, now: Timestamp) {
+    pub fn record_fault(&mut self, now: Timestamp) {
         self.faults = self.faults.saturating_add(1);
         if self.faults >= Self::FAULTS_TO_OPEN {
             let doublings = (self.faults - Self::FAULTS_TO_OPEN).min(Self::MAX_DOUBLINGS);
--- a/crates/stairstall-core/src/routing/minions.rs
+++ b/crates/stairstall-core/src/routing/minions.rs
@@ -4,7 +4,7 @@
 
 use quick_error::quick_error;
 
-use super::{Circuit, Shares};
+use super::{CircuitBreaker, SlotShares};
 use crate::protocol::VmState;
 use crate::{MinionId, ServiceId, Timestamp, Verdict};
 
@@ -32,7 +32,7 @@
 
 /// How a request to a minion ended, as far as the minion's health goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// It answered.
     Answered,
     /// It refused because its slots are taken.
@@ -89,7 +89,7 @@
 struct Minion {
     info: MinionInfo,
     in_flight: u16,
-    circuit: Circuit,
+    circuit: CircuitBreaker,
     busy_until: Timestamp,
     said_leaving: bool,
     listed: bool,
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone)]
 pub struct MinionTable {
     minions: BTreeMap<MinionId, Minion>,
-    shares: Shares,
+    shares: SlotShares,
     turn: usize,
 }
 
@@ -115,7 +115,7 @@
 
     /// Creates a table without minions.
     #[must_use]
-    pub const fn new(shares: Shares) -> Self {
+    pub const fn new(shares: SlotShares) -> Self {
         Self {
             minions: BTreeMap::new(),
             shares,
@@ -124,7 +124,7 @@
     }
 
     /// Returns the shares, for news about the zone's daemons.
-    pub const fn shares_mut(&mut self) -> &mut Shares {
+    pub const fn shares_mut(&mut self) -> &mut SlotShares {
         &mut self.shares
     }
 
@@ -168,7 +168,7 @@
                 continue;
             }
             candidates += 1;
-            let share = self.shares.of(&minion.info.id, slots, now);
+            let share = self.shares.share_of(&minion.info.id, slots, now);
             let open = minion.circuit.allows(now, minion.in_flight) && now >= minion.busy_until;
             if minion.in_flight >= share || !open || avoid.contains(&minion.info.id) {
                 continue;
@@ -200,7 +200,7 @@
     }
 
     /// Gives a slot back and notes how the request ended; that says nothing of another life.
-    pub fn release(&mut self, pick: &Pick, outcome: Outcome, now: Timestamp) {
+    pub fn release(&mut self, pick: &Pick, outcome: RequestOutcome, now: Timestamp) {
         let Some(minion) = self.minions.get_mut(&pick.minion) else {
             return;
         };
@@ -210,11 +210,11 @@
             return;
         }
         match outcome {
-            Outcome::Answered => minion.circuit.note_success(),
-            Outcome::Busy => minion.busy_until = now + Self::BUSY_PAUSE,
-            Outcome::Leaving => minion.said_leaving = true,
-            Outcome::Fault => minion.circuit.note_fault(now),
-            Outcome::Abandoned => {}
+            RequestOutcome::Answered => minion.circuit.record_success(),
+            RequestOutcome::Busy => minion.busy_until = now + Self::BUSY_PAUSE,
+            RequestOutcome::Leaving => minion.said_leaving = true,
+            RequestOutcome::Fault => minion.circuit.record_fault(now),
+            RequestOutcome::Abandoned => {}
         }
     }
 
@@ -235,7 +235,7 @@
             .filter(|m| m.info.service == *service && m.takes_work())
             .filter(|m| m.circuit.allows(now, m.in_flight))
             .map(|m| {
-                let share = self.shares.of(&m.info.id, slots, now);
+                let share = self.shares.share_of(&m.info.id, slots, now);
                 usize::from(share.saturating_sub(m.in_flight))
             })
             .sum()
@@ -255,7 +255,7 @@
     ///
     /// One that said that it leaves, and starts again under its id and address, would get nothing more.
     const fn begin_life(&mut self) {
-        self.circuit = Circuit::CLOSED;
+        self.circuit = CircuitBreaker::CLOSED;
         self.busy_until = Timestamp::from_millis(0);
         self.said_leaving = false;
     }
@@ -264,7 +264,7 @@
         Self {
             info,
             in_flight: 0,
-            circuit: Circuit::CLOSED,
+            circuit: CircuitBreaker::CLOSED,
             busy_until: Timestamp::from_millis(0),
             said_leaving: false,
             listed: true,
--- a/crates/stairstall-core/src/routing/shares.rs
+++ b/crates/stairstall-core/src/routing/shares.rs
@@ -7,24 +7,24 @@
 ///
 /// The slots are divided by the list of live daemons of the zone; a remainder
 /// goes by rank of a hash. A share shrinks at once when the list changes, and
-/// grows only after [`Shares::GAIN_DELAY`], when every daemon that heard the
+/// grows only after [`SlotShares::GAIN_DELAY`], when every daemon that heard the
 /// news has shrunk its own. A daemon that was paused starts again from nothing.
 ///
 /// # Examples
 ///
 /// ```
 /// use stairstall_core::Timestamp;
-/// use stairstall_core::routing::Shares;
+/// use stairstall_core::routing::SlotShares;
 ///
 /// let me = "vm-1".parse().unwrap();
-/// let mut shares = Shares::new(me, Timestamp::from_millis(0));
+/// let mut shares = SlotShares::new(me, Timestamp::from_millis(0));
 /// shares.set_members(vec!["vm-1".parse().unwrap()], Timestamp::from_millis(0));
 /// let minion = "minion-1".parse().unwrap();
-/// assert_eq!(shares.of(&minion, 8, Timestamp::from_millis(0)), 0);
-/// assert_eq!(shares.of(&minion, 8, Timestamp::from_millis(3_000)), 8);
+/// assert_eq!(shares.share_of(&minion, 8, Timestamp::from_millis(0)), 0);
+/// assert_eq!(shares.share_of(&minion, 8, Timestamp::from_millis(3_000)), 8);
 /// ```
 #[derive(Debug, Clone)]
-pub struct Shares {
+pub struct SlotShares {
     me: VmId,
     /// Lists with the time each was replaced; the last one is in force.
     views: VecDeque<View>,
@@ -36,7 +36,7 @@
     replaced_at: Option<Timestamp>,
 }
 
-impl Shares {
+impl SlotShares {
     /// How long a larger share waits: longer than a silent member stays on any list.
     pub const GAIN_DELAY: Duration = Duration::from_secs(3);
 
@@ -92,7 +92,7 @@
 
     /// Returns how many of the minion's `slots` may be used at `now`.
     #[must_use]
-    pub fn of(&self, minion: &MinionId, slots: u16, now: Timestamp) -> u16 {
+    pub fn share_of(&self, minion: &MinionId, slots: u16, now: Timestamp) -> u16 {
         self.views
             .iter()
             .filter(|view| view.in_force(now))
@@ -110,7 +110,7 @@
     /// Tells whether the list still bounds the share at `now`.
     fn in_force(&self, now: Timestamp) -> bool {
         self.replaced_at
-            .is_none_or(|at| now < at + Shares::GAIN_DELAY)
+            .is_none_or(|at| now < at + SlotShares::GAIN_DELAY)
     }
 
     fn share(&self, me: &VmId, minion: &MinionId, slots: u16) -> u16 {
--- a/crates/stairstall-core/tests/minions.rs
+++ b/crates/stairstall-core/tests/minions.rs
@@ -1,7 +1,7 @@
 //! Minions that start again under the name and address that they had.
 
 use stairstall_core::protocol::VmState;
-use stairstall_core::routing::{MinionInfo, MinionTable, Outcome, Pick, Shares};
+use stairstall_core::routing::{MinionInfo, MinionTable, Pick, RequestOutcome, SlotShares};
 use stairstall_core::{ServiceId, Timestamp, VmId};
 
 const SLOTS: u16 = 8;
@@ -23,7 +23,7 @@
 fn table() -> MinionTable {
     let me: VmId = "vm-1".parse().expect("an id");
     let start = Timestamp::from_millis(0);
-    let mut shares = Shares::new(me.clone(), start);
+    let mut shares = SlotShares::new(me.clone(), start);
     shares.set_members(vec![me], start);
     let mut table = MinionTable::new(shares);
     table.set_minions(listed(1));
@@ -42,7 +42,7 @@
 fn a_new_life_has_not_said_that_it_leaves() {
     let mut table = table();
     let request = pick(&mut table);
-    table.release(&request, Outcome::Leaving, now());
+    table.release(&request, RequestOutcome::Leaving, now());
     assert!(!table.serves(&service()));
     table.set_minions(listed(1));
     assert!(!table.serves(&service()), "it is the same life");
@@ -56,7 +56,7 @@
     let requests = [pick(&mut table), pick(&mut table)];
     table.set_minions(listed(2));
     for request in &requests {
-        table.release(request, Outcome::Leaving, now());
+        table.release(request, RequestOutcome::Leaving, now());
     }
     assert_eq!(table.in_flight(), 0, "its slots are free again");
     assert!(table.serves(&service()));
--- a/crates/stairstall-core/tests/models/claim.rs
+++ b/crates/stairstall-core/tests/models/claim.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stairstall_core::Timestamp;
-use stairstall_core::claim::{ClaimAnswer, ClaimAttempt, ClaimRecord, ClaimStep, Mark};
+use stairstall_core::claim::{ClaimAttempt, ClaimRecord, ClaimStep, ClaimWriteResult, Mark};
 
 use super::explore::{Explored, assert_breaks, assert_holds, explore};
 
@@ -67,27 +67,29 @@
 }
 
 /// Writes as the store does: only where nothing stands.
-fn swap(state: &mut State, index: usize) -> ClaimAnswer {
+fn swap(state: &mut State, index: usize) -> ClaimWriteResult {
     if let Some(record) = &state.record {
-        return ClaimAnswer::Conflict(record.clone());
+        return ClaimWriteResult::Conflict(record.clone());
     }
     state.record = Some(state.daemons[index].attempt.record());
-    ClaimAnswer::Applied
+    ClaimWriteResult::Applied
 }
 
-fn take(state: &mut State, index: usize, answer: ClaimAnswer, variant: Variant) {
-    let lost = answer == ClaimAnswer::Lost;
+fn take(state: &mut State, index: usize, answer: ClaimWriteResult, variant: Variant) {
+    let lost = answer == ClaimWriteResult::Lost;
     let daemon = &mut state.daemons[index];
     if lost && variant == Variant::AssumesSuccess {
         daemon.stage = Stage::Held;
         return;
     }
-    daemon.stage = match daemon.attempt.on_answer(answer) {
-        ClaimStep::WriteAgain => Stage::Writing,
+    daemon.stage = match daemon.attempt.handle_write_result(answer) {
+        ClaimStep::RetryWrite => Stage::Writing,
         ClaimStep::Held => Stage::Held,
         ClaimStep::Taken(_) if variant == Variant::NoClaim => Stage::Held,
         ClaimStep::Taken(_) => Stage::Done,
-        ClaimStep::GivenUp { may_stand } => {
+        ClaimStep::GaveUp {
+            record_may_exist: may_stand,
+        } => {
             daemon.told_not_run = true;
             if may_stand {
                 Stage::Releasing
@@ -124,17 +126,17 @@
                     // The request is lost, its answer is lost, or it arrives late.
                     step(&|s| {
                         s.faults -= 1;
-                        take(s, index, ClaimAnswer::NotSent, variant);
+                        take(s, index, ClaimWriteResult::NotSent, variant);
                     });
                     step(&|s| {
                         s.faults -= 1;
                         swap(s, index);
-                        take(s, index, ClaimAnswer::Lost, variant);
+                        take(s, index, ClaimWriteResult::Lost, variant);
                     });
                     step(&|s| {
                         s.faults -= 1;
                         s.daemons[index].late_write = true;
-                        take(s, index, ClaimAnswer::Lost, variant);
+                        take(s, index, ClaimWriteResult::Lost, variant);
                     });
                 }
             }
--- a/crates/stairstall-core/tests/models/config.rs
+++ b/crates/stairstall-core/tests/models/config.rs
@@ -71,7 +71,7 @@
     let (head, offered) = replay(&state.log[..seen]);
     let mut own = Follower::new();
     if variant != Variant::TakesAnything {
-        own.offer_full(replay(&state.log[..usize::from(known)]).1);
+        own.offer_configuration(replay(&state.log[..usize::from(known)]).1);
     }
     own.offer_head(&head);
     let now = u8::try_from(own.current().revision.0).unwrap();
--- a/crates/stairstall-core/tests/properties/small.rs
+++ b/crates/stairstall-core/tests/properties/small.rs
@@ -6,7 +6,7 @@
 use quickcheck::TestResult;
 use stairstall_core::admission::{FairQueue, Flow};
 use stairstall_core::placement::{Block, Fit, Room, Shape};
-use stairstall_core::routing::Shares;
+use stairstall_core::routing::SlotShares;
 use stairstall_core::{Selector, Timestamp, VmId};
 
 use super::{check, name};
@@ -21,9 +21,9 @@
         let total: u32 = members
             .iter()
             .map(|me| {
-                let mut shares = Shares::new(me.clone(), Timestamp::default());
+                let mut shares = SlotShares::new(me.clone(), Timestamp::default());
                 shares.set_members(members.clone(), Timestamp::default());
-                u32::from(shares.of(&minion, u16::from(slots), later))
+                u32::from(shares.share_of(&minion, u16::from(slots), later))
             })
             .sum();
         total == u32::from(slots)
@@ -49,10 +49,10 @@
             |count: u8| -> Vec<VmId> { (0..count).map(|i| name(&format!("vm-{i}"))).collect() };
         let minion = name(&format!("minion-{minion}"));
         let all = before.max(after);
-        let mut shares: Vec<Shares> = list(all)
+        let mut shares: Vec<SlotShares> = list(all)
             .into_iter()
             .map(|me| {
-                let mut shares = Shares::new(me, Timestamp::default());
+                let mut shares = SlotShares::new(me, Timestamp::default());
                 shares.set_members(list(before), Timestamp::default());
                 shares
             })
@@ -66,7 +66,7 @@
                     shares.set_members(list(after), now);
                 }
             }
-            let total: u16 = shares.iter().map(|s| s.of(&minion, 8, now)).sum();
+            let total: u16 = shares.iter().map(|s| s.share_of(&minion, 8, now)).sum();
             if total > 8 {
                 return TestResult::error(format!("{total} slots at {millis} ms"));
             }
--- a/crates/stairstall-core/tests/return_times.rs
+++ b/crates/stairstall-core/tests/return_times.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use stairstall_core::Timestamp;
-use stairstall_core::admission::{ReturnBounds, ReturnTimes};
+use stairstall_core::admission::{RetryAfterBounds, RetryAfterSchedule};
 
-const BOUNDS: ReturnBounds = ReturnBounds {
+const BOUNDS: RetryAfterBounds = RetryAfterBounds {
     shortest: Duration::from_secs(1),
     longest: Duration::from_secs(20),
 };
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_herd_comes_back_one_after_the_other_in_the_order_of_its_asking() {
-    let mut returns = ReturnTimes::new(BOUNDS, SPACING);
+    let mut returns = RetryAfterSchedule::new(BOUNDS, SPACING);
     let now = Timestamp::from_millis(1_000);
     let wait = Duration::from_secs(3);
     let times: Vec<Duration> = (0..100)
@@ -29,7 +29,7 @@
 
 #[test]
 fn times_stay_within_their_bounds_and_spread_below_the_longest() {
-    let mut returns = ReturnTimes::new(BOUNDS, SPACING);
+    let mut returns = RetryAfterSchedule::new(BOUNDS, SPACING);
     let now = Timestamp::from_millis(0);
     assert!(returns.next(Duration::ZERO, now, 0.5) >= BOUNDS.shortest);
     let long = Duration::from_secs(600);
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_quiet_while_ends_the_line() {
-    let mut returns = ReturnTimes::new(BOUNDS, SPACING);
+    let mut returns = RetryAfterSchedule::new(BOUNDS, SPACING);
     let start = Timestamp::from_millis(0);
     for _ in 0..50 {
         returns.next(Duration::from_secs(1), start, 0.0);
--- a/crates/stairstall-standin/src/worker/state.rs
+++ b/crates/stairstall-standin/src/worker/state.rs
@@ -3,7 +3,8 @@
 
 use stairstall_core::placement::Capacity;
 use stairstall_core::protocol::{
-    Command, Order, Stale, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, TaskSpec, Usage,
+    Command, Order, StaleRequest, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, TaskSpec,
+    Usage,
 };
 
 /// Payload of a task that ends without success.
@@ -141,13 +142,17 @@
     /// # Errors
     ///
     /// Refuses a token or sequence that is too low; nothing is done then.
-    pub fn sync(&mut self, request: &SyncRequest, now: Duration) -> Result<SyncReply, Stale> {
+    pub fn sync(
+        &mut self,
+        request: &SyncRequest,
+        now: Duration,
+    ) -> Result<SyncReply, StaleRequest> {
         self.advance(now);
         let newer = request.token > self.token
             || (request.token == self.token && request.sequence > self.sequence);
         if !newer {
             self.refused += 1;
-            return Err(Stale {
+            return Err(StaleRequest {
                 highest: self.token,
             });
         }
--- a/crates/stairstall/src/cli.rs
+++ b/crates/stairstall/src/cli.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use bpaf::{OptionParser, ParseFailure, Parser, construct, long, positional};
-use stairstall_core::config::{Kind, Revision};
+use stairstall_core::config::{ResourceKind, Revision};
 use stairstall_core::placement::JobKey;
 use stairstall_core::{
     ChangeId, ClassId, CustomerId, JobId, Labels, RequestId, Selector, ServiceId,
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject {
     /// Resources of the configuration.
-    Config(Kind),
+    Config(ResourceKind),
     /// Jobs.
     Jobs,
 }
@@ -138,7 +138,7 @@
     /// Removes a resource.
     Delete {
         change: ChangeOptions,
-        kind: Kind,
+        kind: ResourceKind,
         name: String,
     },
     /// Submits a job.
@@ -283,7 +283,7 @@
 
 fn delete() -> impl Parser<Command> {
     let change = change_options();
-    let kind = positional::<Kind>("KIND").help("Kind of resource");
+    let kind = positional::<ResourceKind>("KIND").help("Kind of resource");
     let name = positional::<String>("NAME").help("Its name");
     construct!(Command::Delete { change, kind, name })
         .to_options()
--- a/crates/stairstall/src/commands/config.rs
+++ b/crates/stairstall/src/commands/config.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 use stairstall_core::config::{
-    Assignment, Change, Kind, Operation, Resource, Revision, Rule, RuleEffect,
+    Assignment, Change, Operation, Resource, ResourceKind, Revision, Rule, RuleEffect,
 };
 use stairstall_core::protocol::ConfigReply;
 use stairstall_core::{ChangeId, Labels, Selector};
@@ -52,7 +52,7 @@
 pub async fn get(
     client: &Client,
     output: Output,
-    kind: Kind,
+    kind: ResourceKind,
     selector: &Selector,
 ) -> Result<(), Trouble> {
     let reply: ConfigReply = client
@@ -68,7 +68,7 @@
     client: &Client,
     output: Output,
     options: &ChangeOptions,
-    kind: Kind,
+    kind: ResourceKind,
     selector: &Selector,
     assignment: &str,
 ) -> Result<(), Trouble> {
@@ -166,7 +166,7 @@
     client: &Client,
     output: Output,
     options: &ChangeOptions,
-    kind: Kind,
+    kind: ResourceKind,
     name: &str,
 ) -> Result<(), Trouble> {
     let operation = Operation::Delete {
--- a/crates/stairstalld/src/api.rs
+++ b/crates/stairstalld/src/api.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use stairstall_core::claim::ClaimRecord;
 use stairstall_core::config::Revision;
-use stairstall_core::membership::Members;
+use stairstall_core::membership::MemberTable;
 use stairstall_core::protocol::Heartbeat;
 use stairstall_core::{CustomerId, RequestId, Verdict};
 use viz::{Request, RequestExt, Response, Result, Router, StatusCode};
@@ -128,7 +128,7 @@
 fn status(daemon: &Daemon) -> Response {
     let now = daemon.clock.now();
     let status = Status {
-        daemon: own_heartbeat(daemon, Members::INTERVAL),
+        daemon: own_heartbeat(daemon, MemberTable::INTERVAL),
         peers: lock(&daemon.members).live(now).cloned().collect(),
         store_silent_ms: daemon.store_silent_for().map(crate::clock::millis),
         in_flight: daemon.dispatcher.in_flight(),
--- a/crates/stairstalld/src/batch/refusals.rs
+++ b/crates/stairstalld/src/batch/refusals.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use stairstall_core::admission::{ReturnBounds, ReturnTimes};
+use stairstall_core::admission::{RetryAfterBounds, RetryAfterSchedule};
 use stairstall_core::batch::AdmissionPolicy;
 use stairstall_core::{Lease, Timestamp};
 use stairstall_ports::LeaseId;
@@ -26,7 +26,7 @@
     /// Held while a lease is asked for, so that many refusals at once take one.
     pub(crate) granting: tokio::sync::Mutex<()>,
     /// By the queue's priority.
-    returns: Mutex<BTreeMap<u8, ReturnTimes>>,
+    returns: Mutex<BTreeMap<u8, RetryAfterSchedule>>,
 }
 
 impl Refusals {
@@ -58,14 +58,14 @@
 
     /// Returns when a caller should come back whose job would likely wait so long.
     pub(crate) fn return_after(&self, priority: u8, wait: Duration, now: Timestamp) -> Duration {
-        let bounds = ReturnBounds {
+        let bounds = RetryAfterBounds {
             shortest: self.policy.min_retry_after,
             longest: self.policy.max_retry_after,
         };
         let spacing = self.policy.retry_after_spacing;
         let mut returns = lock(&self.returns);
         let returns = returns.entry(priority);
-        let returns = returns.or_insert_with(|| ReturnTimes::new(bounds, spacing));
+        let returns = returns.or_insert_with(|| RetryAfterSchedule::new(bounds, spacing));
         returns.next(wait, now, rand::random_range(0.0..1.0))
     }
 }
--- a/crates/stairstalld/src/call.rs
+++ b/crates/stairstalld/src/call.rs
@@ -41,7 +41,7 @@
         Err(failure) => return failure.with_request(&call.id).into(),
     };
     let call = Arc::new(call.with_body(body));
-    lock(&daemon.retries).note_request();
+    lock(&daemon.retries).record_request();
     let mut response = if call.repeatable {
         answer(&daemon, &call).await
     } else {
@@ -107,7 +107,7 @@
             match claims::claim(daemon, call).await {
                 Claimed::Held(claim) => claimed = Some(claim),
                 Claimed::Answered(response) => {
-                    permit.finish(stairstall_core::routing::Outcome::Answered);
+                    permit.finish(stairstall_core::routing::RequestOutcome::Answered);
                     return response;
                 }
             }
--- a/crates/stairstalld/src/call/attempt.rs
+++ b/crates/stairstalld/src/call/attempt.rs
@@ -5,7 +5,7 @@
 use hyper::body::Incoming;
 use stairstall_core::Verdict;
 use stairstall_core::protocol::header;
-use stairstall_core::routing::Outcome;
+use stairstall_core::routing::RequestOutcome;
 use stairstall_http::Body as RequestBody;
 use viz::header::CONTENT_LENGTH;
 use viz::{Response, StatusCode};
@@ -50,7 +50,7 @@
         .as_ref()
         .is_some_and(|c| !c.may_send(daemon.clock.now()))
     {
-        permit.finish(Outcome::Answered);
+        permit.finish(RequestOutcome::Answered);
         return failed(
             Verdict::NotRun,
             "the claim is too old to act on".to_owned(),
@@ -59,14 +59,14 @@
     }
     let left = call.deadline.since(daemon.clock.now());
     if left.is_zero() {
-        permit.finish(Outcome::Abandoned);
+        permit.finish(RequestOutcome::Abandoned);
         let error = "the deadline passed before it was sent".to_owned();
         return failed(Verdict::NotRun, error, claim);
     }
     let request = match request_to(call, &permit) {
         Ok(request) => request,
         Err(error) => {
-            permit.finish(Outcome::Answered);
+            permit.finish(RequestOutcome::Answered);
             return failed(
                 Verdict::NotRun,
                 format!("the request can't be passed on: {error}"),
@@ -87,7 +87,7 @@
             None => Attempted::Answered(Box::new(pass_on(daemon, call, response, permit, claim))),
         },
         Err(error) => {
-            permit.finish(Outcome::Fault);
+            permit.finish(RequestOutcome::Fault);
             failed(error.verdict(), error.to_string(), claim)
         }
     }
@@ -108,7 +108,7 @@
 }
 
 /// Tells whether the minion said that it did not start the request.
-fn refusal(response: &hyper::Response<Incoming>) -> Option<Outcome> {
+fn refusal(response: &hyper::Response<Incoming>) -> Option<RequestOutcome> {
     let says = |name: &str, value: &str| response.headers().get(name).is_some_and(|v| v == value);
     let refused = response.status() == StatusCode::SERVICE_UNAVAILABLE
         && says(header::VERDICT, Verdict::NotRun.as_str());
@@ -116,9 +116,9 @@
         return None;
     }
     Some(if says(header::LEAVING, "1") {
-        Outcome::Leaving
+        RequestOutcome::Leaving
     } else {
-        Outcome::Busy
+        RequestOutcome::Busy
     })
 }
 
--- a/crates/stairstalld/src/call/body.rs
+++ b/crates/stairstalld/src/call/body.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use quick_error::quick_error;
 use stairstall_core::RequestId;
-use stairstall_core::routing::Outcome;
+use stairstall_core::routing::RequestOutcome;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep};
 
@@ -65,12 +65,12 @@
             request,
         };
         if tracked.body.is_end_stream() {
-            tracked.finish(Outcome::Answered);
+            tracked.finish(RequestOutcome::Answered);
         }
         tracked
     }
 
-    fn finish(&mut self, outcome: Outcome) {
+    fn finish(&mut self, outcome: RequestOutcome) {
         if let Some(permit) = self.permit.take() {
             permit.finish(outcome);
         }
@@ -79,7 +79,7 @@
     fn cut(&mut self, cut: Cut) -> Cut {
         log::warn!(target: "decision", request:% = self.request, verdict = "may-have-run";
             "answer cut: {cut}");
-        self.finish(Outcome::Fault);
+        self.finish(RequestOutcome::Fault);
         cut
     }
 
@@ -137,7 +137,7 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
                 if self.body.is_end_stream() {
-                    self.finish(Outcome::Answered);
+                    self.finish(RequestOutcome::Answered);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -146,7 +146,7 @@
                 Poll::Ready(Some(Err(cut)))
             }
             Poll::Ready(None) => {
-                self.finish(Outcome::Answered);
+                self.finish(RequestOutcome::Answered);
                 Poll::Ready(None)
             }
         }
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -6,7 +6,9 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use http_body_util::Full;
-use stairstall_core::claim::{ClaimAnswer, ClaimAttempt, ClaimRecord, ClaimStep, KeptAnswer, Mark};
+use stairstall_core::claim::{
+    ClaimAttempt, ClaimRecord, ClaimStep, ClaimWriteResult, Mark, StoredResponse,
+};
 use stairstall_core::protocol::header;
 use stairstall_core::{Timestamp, Verdict};
 use stairstall_store::{Entry, Expect, LeaseId, Store, StoreError, Swap};
@@ -89,7 +91,7 @@
             daemon.retention.forget(lease).await;
         }
         let (answer, revision) = read_answer(swapped);
-        match attempt.on_answer(answer) {
+        match attempt.handle_write_result(answer) {
             ClaimStep::Held => {
                 log::info!(target: "decision", request:% = call.id, customer:% = call.flow.customer;
                     "claimed: nobody else may run it");
@@ -100,9 +102,11 @@
                     attempt,
                 });
             }
-            ClaimStep::WriteAgain => tokio::time::sleep(WRITE_PAUSE).await,
+            ClaimStep::RetryWrite => tokio::time::sleep(WRITE_PAUSE).await,
             ClaimStep::Taken(record) => return Claimed::Answered(taken(call, &record)),
-            ClaimStep::GivenUp { may_stand } => {
+            ClaimStep::GaveUp {
+                record_may_exist: may_stand,
+            } => {
                 if may_stand {
                     release_later(daemon.store.clone(), key, attempt.mark().clone());
                 }
@@ -112,16 +116,16 @@
     }
 }
 
-fn read_answer(swapped: Result<Swap, StoreError>) -> (ClaimAnswer, u64) {
+fn read_answer(swapped: Result<Swap, StoreError>) -> (ClaimWriteResult, u64) {
     match swapped {
-        Ok(Swap::Applied(revision)) => (ClaimAnswer::Applied, revision),
+        Ok(Swap::Applied(revision)) => (ClaimWriteResult::Applied, revision),
         Ok(Swap::Conflict(Some(entry))) => match entry.read::<ClaimRecord>() {
-            Some(record) => (ClaimAnswer::Conflict(record), entry.revision),
-            None => (ClaimAnswer::NotSent, 0),
+            Some(record) => (ClaimWriteResult::Conflict(record), entry.revision),
+            None => (ClaimWriteResult::NotSent, 0),
         },
-        Ok(Swap::Conflict(None)) => (ClaimAnswer::NotSent, 0),
-        Err(error) if error.verdict() == Verdict::NotRun => (ClaimAnswer::NotSent, 0),
-        Err(_) => (ClaimAnswer::Lost, 0),
+        Ok(Swap::Conflict(None)) => (ClaimWriteResult::NotSent, 0),
+        Err(error) if error.verdict() == Verdict::NotRun => (ClaimWriteResult::NotSent, 0),
+        Err(_) => (ClaimWriteResult::Lost, 0),
     }
 }
 
@@ -158,7 +162,7 @@
 }
 
 /// Gives the kept answer again.
-fn replay(kept: &KeptAnswer) -> Option<Response> {
+fn replay(kept: &StoredResponse) -> Option<Response> {
     let body = STANDARD.decode(&kept.body).ok()?;
     let mut response = Response::new(Body::from(Full::from(body)));
     *response.status_mut() = StatusCode::from_u16(kept.status).ok()?;
@@ -253,7 +257,7 @@
 
     /// Writes the answer into the claim's record; without the store it stays unfinished.
     pub(super) async fn keep(self) {
-        let answer = self.body.as_ref().map(|body| KeptAnswer {
+        let answer = self.body.as_ref().map(|body| StoredResponse {
             status: self.status,
             content_type: self.content_type.clone(),
             body: STANDARD.encode(body),
--- a/crates/stairstalld/src/configure.rs
+++ b/crates/stairstalld/src/configure.rs
@@ -4,8 +4,10 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use stairstall_core::config::{Change, Configuration, Head, HeadError, Kind, Revision, TailEntry};
-use stairstall_core::protocol::{ConfigReply, WitnessAnswer, WitnessQuestion};
+use stairstall_core::config::{
+    Change, Configuration, Head, HeadError, ResourceKind, Revision, TailEntry,
+};
+use stairstall_core::protocol::{ConfigReply, GuaranteeCheckReply, GuaranteeCheckRequest};
 use stairstall_core::{Verdict, ZoneId};
 use stairstall_store::{Expect, StoreError, Swap};
 use viz::{Request, RequestExt, Response, StatusCode};
@@ -53,7 +55,7 @@
     let kind: String = request
         .param("kind")
         .map_err(|e| Failure::bad("kind", e.to_string()))?;
-    let kind: Kind = kind
+    let kind: ResourceKind = kind
         .parse()
         .map_err(|e: String| Failure::missing(e).with_field("kind"))?;
     let selector = selector_of(request)?;
@@ -90,7 +92,7 @@
         let current = daemon.configuration();
         let (next_head, next) = match head.append(&current, &change) {
             Ok(appended) => appended,
-            Err(HeadError::OutOfStep) => {
+            Err(HeadError::RevisionMismatch) => {
                 tokio::time::sleep(APPEND_PAUSE).await;
                 continue;
             }
@@ -171,12 +173,12 @@
     next: &Configuration,
     change: &Change,
 ) -> Result<Appended, Failure> {
-    if head.wants_snapshot() {
+    if head.needs_snapshot() {
         let key = keys::config_snapshot(next.revision);
         // Whoever loses the race below leaves a snapshot that no head names.
         let written = daemon.store.swap(&key, Expect::Absent, next, None).await;
         if matches!(written, Ok(Swap::Applied(_))) {
-            head = head.cut();
+            head = head.truncate_tail();
         }
     }
     let swapped = daemon.store.swap(keys::CONFIG_HEAD, at, &head, None).await;
@@ -218,13 +220,13 @@
         if before == after {
             continue;
         }
-        match ask_zone(daemon, &zone, WitnessQuestion { guarantees: after }).await {
-            Some(WitnessAnswer::Kept) => {}
-            Some(WitnessAnswer::NotKept { reason }) => {
+        match ask_zone(daemon, &zone, GuaranteeCheckRequest { guarantees: after }).await {
+            Some(GuaranteeCheckReply::Kept) => {}
+            Some(GuaranteeCheckReply::NotKept { reason }) => {
                 let failure = Failure::new(StatusCode::CONFLICT, Verdict::NotRun, reason);
                 return Err(failure.with_field("guarantee"));
             }
-            Some(WitnessAnswer::NotHolder) | None => {
+            Some(GuaranteeCheckReply::NotHolder) | None => {
                 let error = format!("the placement holder of zone {zone} can't be asked");
                 return Err(Failure::unavailable(error, STORE_RETRY).with_field("guarantee"));
             }
@@ -236,11 +238,11 @@
 async fn ask_zone(
     daemon: &Arc<Daemon>,
     zone: &ZoneId,
-    question: WitnessQuestion,
-) -> Option<WitnessAnswer> {
+    question: GuaranteeCheckRequest,
+) -> Option<GuaranteeCheckReply> {
     if *zone == daemon.settings.zone {
         let own = ask_witness(daemon, question.clone()).await;
-        if own != WitnessAnswer::NotHolder {
+        if own != GuaranteeCheckReply::NotHolder {
             return Some(own);
         }
     }
--- a/crates/stairstalld/src/daemon.rs
+++ b/crates/stairstalld/src/daemon.rs
@@ -9,7 +9,7 @@
 use stairstall_core::admission::RetryBudget;
 use stairstall_core::claim::Mark;
 use stairstall_core::config::{Configuration, Follower};
-use stairstall_core::membership::Members;
+use stairstall_core::membership::MemberTable;
 use stairstall_core::protocol::{PlacementLoad, VmList};
 use stairstall_core::{Timestamp, VmId};
 use stairstall_http::HttpClient;
@@ -50,7 +50,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) retention: Retention,
     pub(crate) dispatcher: Arc<Dispatcher>,
-    pub(crate) members: Mutex<Members>,
+    pub(crate) members: Mutex<MemberTable>,
     pub(crate) follower: Mutex<Follower>,
     pub(crate) revision_changed: watch::Sender<u64>,
     pub(crate) vms: watch::Sender<Arc<VmList>>,
@@ -91,7 +91,7 @@
             retention: Retention::new(store.clone(), clock),
             store,
             dispatcher,
-            members: Mutex::new(Members::new()),
+            members: Mutex::new(MemberTable::new()),
             follower: Mutex::new(Follower::new()),
             revision_changed: watch::channel(0).0,
             vms: watch::channel(Arc::default()).0,
--- a/crates/stairstalld/src/dispatch.rs
+++ b/crates/stairstalld/src/dispatch.rs
@@ -7,7 +7,9 @@
 use stairstall_core::admission::{FairQueue, Flow, Refusal, Ticket};
 use stairstall_core::config::Configuration;
 use stairstall_core::protocol::ServiceLoad;
-use stairstall_core::routing::{MinionInfo, MinionTable, Outcome, Pick, PickRefusal, Shares};
+use stairstall_core::routing::{
+    MinionInfo, MinionTable, Pick, PickRefusal, RequestOutcome, SlotShares,
+};
 use stairstall_core::{MinionId, ServiceId, Timestamp, VmId};
 use tokio::sync::oneshot;
 
@@ -46,12 +48,12 @@
 pub(crate) struct Permit {
     pub(crate) pick: Pick,
     dispatcher: Arc<Dispatcher>,
-    outcome: Outcome,
+    outcome: RequestOutcome,
 }
 
 impl Permit {
     /// Says how the request ended; without a word nobody waited for it any more.
-    pub(crate) fn finish(mut self, outcome: Outcome) {
+    pub(crate) fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
 }
@@ -85,7 +87,7 @@
 
 impl Dispatcher {
     pub(crate) fn new(me: VmId, clock: Clock, capacity: usize) -> Self {
-        let table = MinionTable::new(Shares::new(me, clock.now()));
+        let table = MinionTable::new(SlotShares::new(me, clock.now()));
         let state = State {
             table,
             queues: BTreeMap::new(),
@@ -209,11 +211,11 @@
         Permit {
             pick,
             dispatcher: Arc::clone(self),
-            outcome: Outcome::Abandoned,
+            outcome: RequestOutcome::Abandoned,
         }
     }
 
-    fn release(self: &Arc<Self>, pick: &Pick, outcome: Outcome) {
+    fn release(self: &Arc<Self>, pick: &Pick, outcome: RequestOutcome) {
         lock(&self.state)
             .table
             .release(pick, outcome, self.clock.now());
@@ -232,7 +234,7 @@
         }
         // Dropped outside of the lock: a permit that finds nobody gives its slot back.
         for permit in undelivered {
-            permit.finish(Outcome::Answered);
+            permit.finish(RequestOutcome::Answered);
         }
     }
 
--- a/crates/stairstalld/src/follow.rs
+++ b/crates/stairstalld/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use stairstall_core::config::{Configuration, Head, Offer, Revision};
+use stairstall_core::config::{Configuration, Head, OfferOutcome, Revision};
 use stairstall_core::protocol::{VmList, VmRole};
 use stairstall_core::routing::MinionInfo;
 use stairstall_store::{Event, StoreError};
@@ -77,9 +77,9 @@
 /// Brings a head into force, with the snapshot it starts from where changes are missing.
 pub(crate) async fn take_head(daemon: &Daemon, head: &Head) -> Result<(), StoreError> {
     let offer = lock(&daemon.follower).offer_head(head);
-    if let Offer::NeedsSnapshot(revision) = offer {
+    if let OfferOutcome::NeedsSnapshot(revision) = offer {
         if let Some(snapshot) = read_snapshot(daemon, revision).await? {
-            lock(&daemon.follower).offer_full(snapshot);
+            lock(&daemon.follower).offer_configuration(snapshot);
         }
         lock(&daemon.follower).offer_head(head);
     }
--- a/crates/stairstalld/src/holder.rs
+++ b/crates/stairstalld/src/holder.rs
@@ -15,7 +15,7 @@
 
 use stairstall_core::Timestamp;
 use stairstall_core::placement::JobKey;
-use stairstall_core::protocol::{Explanation, WitnessAnswer, WitnessQuestion};
+use stairstall_core::protocol::{Explanation, GuaranteeCheckReply, GuaranteeCheckRequest};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::daemon::{Daemon, Role, lock};
@@ -38,8 +38,8 @@
 pub(crate) enum Query {
     /// Whether guarantees could all be kept.
     Witness {
-        question: WitnessQuestion,
-        answer: oneshot::Sender<WitnessAnswer>,
+        question: GuaranteeCheckRequest,
+        answer: oneshot::Sender<GuaranteeCheckReply>,
     },
     /// Why a job is where it is.
     Explain {
@@ -52,7 +52,7 @@
     /// Answers for a daemon that does not hold the role.
     fn answer_as_bystander(self) {
         match self {
-            Self::Witness { answer, .. } => drop(answer.send(WitnessAnswer::NotHolder)),
+            Self::Witness { answer, .. } => drop(answer.send(GuaranteeCheckReply::NotHolder)),
             Self::Explain { answer, .. } => drop(answer.send(None)),
         }
     }
@@ -124,7 +124,7 @@
 async fn look(daemon: &Arc<Daemon>, memory: &Memory) -> Result<Taken, Duration> {
     let now = daemon.clock.now();
     let listening = now < Timestamp::default() + LISTEN_FIRST;
-    let held = lock(&daemon.members).is_held(&daemon.settings.zone, now);
+    let held = lock(&daemon.members).has_confirmed_holder(&daemon.settings.zone, now);
     if daemon.is_leaving() || listening || held {
         return Err(IDLE_INTERVAL);
     }
--- a/crates/stairstalld/src/holder/take.rs
+++ b/crates/stairstalld/src/holder/take.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use stairstall_core::claim::Mark;
-use stairstall_core::membership::Members;
+use stairstall_core::membership::MemberTable;
 use stairstall_core::{Lease, Timestamp};
 use stairstall_store::{Expect, LeaseId, StoreError, Swap};
 
@@ -103,13 +103,13 @@
     }
     let members = lock(&daemon.members);
     let silent = members
-        .holder_silent_for(zone, now)
+        .time_since_holder_heartbeat(zone, now)
         .unwrap_or(now - Timestamp::default());
     let first = members.in_zone(zone, daemon.me(), now).into_iter().next();
-    if silent < SILENCE.max(Members::TIMEOUT) || first.as_ref() != Some(daemon.me()) {
+    if silent < SILENCE.max(MemberTable::TIMEOUT) || first.as_ref() != Some(daemon.me()) {
         return None;
     }
-    let known = members.last_token(zone).unwrap_or(0).max(highest_token);
+    let known = members.highest_token(zone).unwrap_or(0).max(highest_token);
     Some(Taken {
         token: known + 1,
         lease: None,
--- a/crates/stairstalld/src/holder/tenure/outward.rs
+++ b/crates/stairstalld/src/holder/tenure/outward.rs
@@ -4,7 +4,7 @@
 
 use stairstall_core::Timestamp;
 use stairstall_core::placement::{DecisionKind, Effect, WriteAnswer};
-use stairstall_core::protocol::{PlacementLoad, WitnessAnswer};
+use stairstall_core::protocol::{GuaranteeCheckReply, PlacementLoad};
 
 use super::Tenure;
 use crate::daemon::{Role, lock};
@@ -106,8 +106,8 @@
             Query::Witness { question, answer } => {
                 let checked = self.scheduler.check_guarantees(&question.guarantees);
                 let checked = match checked {
-                    Ok(()) => WitnessAnswer::Kept,
-                    Err(error) => WitnessAnswer::NotKept {
+                    Ok(()) => GuaranteeCheckReply::Kept,
+                    Err(error) => GuaranteeCheckReply::NotKept {
                         reason: error.to_string(),
                     },
                 };
--- a/crates/stairstalld/src/holder/workers.rs
+++ b/crates/stairstalld/src/holder/workers.rs
@@ -7,7 +7,7 @@
 
 use hyper::{Method, StatusCode};
 use stairstall_core::WorkerId;
-use stairstall_core::protocol::{Stale, SyncReply, SyncRequest};
+use stairstall_core::protocol::{StaleRequest, SyncReply, SyncRequest};
 use tokio::sync::mpsc;
 
 use crate::daemon::Daemon;
@@ -74,7 +74,7 @@
         return Synced::Failed;
     };
     if answer.status == StatusCode::CONFLICT {
-        return match answer.read::<Stale>() {
+        return match answer.read::<StaleRequest>() {
             Ok(stale) if stale.highest > request.token => Synced::Fenced {
                 highest: stale.highest,
             },
--- a/crates/stairstalld/src/jobs.rs
+++ b/crates/stairstalld/src/jobs.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use stairstall_core::membership::Members;
+use stairstall_core::membership::MemberTable;
 use stairstall_core::placement::{JobKey, JobRecord, JobSpec, JobState};
-use stairstall_core::protocol::{Explanation, Heartbeat, JobPage, Stage};
+use stairstall_core::protocol::{Explanation, ExplanationEntry, Heartbeat, JobPage};
 use stairstall_core::{Selector, Verdict, ZoneId};
 use stairstall_store::{Expect, Swap};
 use viz::{Request, RequestExt, Response, StatusCode};
@@ -93,7 +93,7 @@
     let needed = spec.shape.total_accelerators();
     let own = &daemon.settings.zone;
     let mut members = lock(&daemon.members);
-    members.note(own_heartbeat(daemon, Members::INTERVAL), now);
+    members.handle_heartbeat(own_heartbeat(daemon, MemberTable::INTERVAL), now);
     let room = |h: &Heartbeat| {
         let load = h.placement?;
         let starts = load.free_accelerators >= needed && load.waiting_jobs == 0;
@@ -261,7 +261,7 @@
         JobState::Ended { reason, verdict } => format!("ended: {reason}; verdict {verdict}"),
         state => format!("the store says: {}", state.as_str()),
     };
-    let stages = vec![Stage {
+    let stages = vec![ExplanationEntry {
         age_ms: 0,
         text: text.clone(),
     }];
--- a/crates/stairstalld/src/peers.rs
+++ b/crates/stairstalld/src/peers.rs
@@ -10,10 +10,10 @@
 use jsonrpsee::server::{Server, ServerConfig, ServerHandle};
 use jsonrpsee_http_client::{HttpClient, HttpClientBuilder};
 use stairstall_core::config::Configuration;
-use stairstall_core::membership::Members;
+use stairstall_core::membership::MemberTable;
 use stairstall_core::placement::JobKey;
 use stairstall_core::protocol::{
-    Explanation, Heartbeat, VmEntry, VmRole, WitnessAnswer, WitnessQuestion,
+    Explanation, GuaranteeCheckReply, GuaranteeCheckRequest, Heartbeat, VmEntry, VmRole,
 };
 use stairstall_core::{Timestamp, VmId, ZoneId};
 use tokio::sync::oneshot;
@@ -41,7 +41,7 @@
 
     /// Says whether guarantees could all be kept in the daemon's zone.
     #[method(name = "witness")]
-    async fn witness(&self, question: WitnessQuestion) -> RpcResult<WitnessAnswer>;
+    async fn witness(&self, question: GuaranteeCheckRequest) -> RpcResult<GuaranteeCheckReply>;
 
     /// Explains a job, where the daemon holds placement and knows it.
     #[method(name = "explain")]
@@ -57,7 +57,7 @@
     async fn heartbeat(&self, heartbeat: Heartbeat) -> RpcResult<Heartbeat> {
         let now = self.0.clock.now();
         let every = interval_to(&self.0, &heartbeat.zone);
-        lock(&self.0.members).note(heartbeat, now);
+        lock(&self.0.members).handle_heartbeat(heartbeat, now);
         Ok(own_heartbeat(&self.0, every))
     }
 
@@ -65,7 +65,7 @@
         Ok(Configuration::clone(&self.0.configuration()))
     }
 
-    async fn witness(&self, question: WitnessQuestion) -> RpcResult<WitnessAnswer> {
+    async fn witness(&self, question: GuaranteeCheckRequest) -> RpcResult<GuaranteeCheckReply> {
         Ok(ask_witness(&self.0, question).await)
     }
 
@@ -75,16 +75,19 @@
 }
 
 /// Asks this daemon's own placement role.
-pub(crate) async fn ask_witness(daemon: &Daemon, question: WitnessQuestion) -> WitnessAnswer {
+pub(crate) async fn ask_witness(
+    daemon: &Daemon,
+    question: GuaranteeCheckRequest,
+) -> GuaranteeCheckReply {
     let (sender, receiver) = oneshot::channel();
     let query = Query::Witness {
         question,
         answer: sender,
     };
     if daemon.holder.send(query).await.is_err() {
-        return WitnessAnswer::NotHolder;
+        return GuaranteeCheckReply::NotHolder;
     }
-    receiver.await.unwrap_or(WitnessAnswer::NotHolder)
+    receiver.await.unwrap_or(GuaranteeCheckReply::NotHolder)
 }
 
 /// Asks this daemon's own placement role.
@@ -140,12 +143,12 @@
 /// Returns how often this daemon and one of `zone` exchange heartbeats.
 fn interval_to(daemon: &Daemon, zone: &ZoneId) -> Duration {
     if *zone == daemon.settings.zone {
-        return Members::INTERVAL;
+        return MemberTable::INTERVAL;
     }
     let list = daemon.vms.borrow().clone();
     let far =
         |vm: &&VmEntry| vm.zone != daemon.settings.zone && matches!(vm.role, VmRole::Entry { .. });
-    Members::far_interval(list.vms.iter().filter(far).count())
+    MemberTable::cross_zone_interval(list.vms.iter().filter(far).count())
 }
 
 /// One peer as the platform lists it.
@@ -162,7 +165,7 @@
     let mut last = daemon.clock.now();
     for round in 0_u64.. {
         let now = daemon.clock.now();
-        if now - last > Members::TIMEOUT {
+        if now - last > MemberTable::TIMEOUT {
             log::warn!(target: "peers", paused_ms = millis(now - last);
                 "this process was paused; its shares of slots are given up");
             daemon.dispatcher.suspend();
@@ -175,7 +178,7 @@
         let replies = join_all(beats.map(|p| beat_one(&daemon, p))).await;
         let now = daemon.clock.now();
         for heartbeat in replies.into_iter().flatten() {
-            lock(&daemon.members).note(heartbeat, now);
+            lock(&daemon.members).handle_heartbeat(heartbeat, now);
         }
         let members = lock(&daemon.members).in_zone(&daemon.settings.zone, daemon.me(), now);
         daemon.dispatcher.set_members(members);
@@ -183,7 +186,7 @@
         daemon
             .metrics
             .gauge("call.in_flight", daemon.dispatcher.in_flight() as u64);
-        tokio::time::sleep(Members::INTERVAL).await;
+        tokio::time::sleep(MemberTable::INTERVAL).await;
     }
 }
 
@@ -225,7 +228,7 @@
     if peer.zone == daemon.settings.zone {
         return true;
     }
-    let heard = members.heard_before(&peer.id, now);
+    let heard = members.time_since_heartbeat(&peer.id, now);
     heard.is_none_or(|ago| ago >= interval_to(daemon, &peer.zone))
 }
 
@@ -253,7 +256,7 @@
     if let Ok(configuration) = client.configuration().await {
         log::info!(target: "config", from:% = newest, revision = configuration.revision.0;
             "newer configuration taken from a peer");
-        lock(&daemon.follower).offer_full(configuration);
+        lock(&daemon.follower).offer_configuration(configuration);
         note_revision(daemon);
     }
 }
