--- a/crates/stairstall-core/src/admission.rs
+++ b/crates/stairstall-core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes next, which is refused, and how often to retry.
+//! Admission control: fair queueing, refusals with a retry delay, and a limit on retries.
 
 mod fair_queue;
 mod retry_after;
--- a/crates/stairstall-core/src/admission/fair_queue.rs
+++ b/crates/stairstall-core/src/admission/fair_queue.rs
@@ -6,7 +6,9 @@
 use super::RetryAfterBounds;
 use crate::{ClassId, CustomerId, Timestamp, Verdict};
 
-/// Returns by how much a cost moves on the virtual time of whoever has a weight.
+/// Returns the virtual time that a flow of the given weight is charged for `cost`.
+///
+/// A weight of zero counts as one.
 pub(crate) fn virtual_cost(cost: u64, weight: u32) -> u64 {
     cost / u64::from(weight.max(1))
 }
@@ -14,9 +16,9 @@
 /// The requests of one customer in one priority class.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Flow {
-    /// The priority class.
+    /// Priority class of the requests.
     pub class: ClassId,
-    /// The customer.
+    /// Customer that sends the requests.
     pub customer: CustomerId,
 }
 
@@ -28,23 +30,23 @@
     }
 }
 
-/// Names one waiting request in a [`FairQueue`].
+/// Identifies one waiting request in a [`FairQueue`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
 quick_error! {
-    /// Why a request was not let in.
+    /// Why a [`FairQueue`] refused a request; each variant carries the delay before a retry.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum Refusal {
-        /// The flow holds as many waiting requests as it may.
+        /// The flow has reached its limit of waiting requests.
         FlowFull(retry_after: Duration) {
             display("the customer's queue in this class is full")
         }
-        /// The whole queue holds as many as it may.
+        /// The queue has reached its limit of waiting requests over all flows.
         QueueFull(retry_after: Duration) {
             display("the queue is full")
         }
-        /// The deadline would pass before the request's turn.
+        /// The deadline would pass before the request is served.
         Deadline(retry_after: Duration) {
             display("the deadline would pass while waiting")
         }
@@ -52,13 +54,13 @@
 }
 
 impl Refusal {
-    /// Returns [`Verdict::NotRun`]: a refused request was never sent.
+    /// Returns [`Verdict::NotRun`], as a refused request is never sent to a minion.
     #[must_use]
     pub const fn verdict(self) -> Verdict {
         Verdict::NotRun
     }
 
-    /// Returns when it is worth coming back.
+    /// Returns how long the caller should wait before it retries.
     #[must_use]
     pub const fn retry_after(self) -> Duration {
         match self {
@@ -76,15 +78,17 @@
 #[derive(Debug, Clone, Default)]
 struct FlowState {
     weight: u32,
-    finish: u64,
+    /// Virtual start time of the flow's next request; the lowest is served first.
+    start_tag: u64,
     waiting: VecDeque<Waiting>,
 }
 
 /// Bounded queues, one for each [`Flow`], served in proportion to their weights.
 ///
-/// This is start-time fair queueing: a flow's turn comes at a virtual time that
-/// moves on by the inverse of its weight with each request served. A burst in
-/// one flow therefore delays only that flow, and no flow starves.
+/// Implements start-time fair queueing: the flow with the lowest virtual time is
+/// served next, and each request served advances the flow's virtual time by the
+/// inverse of its weight. A burst in one flow therefore delays only that flow,
+/// and no flow starves.
 ///
 /// # Examples
 ///
@@ -102,31 +106,31 @@
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     flows: BTreeMap<Flow, FlowState>,
-    owners: BTreeMap<Ticket, Flow>,
+    flow_by_ticket: BTreeMap<Ticket, Flow>,
     virtual_time: u64,
     next_ticket: u64,
     capacity: usize,
     flow_capacity: usize,
-    /// Moving average of the time between two pops while the queue is not empty, in microseconds.
+    /// Moving average of the time between two pops while the queue is non-empty, in microseconds.
     interval_micros: u64,
     last_pop: Option<Timestamp>,
 }
 
 impl FairQueue {
-    /// Virtual time that one request of weight one takes.
-    const COST: u64 = 1 << 20;
-    /// Bounds of the hint of when to come back.
-    const RETURN_BOUNDS: RetryAfterBounds = RetryAfterBounds {
+    /// Virtual time charged for one request to a flow of weight one.
+    const REQUEST_COST: u64 = 1 << 20;
+    /// Bounds of the retry delay that refused callers are told.
+    const RETRY_AFTER_BOUNDS: RetryAfterBounds = RetryAfterBounds {
         shortest: Duration::from_secs(1),
         longest: Duration::from_secs(30),
     };
 
-    /// Creates a queue for `capacity` requests, `flow_capacity` of any one flow.
+    /// Creates a queue that holds up to `capacity` requests, and up to `flow_capacity` per flow.
     #[must_use]
     pub const fn new(capacity: usize, flow_capacity: usize) -> Self {
         Self {
             flows: BTreeMap::new(),
-            owners: BTreeMap::new(),
+            flow_by_ticket: BTreeMap::new(),
             virtual_time: 0,
             next_ticket: 0,
             capacity,
@@ -136,23 +140,24 @@
         }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.owners.len()
+        self.flow_by_ticket.len()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.owners.is_empty()
+        self.flow_by_ticket.is_empty()
     }
 
-    /// Adds a request of `flow` with the given weight.
+    /// Adds a request to `flow` and sets the flow's weight.
     ///
     /// # Errors
     ///
-    /// Refuses at once where a bound is reached or the deadline can't be met.
+    /// Returns a [`Refusal`] if the queue or the flow is full, or if the expected wait exceeds the
+    /// deadline.
     pub fn push(
         &mut self,
         flow: Flow,
@@ -161,7 +166,7 @@
         deadline: Timestamp,
     ) -> Result<Ticket, Refusal> {
         let wait = self.expected_wait(&flow, weight);
-        let retry_after = Self::RETURN_BOUNDS.clamp(wait);
+        let retry_after = Self::RETRY_AFTER_BOUNDS.clamp(wait);
         if self.len() >= self.capacity {
             return Err(Refusal::QueueFull(retry_after));
         }
@@ -176,15 +181,15 @@
         self.next_ticket += 1;
         let state = self.flows.entry(flow.clone()).or_default();
         if state.waiting.is_empty() {
-            state.finish = state.finish.max(self.virtual_time);
+            state.start_tag = state.start_tag.max(self.virtual_time);
         }
         state.weight = weight.max(1);
         state.waiting.push_back(Waiting { ticket, deadline });
-        self.owners.insert(ticket, flow);
+        self.flow_by_ticket.insert(ticket, flow);
         Ok(ticket)
     }
 
-    /// Estimates how long a new request of `flow` would wait, from the recent rate of service.
+    /// Estimates how long a new request of `flow` would wait, from the recent service rate.
     #[must_use]
     pub fn expected_wait(&self, flow: &Flow, weight: u32) -> Duration {
         let waiting_in_flow = self.flows.get(flow).map_or(0, |f| f.waiting.len()) as u64;
@@ -195,50 +200,50 @@
             .map(|(_, state)| u64::from(state.weight))
             .sum::<u64>()
             + u64::from(weight.max(1));
-        let turns =
+        let requests_ahead =
             (waiting_in_flow * total_weight / u64::from(weight.max(1))).min(self.len() as u64);
-        Duration::from_micros(turns * self.interval_micros)
+        Duration::from_micros(requests_ahead * self.interval_micros)
     }
 
     fn next_flow(&self) -> Option<(&Flow, &FlowState)> {
         self.flows
             .iter()
             .filter(|(_, state)| !state.waiting.is_empty())
-            .min_by_key(|(_, state)| state.finish)
+            .min_by_key(|(_, state)| state.start_tag)
     }
 
-    /// Returns the request whose turn it is.
+    /// Returns the request to serve next, without removing it.
     #[must_use]
     pub fn peek(&self) -> Option<Ticket> {
         self.next_flow()?.1.waiting.front().map(|w| w.ticket)
     }
 
-    /// Takes the request whose turn it is; its flow is charged.
+    /// Removes and returns the request to serve next, and charges its flow.
     pub fn pop(&mut self, now: Timestamp) -> Option<Ticket> {
         let flow = self.next_flow()?.0.clone();
         let state = self.flows.get_mut(&flow)?;
         let waiting = state.waiting.pop_front()?;
-        self.virtual_time = self.virtual_time.max(state.finish);
-        state.finish += virtual_cost(Self::COST, state.weight);
-        self.owners.remove(&waiting.ticket);
-        self.note_pop(now);
-        self.forget_idle();
+        self.virtual_time = self.virtual_time.max(state.start_tag);
+        state.start_tag += virtual_cost(Self::REQUEST_COST, state.weight);
+        self.flow_by_ticket.remove(&waiting.ticket);
+        self.record_pop(now);
+        self.remove_idle_flows();
         Some(waiting.ticket)
     }
 
-    /// Takes out one request, wherever it waits.
+    /// Removes one waiting request; returns `false` if it is not in the queue.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
-        let Some(flow) = self.owners.remove(&ticket) else {
+        let Some(flow) = self.flow_by_ticket.remove(&ticket) else {
             return false;
         };
         if let Some(state) = self.flows.get_mut(&flow) {
             state.waiting.retain(|w| w.ticket != ticket);
         }
-        self.forget_idle();
+        self.remove_idle_flows();
         true
     }
 
-    /// Takes out every request whose deadline has passed.
+    /// Removes and returns every request whose deadline has passed.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Ticket> {
         let expired: Vec<Ticket> = self
             .flows
@@ -253,7 +258,7 @@
         expired
     }
 
-    fn note_pop(&mut self, now: Timestamp) {
+    fn record_pop(&mut self, now: Timestamp) {
         if let Some(last) = self.last_pop {
             let sample = u64::try_from((now - last).as_micros()).unwrap_or(u64::MAX);
             let sample = sample.min(1_000_000);
@@ -262,10 +267,10 @@
         self.last_pop = (!self.is_empty()).then_some(now);
     }
 
-    /// Drops flows that are empty and not ahead of virtual time, so that state stays bounded.
-    fn forget_idle(&mut self) {
+    /// Removes flows that are empty and not ahead of the virtual time, which bounds the state.
+    fn remove_idle_flows(&mut self) {
         let now = self.virtual_time;
         self.flows
-            .retain(|_, state| !state.waiting.is_empty() || state.finish > now);
+            .retain(|_, state| !state.waiting.is_empty() || state.start_tag > now);
     }
 }
--- a/crates/stairstall-core/src/admission/retry_after.rs
+++ b/crates/stairstall-core/src/admission/retry_after.rs
@@ -1,41 +1,42 @@
-//! When those should come back who were refused.
+//! Retry delays for callers whose request was refused.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Bounds of how long callers are told to stay away.
+/// Shortest and longest delay after which a refused caller is told to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryAfterBounds {
-    /// The shortest time.
+    /// Shortest delay.
     pub shortest: Duration,
-    /// The longest.
+    /// Longest delay.
     pub longest: Duration,
 }
 
 impl RetryAfterBounds {
-    /// Returns a wait within the bounds.
+    /// Returns `wait`, limited to the bounds.
     #[must_use]
     pub fn clamp(&self, wait: Duration) -> Duration {
         wait.clamp(self.shortest, self.longest)
     }
 }
 
-/// Gives those who are refused times to return at, one after the other in the order in which they
-/// asked, so that they don't come all at once.
+/// Assigns staggered retry times to refused callers, in the order of their requests, so that they
+/// don't all retry at once.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryAfterSchedule {
     bounds: RetryAfterBounds,
-    /// Between two of them.
+    /// Time between two consecutive retry times.
     spacing: Duration,
+    /// Retry time that was assigned last.
     last: Option<Timestamp>,
 }
 
 impl RetryAfterSchedule {
-    /// Part of the longest wait over which those are spread that would have to wait longer.
+    /// Delays that would reach the longest one are spread at random over the last quarter below it.
     const SPREAD_DIVISOR: u32 = 4;
 
-    /// Creates times of which none is taken.
+    /// Creates a schedule in which no retry time is assigned yet.
     #[must_use]
     pub const fn new(bounds: RetryAfterBounds, spacing: Duration) -> Self {
         Self {
@@ -45,20 +46,22 @@
         }
     }
 
-    /// Returns how long one who should wait so long stays away; `random` is from 0 to 1.
+    /// Returns the delay for the next refused caller, who should wait about `wait`.
+    ///
+    /// `random`, from 0 to 1, adds jitter.
     pub fn next(&mut self, wait: Duration, now: Timestamp, random: f64) -> Duration {
         let random = random.clamp(0.0, 1.0);
-        let wished = now + self.bounds.clamp(wait);
-        let in_turn = self
+        let earliest = now + self.bounds.clamp(wait);
+        let assigned = self
             .last
-            .map_or(wished, |last| wished.max(last + self.spacing));
-        let away = in_turn - now;
-        if away >= self.bounds.longest {
+            .map_or(earliest, |last| earliest.max(last + self.spacing));
+        let delay = assigned - now;
+        if delay >= self.bounds.longest {
             let spread = self.bounds.longest / Self::SPREAD_DIVISOR;
             return self.bounds.longest.saturating_sub(spread.mul_f64(random));
         }
-        self.last = Some(in_turn);
+        self.last = Some(assigned);
         let spread = self.spacing.mul_f64(random);
-        (away + spread).min(self.bounds.longest)
+        (delay + spread).min(self.bounds.longest)
     }
 }
--- a/crates/stairstall-core/src/admission/retry_budget.rs
+++ b/crates/stairstall-core/src/admission/retry_budget.rs
@@ -2,7 +2,8 @@
 
 use crate::Timestamp;
 
-/// Bounds retries to a share of the requests, so that they can't multiply an overload.
+/// A token bucket that limits retries to a fraction of the requests, so that retries cannot
+/// amplify an overload.
 ///
 /// # Examples
 ///
@@ -15,47 +16,47 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Tokens in hundredths of a retry.
+    /// Available tokens; one token is a hundredth of a retry.
     tokens: u32,
     refilled_at: Timestamp,
 }
 
 impl RetryBudget {
-    /// What one retry costs.
-    const RETRY_COST: u32 = 100;
-    /// What one request earns: a tenth of a retry.
-    const REQUEST_EARNS: u32 = 10;
-    /// What each second earns whatever the load: three retries.
-    const SECOND_EARNS: u32 = 300;
-    /// Most that is saved up: fifty retries.
-    const MOST: u32 = 5_000;
+    /// Tokens that one retry consumes.
+    const TOKENS_PER_RETRY: u32 = 100;
+    /// Tokens added per request: a tenth of a retry.
+    const TOKENS_PER_REQUEST: u32 = 10;
+    /// Tokens added per second regardless of load: three retries.
+    const TOKENS_PER_SECOND: u32 = 300;
+    /// Maximum number of tokens: fifty retries.
+    const MAX_TOKENS: u32 = 5_000;
 
-    /// Creates a budget that holds its first second's retries.
+    /// Creates a budget that holds the tokens of one second.
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            tokens: Self::SECOND_EARNS,
+            tokens: Self::TOKENS_PER_SECOND,
             refilled_at: Timestamp::from_millis(0),
         }
     }
 
-    /// Counts one first attempt.
+    /// Adds the tokens for one request; call it once per request, not for its retries.
     pub fn record_request(&mut self) {
-        self.tokens = (self.tokens + Self::REQUEST_EARNS).min(Self::MOST);
+        self.tokens = (self.tokens + Self::TOKENS_PER_REQUEST).min(Self::MAX_TOKENS);
     }
 
-    /// Takes one retry from the budget; false where it is used up.
+    /// Consumes the tokens of one retry; returns `false` if too few are left.
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
         let seconds = (now - self.refilled_at).as_secs();
         if seconds > 0 {
-            let earned = u32::try_from(seconds.min(60)).unwrap_or(60) * Self::SECOND_EARNS;
-            self.tokens = (self.tokens + earned).min(Self::MOST);
+            let refill = u32::try_from(seconds.min(60)).unwrap_or(60) * Self::TOKENS_PER_SECOND;
+            self.tokens = (self.tokens + refill).min(Self::MAX_TOKENS);
             self.refilled_at = self.refilled_at + Duration::from_secs(seconds);
         }
-        if self.tokens < Self::RETRY_COST {
+        if self.tokens < Self::TOKENS_PER_RETRY {
             return false;
         }
-        self.tokens -= Self::RETRY_COST;
+        self.tokens -= Self::TOKENS_PER_RETRY;
         true
     }
 }
--- a/crates/stairstall-core/src/claim.rs
+++ b/crates/stairstall-core/src/claim.rs
@@ -1,4 +1,5 @@
-//! Claims that let not-repeatable work run at most once over all daemons.
+//! Claims in the store, which ensure that a non-repeatable request runs at most once over all
+//! daemons.
 
 use std::time::Duration;
 
@@ -6,22 +7,22 @@
 
 use crate::{Lease, Timestamp, VmId};
 
-/// Names one attempt at a claim, over all daemons and their restarts.
+/// Identifies one attempt at a claim, unique over all daemons and their restarts.
 ///
-/// A compare-and-swap whose answer is lost is resolved by finding the mark, or
-/// another one, in the store.
+/// If the response to a compare-and-swap is lost, the mark found in the store
+/// shows whether the write took effect.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Mark {
-    /// The daemon that wrote.
+    /// Daemon that writes the claim.
     pub daemon: VmId,
-    /// Drawn at random by each daemon process at its start.
+    /// Random number that each daemon process draws when it starts.
     pub instance: u64,
-    /// Counts the claims of that process.
+    /// Sequence number of the claim within that process.
     pub serial: u64,
 }
 
 impl Mark {
-    /// Creates the mark of one attempt.
+    /// Creates the mark of claim number `serial` of a daemon process.
     #[must_use]
     pub const fn new(daemon: VmId, instance: u64, serial: u64) -> Self {
         Self {
@@ -32,25 +33,26 @@
     }
 }
 
-/// The whole answer to a claimed request, kept for callers that lost theirs.
+/// The complete response to a claimed request, stored so that it can be replayed to a caller that
+/// did not receive it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type, where the minion gave one.
+    /// Content type, if the minion sent one.
     pub content_type: Option<String>,
-    /// Base64 of the body.
+    /// Body, encoded in Base64.
     pub body: String,
 }
 
-/// What the store keeps for one not-repeatable request id.
+/// The stored record of one non-repeatable request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Who claimed it.
+    /// Mark of the attempt that claimed the request.
     pub mark: Mark,
-    /// The answer, once it is known and small enough to keep.
+    /// Response, once it is known and if it is small enough to store.
     pub answer: Option<StoredResponse>,
-    /// Whether the request was seen to end with a whole answer.
+    /// Whether the daemon saw the request end with a complete response.
     pub finished: bool,
 }
 
@@ -66,36 +68,36 @@
     }
 }
 
-/// The store's answer to the write of a claim, as far as it is known.
+/// Result of writing a claim to the store, as far as it is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimWriteResult {
     /// The write took effect.
     Applied,
-    /// Another record stands in its place; it may be our own, written earlier.
+    /// A record already exists; an earlier write of the same attempt may have created it.
     Conflict(ClaimRecord),
-    /// The write certainly did not take effect.
+    /// The write did not take effect.
     NotSent,
-    /// The write may have taken effect; the answer was lost.
+    /// The write may have taken effect; the store's response was lost.
     Lost,
 }
 
-/// What to do next with a claim.
+/// What to do next in an attempt to claim a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Send the same write, with the same mark, again.
+    /// Repeat the same write with the same mark.
     RetryWrite,
     /// The claim is held: the request may be sent while [`ClaimAttempt::may_send`] says so.
     Held,
-    /// Somebody else holds or held the claim.
+    /// Another attempt holds or held the claim.
     Taken(ClaimRecord),
-    /// Given up; nothing was sent, and a record may stand that has to be released.
+    /// The attempt failed after the last write; the request was not sent.
     GaveUp {
-        /// Whether a record with our mark may stand in the store.
+        /// Whether the store may contain a record with this attempt's mark, which must be released.
         record_may_exist: bool,
     },
 }
 
-/// One attempt to claim a request id, as a state machine over the store's answers.
+/// One attempt to claim a request id, as a state machine driven by the results of store writes.
 ///
 /// # Examples
 ///
@@ -107,7 +109,7 @@
 /// let mark = Mark::new("vm-1".parse().unwrap(), 7, 1);
 /// let start = Timestamp::from_millis(0);
 /// let mut attempt = ClaimAttempt::new(mark.clone(), start, Duration::from_secs(60));
-/// // The answer of the first write is lost; the second finds our own mark.
+/// // The response to the first write is lost; the second finds this attempt's own mark.
 /// assert_eq!(attempt.handle_write_result(ClaimWriteResult::Lost), ClaimStep::RetryWrite);
 /// let own = ClaimWriteResult::Conflict(ClaimRecord::new(mark));
 /// assert_eq!(attempt.handle_write_result(own), ClaimStep::Held);
@@ -117,67 +119,68 @@
     mark: Mark,
     lease: Lease,
     writes: u32,
-    lost: bool,
+    /// Whether the result of any write is unknown.
+    response_lost: bool,
     held: bool,
 }
 
 impl ClaimAttempt {
-    /// How often the write is sent before giving up.
+    /// Maximum number of writes before the attempt gives up.
     pub const MAX_WRITES: u32 = 3;
 
-    /// Creates an attempt whose claim the store keeps for `kept_for` from now on.
+    /// Creates an attempt whose claim expires in the store after `ttl`, counted from `now`.
     #[must_use]
-    pub const fn new(mark: Mark, now: Timestamp, kept_for: Duration) -> Self {
+    pub const fn new(mark: Mark, now: Timestamp, ttl: Duration) -> Self {
         Self {
             mark,
-            lease: Lease::new(now, kept_for),
+            lease: Lease::new(now, ttl),
             writes: 1,
-            lost: false,
+            response_lost: false,
             held: false,
         }
     }
 
-    /// Returns the mark.
+    /// Returns the mark that identifies this attempt.
     #[must_use]
     pub const fn mark(&self) -> &Mark {
         &self.mark
     }
 
-    /// Returns the record to write.
+    /// Returns the record to write to the store.
     #[must_use]
     pub fn record(&self) -> ClaimRecord {
         ClaimRecord::new(self.mark.clone())
     }
 
-    /// Takes the store's answer to the last write.
-    pub fn handle_write_result(&mut self, answer: ClaimWriteResult) -> ClaimStep {
-        match answer {
-            ClaimWriteResult::Applied => self.hold(),
-            ClaimWriteResult::Conflict(record) if record.mark == self.mark => self.hold(),
+    /// Handles the result of the last write and returns the next step.
+    pub fn handle_write_result(&mut self, result: ClaimWriteResult) -> ClaimStep {
+        match result {
+            ClaimWriteResult::Applied => self.mark_held(),
+            ClaimWriteResult::Conflict(record) if record.mark == self.mark => self.mark_held(),
             ClaimWriteResult::Conflict(record) => ClaimStep::Taken(record),
-            ClaimWriteResult::NotSent => self.again(),
+            ClaimWriteResult::NotSent => self.retry_or_give_up(),
             ClaimWriteResult::Lost => {
-                self.lost = true;
-                self.again()
+                self.response_lost = true;
+                self.retry_or_give_up()
             }
         }
     }
 
-    /// Tells whether the request may leave at `now`: the claim is held and still stands.
+    /// Returns whether the request may be sent at `now`: the claim is held and has not expired.
     #[must_use]
     pub fn may_send(&self, now: Timestamp) -> bool {
         self.held && self.lease.is_valid(now)
     }
 
-    fn hold(&mut self) -> ClaimStep {
+    fn mark_held(&mut self) -> ClaimStep {
         self.held = true;
         ClaimStep::Held
     }
 
-    fn again(&mut self) -> ClaimStep {
+    fn retry_or_give_up(&mut self) -> ClaimStep {
         if self.writes >= Self::MAX_WRITES {
             return ClaimStep::GaveUp {
-                record_may_exist: self.lost,
+                record_may_exist: self.response_lost,
             };
         }
         self.writes += 1;
--- a/crates/stairstall-core/src/config.rs
+++ b/crates/stairstall-core/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration and its changes, in revision order.
+//! The configuration set by the operators, and its changes in revision order.
 
 mod change;
 mod follower;
@@ -16,14 +16,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Counts accepted changes; a daemon never applies a lower one after a higher.
+/// Number of the accepted change that produced a configuration.
+///
+/// A daemon never applies a lower revision after a higher one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Returns the revision after this one.
+    /// Returns the revision that follows this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/stairstall-core/src/config/change.rs
+++ b/crates/stairstall-core/src/config/change.rs
@@ -6,29 +6,29 @@
 use super::{Resource, ResourceKind, Revision};
 use crate::{ChangeId, Selector, ZoneId};
 
-/// One field of a group of resources and its new value.
+/// A field to set on a group of resources, and its new value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "field", content = "value", rename_all = "kebab-case")]
 pub enum Assignment {
-    /// Sets a label.
+    /// Sets the label of this name to this value.
     Label(String, String),
-    /// Sets the weight of customers and priority classes.
+    /// Sets the weight of customers or priority classes.
     Weight(u32),
-    /// Sets the quota of customers; none lifts it.
+    /// Sets the quota of customers; `None` removes the limit.
     Quota(Option<u32>),
     /// Sets the level of priority classes.
     Level(u8),
-    /// Sets whether priority classes preempt.
+    /// Sets whether jobs of priority classes preempt jobs of lower levels.
     Preempts(bool),
-    /// Moves guarantees to a zone.
+    /// Sets the zone of guarantees.
     Zone(ZoneId),
-    /// Sets the number of members of guarantees.
+    /// Sets the number of members in the shape of guarantees.
     Members(u16),
-    /// Sets the order of rules.
+    /// Sets the order in which rules apply.
     Order(u32),
-    /// Sets whether rules hold the jobs they select.
+    /// Sets whether rules keep the jobs that they select from starting.
     Hold(bool),
-    /// Sets the slots of services.
+    /// Sets the slots per minion of services.
     Slots(u16),
     /// Sets the default deadline of services, in milliseconds.
     DeadlineMs(u64),
@@ -37,7 +37,7 @@
 impl FromStr for Assignment {
     type Err = String;
 
-    /// Reads `field=value`, as in `weight=3` or `label.team=web`.
+    /// Parses `field=value`, as in `weight=3` or `label.team=web`.
     fn from_str(text: &str) -> Result<Self, String> {
         let (field, value) = text
             .split_once('=')
@@ -45,31 +45,32 @@
         if let Some(label) = field.strip_prefix("label.") {
             return Ok(Self::Label(label.to_owned(), value.to_owned()));
         }
-        let number = |most: u64| {
-            let number = value.parse::<u64>().ok().filter(|n| *n <= most);
-            number.ok_or_else(|| format!("{field}: {value:?} is not a number up to {most}"))
+        let number = |max: u64| {
+            let number = value.parse::<u64>().ok().filter(|n| *n <= max);
+            number.ok_or_else(|| format!("{field}: {value:?} is not a number up to {max}"))
         };
-        let small = |most: u32| number(u64::from(most)).map(|n| u32::try_from(n).unwrap_or(most));
-        let short = || small(u32::from(u16::MAX)).map(|n| u16::try_from(n).unwrap_or(u16::MAX));
+        let number_u32 = |max: u32| number(u64::from(max)).map(|n| u32::try_from(n).unwrap_or(max));
+        let number_u16 =
+            || number_u32(u32::from(u16::MAX)).map(|n| u16::try_from(n).unwrap_or(u16::MAX));
         let flag = || {
             value
                 .parse()
                 .map_err(|_| format!("{field}: {value:?} is neither true nor false"))
         };
         match field {
-            "weight" => small(u32::MAX).map(Self::Weight),
+            "weight" => number_u32(u32::MAX).map(Self::Weight),
             "quota" if value == "none" => Ok(Self::Quota(None)),
-            "quota" => small(u32::MAX).map(|n| Self::Quota(Some(n))),
-            "level" => small(255).map(|n| Self::Level(u8::try_from(n).unwrap_or(u8::MAX))),
+            "quota" => number_u32(u32::MAX).map(|n| Self::Quota(Some(n))),
+            "level" => number_u32(255).map(|n| Self::Level(u8::try_from(n).unwrap_or(u8::MAX))),
             "preempts" => flag().map(Self::Preempts),
             "zone" => value
                 .parse()
                 .map(Self::Zone)
                 .map_err(|e| format!("zone: {e}")),
-            "members" => short().map(Self::Members),
-            "order" => small(u32::MAX).map(Self::Order),
+            "members" => number_u16().map(Self::Members),
+            "order" => number_u32(u32::MAX).map(Self::Order),
             "hold" => flag().map(Self::Hold),
-            "slots" => short().map(Self::Slots),
+            "slots" => number_u16().map(Self::Slots),
             "deadline-ms" => number(u64::MAX).map(Self::DeadlineMs),
             _ => Err(format!(
                 "{field:?} is not a field that can be set; the fields are label.NAME, weight, \
@@ -98,44 +99,44 @@
     }
 }
 
-/// One step of a change.
+/// One operation of a [`Change`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "operation", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Operation {
-    /// Adds a resource or replaces the one of its kind and name.
+    /// Adds a resource, or replaces the resource of the same kind and name.
     Put {
-        /// The resource.
+        /// Resource to store.
         resource: Resource,
     },
     /// Removes a resource.
     Delete {
-        /// Its kind.
+        /// Kind of the resource.
         #[serde(rename = "of")]
         kind: ResourceKind,
-        /// Its name.
+        /// Name of the resource.
         name: String,
     },
-    /// Sets a field of every resource of a kind that a selector matches.
+    /// Sets a field of every resource of a kind whose labels match a selector.
     Set {
-        /// The kind.
+        /// Kind of the resources.
         #[serde(rename = "of")]
         kind: ResourceKind,
-        /// Which resources.
+        /// Condition on the labels of the resources.
         selector: Selector,
-        /// The new value.
+        /// Field and its new value.
         assignment: Assignment,
     },
 }
 
-/// A change that takes effect as a whole or not at all.
+/// An atomic change of the configuration: either all of its operations take effect or none.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Names the change; the same id never takes effect twice.
+    /// Identifies the change, so that a repeated request doesn't apply it again.
     pub id: ChangeId,
-    /// The revision that the operator saw; none applies to whatever stands.
+    /// Revision that the change is based on; `None` applies it to the current one, whichever it is.
     #[serde(default)]
     pub base: Option<Revision>,
-    /// What is done, in order.
+    /// Operations, applied in this order.
     pub operations: Vec<Operation>,
 }
--- a/crates/stairstall-core/src/config/follower.rs
+++ b/crates/stairstall-core/src/config/follower.rs
@@ -2,18 +2,19 @@
 
 use super::{Configuration, Head, Revision};
 
-/// What became of an offered head or configuration.
+/// Result of offering a head or a configuration to a [`Follower`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It was newer and is in force now.
+    /// It was newer and is now in effect.
     Applied,
-    /// It is not newer than what is in force.
+    /// It is not newer than the configuration in effect.
     Stale,
-    /// Changes are missing in between; this snapshot closes the gap.
+    /// The tail does not reach back to the configuration in effect; load the snapshot of this
+    /// revision.
     NeedsSnapshot(Revision),
 }
 
-/// The configuration in force at one daemon; its revision never falls.
+/// The configuration in effect at one daemon; its revision never decreases.
 ///
 /// # Examples
 ///
@@ -32,19 +33,19 @@
 }
 
 impl Follower {
-    /// Creates a follower at revision zero: nothing is configured.
+    /// Creates a follower with the empty configuration of revision zero.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in effect.
     #[must_use]
     pub const fn current(&self) -> &Arc<Configuration> {
         &self.current
     }
 
-    /// Takes the store's head, if it is newer.
+    /// Applies the changes in the tail of the stored head, if the head is newer.
     pub fn offer_head(&mut self, head: &Head) -> OfferOutcome {
         if head.revision <= self.current.revision {
             return OfferOutcome::Stale;
@@ -66,7 +67,7 @@
         OfferOutcome::Applied
     }
 
-    /// Takes a whole configuration, from a snapshot or a peer, if it is newer.
+    /// Replaces the configuration by a complete one, from a snapshot or a peer, if that is newer.
     pub fn offer_configuration(&mut self, configuration: Configuration) -> OfferOutcome {
         if configuration.revision <= self.current.revision {
             return OfferOutcome::Stale;
--- a/crates/stairstall-core/src/config/head.rs
+++ b/crates/stairstall-core/src/config/head.rs
@@ -4,18 +4,18 @@
 use super::{Change, Configuration, InvalidChange, Revision};
 
 quick_error! {
-    /// Why a change was not appended.
+    /// Why a change was not appended to the [`Head`].
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum HeadError {
-        /// Another change came first.
+        /// The change is based on another revision than the current one.
         Conflict(current: Revision) {
             display("the configuration is at revision {current} by now; look at it and try again")
         }
-        /// The head or the configuration was read too early; read both again.
+        /// The head and the configuration have different revisions; read both again.
         RevisionMismatch {
             display("the configuration moved on meanwhile")
         }
-        /// The change itself is wrong.
+        /// The change is invalid.
         Invalid(source: InvalidChange) {
             display("{source}")
             from()
@@ -24,36 +24,38 @@
     }
 }
 
-/// One accepted change.
+/// One accepted change and its revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TailEntry {
-    /// The revision that it made.
+    /// Revision that the change produced.
     pub revision: Revision,
-    /// The change.
+    /// Accepted change.
     pub change: Change,
 }
 
-/// The one key that says which configuration is in force.
+/// The stored record that determines the configuration in effect.
 ///
-/// It names the newest snapshot and carries every change since, so that a
-/// reader that is a few changes behind needs nothing else.
+/// It names the newest snapshot and contains all later changes and some earlier
+/// ones, so that a reader that is only a few changes behind needs no snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The newest revision.
+    /// Newest revision.
     pub revision: Revision,
-    /// The snapshot that the tail starts from.
+    /// Revision of the newest snapshot.
     pub snapshot: Revision,
-    /// Changes after the snapshot, in order and without gaps.
+    /// The most recent changes, in order and without gaps; includes all changes after the snapshot.
     pub tail: Vec<TailEntry>,
 }
 
 impl Head {
-    /// Longest tail; a longer one is cut at the snapshot before it.
+    /// Maximum length of the tail; a longer tail requires a new snapshot.
     pub const MAX_TAIL: usize = 32;
-    /// How much of the tail stays behind a new snapshot, for readers that lag and repeated changes.
-    pub const KEPT_TAIL: usize = 16;
+    /// Number of changes that stay in the tail after a new snapshot, for readers that lag and to
+    /// detect repeated changes.
+    pub const RETAINED_TAIL: usize = 16;
 
-    /// Returns the revision that the change `id` made, if the tail still tells.
+    /// Returns the revision that the change with the id of `change` produced, if it is still in the
+    /// tail.
     #[must_use]
     pub fn revision_of(&self, change: &Change) -> Option<Revision> {
         self.tail
@@ -62,12 +64,13 @@
             .map(|e| e.revision)
     }
 
-    /// Returns the head with `change` appended, and the configuration that it makes.
+    /// Returns the head with `change` appended, and the resulting configuration.
     ///
     /// # Errors
     ///
-    /// Returns a conflict where the operator saw another revision, or what is
-    /// wrong with the change.
+    /// Returns [`HeadError::Conflict`] if the change is based on another revision,
+    /// [`HeadError::RevisionMismatch`] if `current` is not the configuration of this
+    /// head, or [`HeadError::Invalid`] if the change can't be applied.
     pub fn append(
         &self,
         current: &Configuration,
@@ -89,17 +92,19 @@
         Ok((head, next))
     }
 
-    /// Tells whether a snapshot of the newest revision should be written.
+    /// Returns whether a snapshot of the newest revision should be written.
     #[must_use]
     pub fn needs_snapshot(&self) -> bool {
         self.tail.len() > Self::MAX_TAIL
     }
 
-    /// Returns the head after a snapshot of its newest revision was written.
+    /// Returns the head to store once a snapshot of its newest revision is stored.
+    ///
+    /// Keeps the last [`Head::RETAINED_TAIL`] changes.
     #[must_use]
     pub fn truncate_tail(mut self) -> Self {
         self.snapshot = self.revision;
-        let surplus = self.tail.len().saturating_sub(Self::KEPT_TAIL);
+        let surplus = self.tail.len().saturating_sub(Self::RETAINED_TAIL);
         self.tail.drain(..surplus);
         self
     }
--- a/crates/stairstall-core/src/config/resource.rs
+++ b/crates/stairstall-core/src/config/resource.rs
@@ -6,19 +6,20 @@
 use crate::placement::Shape;
 use crate::{ClassId, CustomerId, GuaranteeId, Labels, RuleId, Selector, ServiceId, ZoneId};
 
-/// A customer: who pays, and how its work weighs against others'.
+/// A customer, with its weight against other customers and its quota.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// Name.
+    /// Unique name among the resources of this kind.
     pub name: CustomerId,
-    /// Labels.
+    /// Labels, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Share among customers of one class; at least 1.
+    /// Weight in the division of resources among customers of one class; at least 1.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Most accelerators in use at a time outside of its guarantees; none means no bound.
+    /// Maximum number of accelerators in use at a time outside of its guarantees; `None` means no
+    /// limit.
     #[serde(default)]
     pub quota: Option<u32>,
 }
@@ -27,83 +28,83 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PriorityClass {
-    /// Name.
+    /// Unique name among the resources of this kind.
     pub name: ClassId,
-    /// Labels.
+    /// Labels, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Rank of jobs: higher levels are placed first.
+    /// Jobs of higher levels are placed first.
     pub level: u8,
-    /// Share of request slots among classes; at least 1.
+    /// Weight in the division of request slots among classes; at least 1.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Whether waiting jobs of the class make jobs of lower levels give way.
+    /// Whether waiting jobs of the class preempt jobs of lower levels.
     #[serde(default)]
     pub preempts: bool,
 }
 
-/// A shape of adjacent accelerators that a customer can always reclaim.
+/// A group of adjacent accelerators that a customer can always reclaim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Guarantee {
-    /// Name.
+    /// Unique name among the resources of this kind.
     pub name: GuaranteeId,
-    /// Labels.
+    /// Labels, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Who holds the guarantee.
+    /// Customer that the guarantee belongs to.
     pub customer: CustomerId,
-    /// Where the shape is kept.
+    /// Zone in which the accelerators are guaranteed.
     pub zone: ZoneId,
-    /// What is kept.
+    /// Number and arrangement of the guaranteed accelerators.
     pub shape: Shape,
 }
 
-/// What a rule does to the jobs and requests that it selects.
+/// What a rule sets for the jobs and requests that it selects.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleEffect {
-    /// Puts them in this class.
+    /// Assigns them to this priority class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<ClassId>,
-    /// Places them in these zones only.
+    /// Restricts them to these zones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zones: Option<Vec<ZoneId>>,
-    /// Keeps waiting jobs from starting while true.
+    /// While `true`, keeps waiting jobs from starting.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hold: Option<bool>,
 }
 
-/// A placement rule over a group of jobs and requests, told by their labels.
+/// A rule that applies to all jobs and requests whose labels match a selector.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Name.
+    /// Unique name among the resources of this kind.
     pub name: RuleId,
-    /// Labels.
+    /// Labels, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Rules apply in rising order; later ones win.
+    /// Rules apply in ascending order; later ones override earlier ones.
     #[serde(default)]
     pub order: u32,
-    /// Which jobs and requests.
+    /// Condition on the labels of jobs and requests.
     pub selector: Selector,
-    /// What it does.
+    /// Settings that the rule applies.
     pub effect: RuleEffect,
 }
 
-/// A service that minions answer for.
+/// A service whose requests are answered by minions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name.
+    /// Unique name among the resources of this kind.
     pub name: ServiceId,
-    /// Labels.
+    /// Labels, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Requests that one minion runs at a time, over all daemons.
+    /// Maximum number of concurrent requests per minion, over all daemons.
     pub slots: u16,
-    /// Deadline of requests that carry none, in milliseconds.
+    /// Default deadline of requests that don't specify one, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -111,7 +112,7 @@
     1
 }
 
-/// The kinds of resource.
+/// The kind of a configuration resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResourceKind {
@@ -128,7 +129,7 @@
 }
 
 impl ResourceKind {
-    /// All kinds, in the order in which they depend on one another.
+    /// All kinds, in dependency order: a kind refers only to kinds before it.
     pub const ALL: [Self; 5] = [
         Self::Customer,
         Self::PriorityClass,
@@ -137,7 +138,7 @@
         Self::Service,
     ];
 
-    /// Returns the name used in documents and on the command line.
+    /// Returns the name used in JSON documents and on the command line.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -172,7 +173,7 @@
     }
 }
 
-/// One piece of configuration.
+/// A configuration resource of any kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Resource {
@@ -189,7 +190,7 @@
 }
 
 impl Resource {
-    /// Returns the kind.
+    /// Returns the kind of the resource.
     #[must_use]
     pub const fn kind(&self) -> ResourceKind {
         match self {
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Returns the name.
+    /// Returns the name of the resource.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Returns the labels.
+    /// Returns the labels of the resource.
     #[must_use]
     pub const fn labels(&self) -> &Labels {
         match self {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Returns the labels for a change.
+    /// Returns the labels for modification.
     pub const fn labels_mut(&mut self) -> &mut Labels {
         match self {
             Self::Customer(r) => &mut r.labels,
--- a/crates/stairstall-core/src/config/state.rs
+++ b/crates/stairstall-core/src/config/state.rs
@@ -10,36 +10,36 @@
 use crate::{ClassId, CustomerId, GuaranteeId, Labels, RuleId, ServiceId, ZoneId};
 
 quick_error! {
-    /// A change that can't be applied.
+    /// Why a change can't be applied.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidChange {
-        /// A resource is not there.
+        /// The resource does not exist.
         Missing(kind: ResourceKind, name: String) {
             display("there is no {kind} {name:?}")
         }
-        /// A name is not allowed.
+        /// The name is not a valid identifier.
         Name(name: String) {
             display("{name:?} is not an allowed name or value")
         }
-        /// A field does not belong to the kind.
+        /// The kind has no such field.
         Field(kind: ResourceKind, assignment: String) {
             display("{assignment}: a {kind} has no such field")
         }
-        /// A value is out of bounds.
+        /// A value is out of range.
         Value(what: String) {
             display("{what}")
         }
-        /// A resource is still in use.
+        /// Another resource refers to a resource that would not exist after the change.
         InUse(kind: ResourceKind, name: String, by: String) {
             display("{kind} {name:?} is still named by {by}")
         }
     }
 }
 
-/// The whole configuration at one revision.
+/// The complete configuration at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Which change was the last.
+    /// Revision of the last applied change.
     pub revision: Revision,
     /// Customers by name.
     pub customers: BTreeMap<CustomerId, Customer>,
@@ -54,11 +54,11 @@
 }
 
 impl Configuration {
-    /// Returns the configuration with `change` applied, one revision on.
+    /// Returns the next revision: this configuration with `change` applied.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong; the configuration then stays as it is.
+    /// Returns why the change is invalid.
     pub fn apply(&self, change: &Change) -> Result<Self, InvalidChange> {
         let mut next = self.clone();
         for operation in &change.operations {
@@ -69,7 +69,7 @@
         Ok(next)
     }
 
-    /// Returns the resources of one kind, in order of name.
+    /// Returns the resources of one kind, sorted by name.
     #[must_use]
     pub fn resources(&self, kind: ResourceKind) -> Vec<Resource> {
         match kind {
@@ -101,7 +101,9 @@
         }
     }
 
-    /// Returns what the rules say about work with these labels.
+    /// Returns the combined effect of all rules that match `labels`.
+    ///
+    /// Where several rules set the same value, the rule with the highest order wins.
     #[must_use]
     pub fn effect_on(&self, labels: &Labels) -> RuleEffect {
         let mut rules: Vec<&Rule> = self
@@ -119,7 +121,7 @@
             })
     }
 
-    /// Returns the guarantees kept in `zone`.
+    /// Returns the guarantees in `zone`.
     #[must_use]
     pub fn guarantees_in(&self, zone: &ZoneId) -> Vec<Guarantee> {
         self.guarantees
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Checks what the resources say of one another.
+    /// Checks the values of all resources and their references to one another.
     fn check(&self) -> Result<(), InvalidChange> {
         for customer in self.customers.values() {
             check_weight("customer", customer.name.as_str(), customer.weight)?;
--- a/crates/stairstall-core/src/id.rs
+++ b/crates/stairstall-core/src/id.rs
@@ -1,4 +1,4 @@
-//! Validated names of the things the system handles.
+//! Validated identifiers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,11 +6,11 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_ID_BYTES: usize = 64;
 
 quick_error! {
-    /// A name that is not allowed.
+    /// Why a name is invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum IdError {
         /// The name is empty.
@@ -21,18 +21,18 @@
         TooLong(length: usize) {
             display("a name has at most {MAX_ID_BYTES} bytes, this one has {length}")
         }
-        /// The name has a character outside `a-z A-Z 0-9 . _ -`.
+        /// The name contains a character outside `a-z A-Z 0-9 . _ -`.
         Character(found: char) {
             display("a name consists of letters, digits, '.', '_' and '-', not {found:?}")
         }
     }
 }
 
-/// Checks `name` against the rules that all names share.
+/// Checks that `name` is a valid identifier, label name or label value.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the name.
+/// Returns why the name is invalid.
 pub fn check_name(name: &str) -> Result<(), IdError> {
     if name.is_empty() {
         return Err(IdError::Empty);
@@ -55,7 +55,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Returns the name that stands for one that is not known.
+            /// Returns the placeholder `unknown`, for a name that is not known.
             #[must_use]
             pub fn unknown() -> Self {
                 Self("unknown".into())
@@ -100,54 +100,54 @@
 }
 
 id!(
-    /// Names an availability zone.
+    /// Identifies an availability zone.
     ZoneId
 );
 id!(
-    /// Names a VM.
+    /// Identifies a VM.
     VmId
 );
 id!(
-    /// Names a worker: a VM with accelerators.
+    /// Identifies a worker: a VM with accelerators.
     WorkerId
 );
 id!(
-    /// Names a minion.
+    /// Identifies a minion: a VM that answers the requests of a service.
     MinionId
 );
 id!(
-    /// Names a rack of workers.
+    /// Identifies a rack of workers.
     RackId
 );
 id!(
-    /// Names a customer.
+    /// Identifies a customer.
     CustomerId
 );
 id!(
-    /// Names a job within its customer.
+    /// Identifies a job among the jobs of its customer.
     JobId
 );
 id!(
-    /// Names a request within its customer; a caller repeats it when it tries again.
+    /// Identifies a request among the requests of its customer; a retry carries the same id.
     RequestId
 );
 id!(
-    /// Names a priority class.
+    /// Identifies a priority class.
     ClassId
 );
 id!(
-    /// Names a guarantee.
+    /// Identifies a guarantee.
     GuaranteeId
 );
 id!(
-    /// Names a placement rule.
+    /// Identifies a placement rule.
     RuleId
 );
 id!(
-    /// Names a service that minions answer for.
+    /// Identifies a service whose requests are answered by minions.
     ServiceId
 );
 id!(
-    /// Names one operator's change, so that a lost answer can be resolved.
+    /// Identifies a configuration change, so that it can be repeated safely after a lost response.
     ChangeId
 );
--- a/crates/stairstall-core/src/label.rs
+++ b/crates/stairstall-core/src/label.rs
@@ -1,4 +1,4 @@
-//! Labels on customers, guarantees, classes, rules, jobs and requests.
+//! Labels of configuration resources, jobs and requests, and selectors over them.
 
 mod selector;
 mod set;
--- a/crates/stairstall-core/src/label/selector.rs
+++ b/crates/stairstall-core/src/label/selector.rs
@@ -8,19 +8,19 @@
 use crate::id::{IdError, check_name};
 
 quick_error! {
-    /// A label or selector that can't be read.
+    /// Why labels or a selector can't be parsed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SelectorError {
-        /// A part does not have one of the known forms.
+        /// A part has none of the supported forms.
         Form(part: String) {
             display("{part:?} is none of 'name=value', 'name!=value', 'name in (a,b)', 'name'")
         }
-        /// A name or value is not allowed.
+        /// A label name or value is invalid.
         Name(name: String, source: IdError) {
             display("{name:?}: {source}")
             source(source)
         }
-        /// There are more labels than one thing may carry.
+        /// There are more labels than allowed on one object.
         TooMany(count: usize) {
             display("{count} labels are more than {}", super::set::MAX_LABELS)
         }
@@ -32,7 +32,7 @@
 enum Requirement {
     /// The label has one of these values.
     In(String, Vec<String>),
-    /// The label is absent or has another value.
+    /// The label is absent or has a different value.
     NotEqual(String, String),
     /// The label is present.
     Exists(String),
@@ -56,41 +56,43 @@
                 .strip_prefix('(')
                 .and_then(|r| r.strip_suffix(')'));
             let list = list.ok_or_else(|| SelectorError::Form(part.to_owned()))?;
-            let values = list.split(',').map(checked).collect::<Result<_, _>>()?;
-            return Ok(Self::In(checked(name)?, values));
+            let values = list.split(',').map(parse_name).collect::<Result<_, _>>()?;
+            return Ok(Self::In(parse_name(name)?, values));
         }
         if let Some((name, value)) = part.split_once("!=") {
-            return Ok(Self::NotEqual(checked(name)?, checked(value)?));
+            return Ok(Self::NotEqual(parse_name(name)?, parse_name(value)?));
         }
         if let Some((name, value)) = part.split_once('=') {
-            return Ok(Self::In(checked(name)?, vec![checked(value)?]));
+            return Ok(Self::In(parse_name(name)?, vec![parse_name(value)?]));
         }
-        Ok(Self::Exists(checked(part)?))
+        Ok(Self::Exists(parse_name(part)?))
     }
 }
 
-fn checked(text: &str) -> Result<String, SelectorError> {
+/// Returns `text` without surrounding whitespace, if it is a valid label name or value.
+fn parse_name(text: &str) -> Result<String, SelectorError> {
     let text = text.trim();
     check_name(text).map_err(|e| SelectorError::Name(text.to_owned(), e))?;
     Ok(text.to_owned())
 }
 
-/// A condition over labels; all of its parts must hold.
+/// A condition on [`Labels`], which matches if all of its comma-separated parts do.
 ///
+/// A part has one of the forms `name=value`, `name!=value`, `name in (a,b)` and `name`.
 /// The empty selector matches everything.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Selector(Vec<Requirement>);
 
 impl Selector {
-    /// Tells whether `labels` meet every part.
+    /// Returns whether `labels` satisfy every part of the selector.
     #[must_use]
     pub fn matches(&self, labels: &Labels) -> bool {
         self.0.iter().all(|r| r.matches(labels))
     }
 }
 
-/// Splits at commas that stand outside of parentheses.
+/// Splits at commas outside of parentheses.
 fn split_parts(text: &str) -> Vec<&str> {
     let mut depth = 0_usize;
     text.split(move |c| {
--- a/crates/stairstall-core/src/label/set.rs
+++ b/crates/stairstall-core/src/label/set.rs
@@ -7,10 +7,10 @@
 use super::SelectorError;
 use crate::id::{IdError, check_name};
 
-/// Most labels that one thing carries.
+/// Maximum number of labels on one object.
 pub const MAX_LABELS: usize = 32;
 
-/// A set of labels: names with one value each, in order of name.
+/// A set of labels, each a name with one value, sorted by name.
 ///
 /// # Examples
 ///
@@ -35,11 +35,11 @@
         self.0.get(name).map(String::as_str)
     }
 
-    /// Returns these labels with one added or replaced.
+    /// Returns these labels with one label added or replaced.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the name or the value.
+    /// Returns why the name or the value is invalid.
     pub fn with(mut self, name: &str, value: &str) -> Result<Self, IdError> {
         check_name(name)?;
         check_name(value)?;
@@ -47,12 +47,12 @@
         Ok(self)
     }
 
-    /// Iterates over names and values.
+    /// Iterates over the pairs of name and value, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(k, v)| (k.as_str(), v.as_str()))
     }
 
-    /// Tells whether there are no labels.
+    /// Returns whether there are no labels.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/stairstall-core/src/lib.rs
+++ b/crates/stairstall-core/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions of stairstall, without input or output.
+//! Decision logic of Stairstall, free of input and output.
 //!
-//! Every type here is a value or a state machine: time is passed in as a
-//! [`Timestamp`], randomness as a seed, and effects come out as values for the
-//! daemon to carry out. Tests and model checks own the clock.
+//! Every type here is a value or a state machine. Time is passed in as a
+//! [`Timestamp`] and randomness as a seed; effects are returned as values that
+//! the daemon carries out. Tests and model checks therefore control the clock.
 //!
-//! - [`Verdict`] says whether a request may have run.
-//! - [`admission`] orders waiting requests and bounds retries.
-//! - [`routing`] picks a minion without exceeding its slots.
-//! - [`batch`] runs jobs of steps and tasks on workers of all zones.
-//! - [`placement`] places gang jobs on racks and keeps guarantees reclaimable.
-//! - [`config`] applies the operators' changes in revision order.
-//! - [`membership`] derives live daemons from heartbeats.
-//! - [`protocol`] holds the typed messages met at the interfaces.
+//! - [`Verdict`] states whether a request may have run.
+//! - [`admission`] queues requests fairly and limits retries.
+//! - [`routing`] selects a minion for each request without exceeding the minion's slots.
+//! - [`batch`] schedules jobs, made of steps and tasks, on the workers of all zones.
+//! - [`placement`] places gang jobs on racks such that guaranteed accelerators can be reclaimed.
+//! - [`config`] applies configuration changes in revision order.
+//! - [`membership`] derives the set of live daemons from heartbeats.
+//! - [`protocol`] defines the messages exchanged with workers, peers and callers.
 //!
 //! # Examples
 //!
