--- a/crates/stairstall-core/src/lease.rs
+++ b/crates/stairstall-core/src/lease.rs
@@ -1,15 +1,16 @@
-//! A lease as its holder may rely on it.
+//! Leases, as seen by their holder.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// A lease counted from before the request that took it was sent.
+/// A lease, counted from before the holder sent the request for it.
 ///
 /// The granting side counts from when it handled the request, which is later,
-/// so the holder's view always ends first. The drift margin covers clocks that
-/// run at different rates. Check [`Lease::is_valid`] before each act: the
-/// holder may have been paused since the last check.
+/// so the lease ends first for the holder. A margin of a twentieth of the time
+/// to live covers clocks that run at different rates. Check [`Lease::is_valid`]
+/// before each action under the lease, as the process may have been paused
+/// since the last check.
 ///
 /// # Examples
 ///
@@ -28,28 +29,30 @@
 }
 
 impl Lease {
-    /// One part in this many of the time to live is kept as drift margin.
-    const DRIFT_SHARE: u32 = 20;
+    /// The time to live divided by this is the margin for clock drift.
+    const DRIFT_DIVISOR: u32 = 20;
 
-    /// Creates the view of a lease that was requested at `requested_at`.
+    /// Creates a lease that was requested at `requested_at` and lasts for `ttl`.
     #[must_use]
     pub const fn new(requested_at: Timestamp, ttl: Duration) -> Self {
         Self { requested_at, ttl }
     }
 
-    /// Returns when the holder stops relying on the lease.
+    /// Returns when the holder has to stop acting on the lease: `ttl` less the drift margin after
+    /// the request.
     #[must_use]
     pub fn ends_at(&self) -> Timestamp {
-        self.requested_at + self.ttl.saturating_sub(self.ttl / Self::DRIFT_SHARE)
+        self.requested_at + self.ttl.saturating_sub(self.ttl / Self::DRIFT_DIVISOR)
     }
 
-    /// Returns when every other party may count the lease as ended.
+    /// Returns when every other party may treat a lease granted at `granted_at` as expired: `ttl`
+    /// plus the drift margin later.
     #[must_use]
     pub fn expired_for_all_at(&self, granted_at: Timestamp) -> Timestamp {
-        granted_at + (self.ttl + self.ttl / Self::DRIFT_SHARE)
+        granted_at + (self.ttl + self.ttl / Self::DRIFT_DIVISOR)
     }
 
-    /// Tells whether the holder may act on the lease at `now`.
+    /// Returns whether the holder may act on the lease at `now`.
     #[must_use]
     pub fn is_valid(&self, now: Timestamp) -> bool {
         now < self.ends_at()
--- a/crates/stairstall-core/src/membership.rs
+++ b/crates/stairstall-core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which daemons are alive, told by their heartbeats.
+//! Failure detection: which daemons are alive, judged by their heartbeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,48 +6,49 @@
 use crate::protocol::Heartbeat;
 use crate::{Timestamp, VmId, ZoneId};
 
-/// The daemons that were heard from, and when.
+/// The last heartbeat of each daemon, and when it was received.
 ///
-/// The platform's list says where to send heartbeats; only heartbeats say who
-/// is alive. A wrong guess costs slots for a while, never a promise: a daemon
-/// wrongly taken for dead is still bounded by the minions and fenced by the
-/// workers.
+/// The platform's VM list determines where heartbeats are sent; only received
+/// heartbeats determine which daemons are alive. A wrong judgement leaves slots
+/// unused for a while but violates no guarantee: if a live daemon is considered
+/// dead, the minions still limit its requests and the workers fence its orders.
 #[derive(Debug, Clone, Default)]
 pub struct MemberTable {
-    heard: BTreeMap<VmId, (Timestamp, Heartbeat)>,
+    heartbeats: BTreeMap<VmId, (Timestamp, Heartbeat)>,
 }
 
 impl MemberTable {
-    /// How often daemons of one zone exchange heartbeats.
+    /// Interval between heartbeats within a zone.
     pub const INTERVAL: Duration = Duration::from_millis(500);
-    /// How long a daemon counts as alive after its last heartbeat, at the least.
+    /// Minimum time that a daemon is considered alive after its last heartbeat.
     pub const TIMEOUT: Duration = Duration::from_secs(2);
-    /// What each daemon of other zones adds to the time between their heartbeats, so
-    /// that a daemon's traffic stays bounded as zones are added.
+    /// Time that each daemon of another zone adds to the interval between heartbeats to other
+    /// zones, so that the traffic of a daemon stays bounded as zones are added.
     pub const CROSS_ZONE_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(200);
-    /// Shortest time between heartbeats to other zones.
+    /// Shortest interval between heartbeats to other zones.
     pub const MIN_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(1);
-    /// Longest such time.
+    /// Longest interval between heartbeats to other zones.
     pub const MAX_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(6);
-    /// So many heartbeats may be missed.
-    const MISSED: u32 = 3;
-    /// How long a silent daemon is remembered at all.
-    const FORGET: Duration = Duration::from_secs(600);
+    /// Number of announced heartbeat intervals after which a daemon is no longer considered alive.
+    const TIMEOUT_INTERVALS: u32 = 3;
+    /// How long the last heartbeat of a silent daemon is retained.
+    const RETENTION: Duration = Duration::from_secs(600);
 
-    /// Creates a table in which nobody was heard from.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a heartbeat.
+    /// Stores a heartbeat received at `now`, and removes entries past the retention time.
     pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, now: Timestamp) {
-        self.heard
+        self.heartbeats
             .insert(heartbeat.daemon.clone(), (now, heartbeat));
-        self.heard.retain(|_, (at, _)| now - *at < Self::FORGET);
+        self.heartbeats
+            .retain(|_, (at, _)| now - *at < Self::RETENTION);
     }
 
-    /// Returns the time between heartbeats to so many daemons of other zones.
+    /// Returns the interval between heartbeats to other zones, which have `daemons` daemons in all.
     #[must_use]
     pub fn cross_zone_interval(daemons: usize) -> Duration {
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
@@ -55,25 +56,25 @@
         interval.clamp(Self::MIN_CROSS_ZONE_INTERVAL, Self::MAX_CROSS_ZONE_INTERVAL)
     }
 
-    /// Returns how long ago a daemon was heard, if it ever was.
+    /// Returns how long ago the last heartbeat of a daemon was received, if any is retained.
     #[must_use]
     pub fn time_since_heartbeat(&self, daemon: &VmId, now: Timestamp) -> Option<Duration> {
-        self.heard.get(daemon).map(|(at, _)| now - *at)
+        self.heartbeats.get(daemon).map(|(at, _)| now - *at)
     }
 
-    /// Iterates over the daemons that are alive at `now`.
+    /// Iterates over the last heartbeats of the daemons that are alive at `now`.
     pub fn live(&self, now: Timestamp) -> impl Iterator<Item = &Heartbeat> {
-        self.heard
+        self.heartbeats
             .values()
             .filter(move |(at, h)| now - *at < Self::timeout(h))
             .map(|(_, h)| h)
     }
 
     fn timeout(heartbeat: &Heartbeat) -> Duration {
-        Self::TIMEOUT.max(Duration::from_millis(heartbeat.every_ms) * Self::MISSED)
+        Self::TIMEOUT.max(Duration::from_millis(heartbeat.every_ms) * Self::TIMEOUT_INTERVALS)
     }
 
-    /// Returns the live daemons of `zone` that take requests, and `me`.
+    /// Returns the live daemons of `zone` and `me`, sorted by name.
     #[must_use]
     pub fn in_zone(&self, zone: &ZoneId, me: &VmId, now: Timestamp) -> Vec<VmId> {
         let mut members: Vec<VmId> = self
@@ -87,7 +88,9 @@
         members
     }
 
-    /// Returns the live daemon that holds placement in `zone`, the newest tenure first.
+    /// Returns the heartbeat of the live daemon that holds the placement role in `zone`.
+    ///
+    /// If several claim to hold it, the one with the highest fencing token counts.
     #[must_use]
     pub fn holder(&self, zone: &ZoneId, now: Timestamp) -> Option<&Heartbeat> {
         self.live(now)
@@ -95,30 +98,31 @@
             .max_by_key(|h| h.token)
     }
 
-    /// Tells whether a live daemon of `zone` holds placement under a lease in force.
+    /// Returns whether a live daemon of `zone` holds the placement role under a valid lease.
     ///
-    /// A holder that is cut off from the store goes on, but a daemon that
-    /// reaches the store may take the role once the lease ended.
+    /// A holder without access to the store keeps working, but a daemon that can
+    /// reach the store may acquire the role once the holder's lease has expired.
     #[must_use]
     pub fn has_confirmed_holder(&self, zone: &ZoneId, now: Timestamp) -> bool {
         self.live(now)
             .any(|h| h.zone == *zone && h.token.is_some() && h.confirmed)
     }
 
-    /// Returns the highest token that any daemon of `zone` was heard to hold.
+    /// Returns the highest fencing token in the retained heartbeats of `zone`.
     #[must_use]
     pub fn highest_token(&self, zone: &ZoneId) -> Option<u64> {
-        self.heard
+        self.heartbeats
             .values()
             .filter(|(_, h)| h.zone == *zone)
             .filter_map(|(_, h)| h.token)
             .max()
     }
 
-    /// Returns how long no holder of `zone` was heard, if one ever was.
+    /// Returns how long ago the last heartbeat of a placement holder of `zone` was received, if any
+    /// is retained.
     #[must_use]
     pub fn time_since_holder_heartbeat(&self, zone: &ZoneId, now: Timestamp) -> Option<Duration> {
-        self.heard
+        self.heartbeats
             .values()
             .filter(|(_, h)| h.zone == *zone && h.token.is_some())
             .map(|(at, _)| now - *at)
--- a/crates/stairstall-core/src/protocol.rs
+++ b/crates/stairstall-core/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Typed messages at the interfaces: workers, the VM list, peers and callers.
+//! Messages exchanged with workers, other daemons and callers, and the platform's VM list.
 
 mod caller;
 mod peer;
--- a/crates/stairstall-core/src/protocol/caller.rs
+++ b/crates/stairstall-core/src/protocol/caller.rs
@@ -4,87 +4,87 @@
 use crate::placement::{JobKey, JobRecord};
 use crate::{RequestId, Verdict};
 
-/// Names of the headers between callers, daemons and minions.
+/// Names of the HTTP headers between callers, daemons and minions.
 pub mod header {
-    /// The customer that a request is for.
+    /// Customer on whose behalf a request is made.
     pub const CUSTOMER: &str = "stairstall-customer";
-    /// The priority class of a request.
+    /// Priority class of a request.
     pub const CLASS: &str = "stairstall-class";
     /// Labels of a request, as `name=value,name=value`.
     pub const LABELS: &str = "stairstall-labels";
-    /// Milliseconds that the caller waits.
+    /// Milliseconds after which the caller no longer waits for the response.
     pub const DEADLINE_MS: &str = "stairstall-deadline-ms";
-    /// The id of a request, the same when the caller tries again.
+    /// Id of a request; a retry carries the same id.
     pub const REQUEST_ID: &str = "stairstall-request-id";
-    /// `no` where the request must not run twice; `yes` otherwise.
+    /// `no` if the request must not run more than once; `yes` otherwise.
     pub const REPEATABLE: &str = "stairstall-repeatable";
-    /// The verdict of an answer.
+    /// Verdict on whether the request may have run, in a response.
     pub const VERDICT: &str = "stairstall-verdict";
-    /// The minion that answered.
+    /// Minion that answered the request.
     pub const MINION: &str = "stairstall-minion";
-    /// The daemon that answered.
+    /// Daemon that answered the request.
     pub const DAEMON: &str = "stairstall-daemon";
-    /// `1` on an answer that was kept from an earlier attempt.
+    /// `1` in a response that was stored by an earlier attempt and is replayed.
     pub const REPLAYED: &str = "stairstall-replayed";
-    /// `1` on a request passed on from another zone.
+    /// `1` in a request forwarded from another zone.
     pub const HOP: &str = "stairstall-hop";
-    /// `1` on the answer of a minion that leaves.
+    /// `1` in the response of a minion that is leaving.
     pub const LEAVING: &str = "stairstall-leaving";
 }
 
-/// Body of each error answer.
+/// Body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What is wrong, for people.
+    /// Human-readable error message.
     pub error: String,
-    /// The field, header or flag that is wrong, where one is.
+    /// Name of the invalid field, header or flag, if the error is about one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// Milliseconds until it is worth coming back, where it is.
+    /// Milliseconds after which to retry, if a retry may succeed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The request, where it is known.
+    /// Id of the request, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
 }
 
-/// A group of resources and the revision they were read at.
+/// Configuration resources and the revision at which they were read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigReply {
-    /// The revision.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// The resources.
+    /// Resources at this revision.
     pub resources: Vec<Resource>,
 }
 
-/// A job as any daemon tells it.
+/// A job as daemons report it to callers: its record.
 pub type JobStatus = JobRecord;
 
-/// Jobs of a query.
+/// Response to a query for jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobPage {
-    /// The jobs, in order of customer and name.
+    /// Matching jobs, sorted by customer and name.
     pub jobs: Vec<JobStatus>,
 }
 
-/// One decision about a job or request.
+/// One decision in an [`Explanation`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplanationEntry {
-    /// Milliseconds ago.
+    /// Age of the decision, in milliseconds.
     pub age_ms: u64,
-    /// What was decided and why.
+    /// Human-readable decision and its reason.
     pub text: String,
 }
 
-/// Why a job waits, was moved or gave way.
+/// Why a job waits, was moved or was preempted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The job.
+    /// Job that is explained.
     pub job: JobKey,
-    /// Where it stands.
+    /// Current state of the job, in one sentence.
     pub summary: String,
-    /// The last decisions, oldest first.
+    /// Most recent decisions, oldest first.
     pub stages: Vec<ExplanationEntry>,
 }
--- a/crates/stairstall-core/src/protocol/peer.rs
+++ b/crates/stairstall-core/src/protocol/peer.rs
@@ -3,77 +3,78 @@
 use crate::config::{Guarantee, Revision};
 use crate::{ServiceId, VmId, ZoneId};
 
-/// What a daemon could take on for one service.
+/// Load of a daemon for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Service that the figures are about.
     pub service: ServiceId,
-    /// Slots that are free now.
+    /// Number of free slots.
     pub free: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
-/// What a placement holder could take on.
+/// Load of a zone, as its placement holder reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementLoad {
-    /// Accelerators that are free.
+    /// Number of free accelerators.
     pub free_accelerators: u32,
-    /// Accelerators in all.
+    /// Total number of accelerators.
     pub total_accelerators: u32,
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     pub waiting_jobs: u32,
     /// Free accelerators that no waiting or guaranteed shape can use.
     pub unusable_accelerators: u32,
     /// Free accelerators that no waiting shape can use, while a job waits.
     pub lost_accelerators: u32,
-    /// Accelerators of the largest free run of neighbouring, wholly free workers.
+    /// Number of accelerators in the largest run of adjacent, entirely free workers.
     pub largest_free: u32,
 }
 
-/// What a daemon tells its peers: twice a second in its zone, less often in others.
+/// Message that a daemon sends to its peers: twice a second within its zone, less often to others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who speaks.
+    /// Daemon that sends the heartbeat.
     pub daemon: VmId,
-    /// In which zone.
+    /// Zone of the daemon.
     pub zone: ZoneId,
-    /// Milliseconds until it is heard again at the latest, while all is well.
+    /// Longest time until the next heartbeat while the daemon works normally, in milliseconds.
     pub every_ms: u64,
-    /// Address for requests passed on by other zones.
+    /// Address for requests forwarded from other zones.
     pub address: std::net::SocketAddr,
-    /// Newest configuration in force there.
+    /// Revision of the configuration in effect at the daemon.
     pub revision: Revision,
-    /// The fencing token, where it holds placement in its zone.
+    /// Fencing token, if the daemon holds the placement role in its zone.
     pub token: Option<u64>,
-    /// Whether its lease of the role is in force; without the store it may not be.
+    /// Whether its lease of the placement role is valid; while the store is unreachable, the lease
+    /// may have expired.
     pub confirmed: bool,
-    /// Free accelerators and waiting jobs of the zone, where it holds placement.
+    /// Load of the zone, if the daemon holds the placement role.
     pub placement: Option<PlacementLoad>,
-    /// Whether it is about to stop.
+    /// Whether the daemon is about to stop.
     pub leaving: bool,
-    /// Load by service.
+    /// Load per service.
     pub services: Vec<ServiceLoad>,
 }
 
-/// Asks a placement holder whether guarantees can all be kept at once.
+/// Asks a placement holder whether all guarantees of its zone can be satisfied at the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GuaranteeCheckRequest {
-    /// Every guarantee of the zone after the change.
+    /// All guarantees of the zone after the change.
     pub guarantees: Vec<Guarantee>,
 }
 
-/// Whether the guarantees can be kept.
+/// Reply to a [`GuaranteeCheckRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum GuaranteeCheckReply {
-    /// Every guarantee has a home block.
+    /// All guarantees can be satisfied: each has a home block.
     Kept,
-    /// This guarantee found none.
+    /// At least one guarantee has no home block.
     NotKept {
-        /// The first guarantee without a home block, and why.
+        /// First guarantee without a home block, and why it has none.
         reason: String,
     },
-    /// The daemon does not hold placement in its zone.
+    /// The daemon does not hold the placement role in its zone.
     NotHolder,
 }
--- a/crates/stairstall-core/src/protocol/vm.rs
+++ b/crates/stairstall-core/src/protocol/vm.rs
@@ -4,25 +4,25 @@
 
 use crate::{RackId, ServiceId, VmId, ZoneId};
 
-/// What a VM is there for.
+/// The role of a VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "role", rename_all = "kebab-case")]
 pub enum VmRole {
-    /// Runs the daemon.
+    /// Runs a daemon.
     Entry {
-        /// Where the daemon listens for its peers.
+        /// Address at which the daemon listens for its peers.
         rpc: SocketAddr,
     },
     /// Answers requests of a service.
     Minion {
-        /// The service.
+        /// Service that the minion answers for.
         service: ServiceId,
     },
-    /// Holds accelerators in a rack.
+    /// Runs tasks on its accelerators.
     Worker {
-        /// The rack.
+        /// Rack that contains the worker.
         rack: RackId,
-        /// Place in the rack; neighbours differ by one.
+        /// Position in the rack; the positions of adjacent workers differ by one.
         position: u16,
     },
 }
@@ -31,35 +31,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It does.
+    /// The VM takes new work.
     Live,
-    /// It will be gone soon.
+    /// The VM will be removed soon and takes no new work.
     Leaving,
 }
 
-/// One VM as the platform lists it.
+/// A VM in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Name.
+    /// Identifier of the VM.
     pub id: VmId,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Where it listens for requests.
+    /// Address at which the VM listens for requests.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether the VM takes new work.
     pub state: VmState,
-    /// When its present life began, in milliseconds since the Unix epoch, where the platform says so:
-    /// a VM may start again under its name.
+    /// When the current incarnation of the VM started, in milliseconds since the Unix epoch, if the
+    /// platform reports it. A VM may restart under the same name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born_unix_ms: Option<u64>,
-    /// What it is there for.
+    /// Role of the VM.
     #[serde(flatten)]
     pub role: VmRole,
 }
 
-/// The platform's list of VMs, which lags behind.
+/// The platform's list of VMs, which may lag behind the actual state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// The VMs.
+    /// VMs of all roles.
     pub vms: Vec<VmEntry>,
 }
--- a/crates/stairstall-core/src/protocol/worker.rs
+++ b/crates/stairstall-core/src/protocol/worker.rs
@@ -5,19 +5,19 @@
 use crate::VmId;
 use crate::placement::{Attempt, Capacity, JobKey, PlacedMember, Shape};
 
-/// Names one member of one attempt at a job.
+/// Identifies a task: one member of one attempt at a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobKey,
-    /// The attempt.
+    /// Attempt at the job.
     pub attempt: Attempt,
-    /// The member, counted from zero.
+    /// Index of the member in the gang, from zero.
     pub member: u16,
 }
 
 impl TaskId {
-    /// Creates the name of a member.
+    /// Creates the id of a member of an attempt.
     #[must_use]
     pub const fn new(job: JobKey, attempt: Attempt, member: u16) -> Self {
         Self {
@@ -34,133 +34,137 @@
     }
 }
 
-/// What a worker needs to know of a task, and a successor to rebuild its job.
+/// Description of a task, for the worker that runs it and for a later placement holder that
+/// rebuilds the job from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskSpec {
-    /// Shape of the whole gang.
+    /// Shape of the entire gang.
     pub shape: Shape,
-    /// Where all members were placed, in order of member.
+    /// Placement of all members, in the order of their index.
     pub members: Vec<PlacedMember>,
-    /// Accelerators of the worker, one bit each.
+    /// Bit mask of the worker's accelerators that the task uses.
     pub accelerators: u64,
     /// Whether the job may run more than once.
     pub repeatable: bool,
-    /// How long a checkpoint takes, in milliseconds, where the job can make one.
+    /// Duration of a checkpoint, in milliseconds, if the job supports checkpoints.
     pub checkpoint_ms: Option<u64>,
-    /// Work to be done in all, in milliseconds.
+    /// Total work of the task, in milliseconds.
     pub work_ms: u64,
-    /// Work that an earlier attempt's checkpoint holds, in milliseconds.
+    /// Work saved by the checkpoint of an earlier attempt, in milliseconds.
     pub resume_ms: u64,
-    /// What to run; the worker's business.
+    /// What to run; interpreted only by the worker.
     pub payload: String,
 }
 
-/// What is asked of a task.
+/// The action that an order requests for a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "kebab-case")]
 pub enum Order {
-    /// Sets resources aside; nothing runs yet.
+    /// Reserves resources for the task without starting it.
     Reserve {
-        /// The task.
+        /// Description of the task.
         spec: Box<TaskSpec>,
-        /// Milliseconds until the reservation lapses.
+        /// Milliseconds until the reservation expires.
         lease_ms: u64,
     },
     /// Starts a reserved task under a short lease.
     Start {
-        /// Milliseconds until the task is stopped unless confirmed.
+        /// Milliseconds until the worker stops the task unless it is confirmed.
         lease_ms: u64,
     },
-    /// Says that all members run: from now on each sync renews the lease.
+    /// Confirms that all members of the gang run; from now on each sync renews the task's lease.
     Confirm,
-    /// Saves the task's progress.
+    /// Saves the progress of the task.
     Checkpoint,
-    /// Limits the task's processor time.
+    /// Limits the processor time of the task.
     Throttle {
-        /// Percent of what it asked for.
+        /// Limit, in percent of the requested processors.
         percent: u8,
     },
-    /// Stops the task, or gives its reservation up.
+    /// Stops the task or cancels its reservation.
     Stop,
-    /// Drops the record of a task that is over.
+    /// Removes the worker's record of a task that has ended.
     Forget,
 }
 
-/// An order for one task; sending it twice does no more than sending it once.
+/// An order for one task; idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The task.
+    /// Task that the order is for.
     pub task: TaskId,
-    /// What to do.
+    /// Requested action.
     #[serde(flatten)]
     pub order: Order,
 }
 
-/// What the placement holder sends to a worker.
+/// Request from the placement holder to a worker, which gives orders, renews leases and asks for
+/// the state of tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// The daemon that sends it.
+    /// Daemon that sends the request.
     pub holder: VmId,
-    /// Fencing token; the worker refuses one that is lower than any before.
+    /// Fencing token; the worker refuses a token lower than the highest it has seen.
     pub token: u64,
-    /// Counts the requests of one tenure to this worker; it refuses one that is
-    /// not newer than the last it served, so that a delayed request does nothing.
+    /// Sequence number of the request among those of one tenure to this worker.
+    ///
+    /// The worker refuses a request that is not newer than the last one it handled,
+    /// so that a delayed request has no effect.
     pub sequence: u64,
-    /// Version of the last reply; the answer tells only what changed since.
+    /// Version of the last reply; the reply to this request contains only changes since then.
     pub since: u64,
-    /// New lease of every confirmed task, in milliseconds; zero renews nothing.
+    /// New lease of every confirmed task, in milliseconds; zero renews no lease.
     pub lease_ms: u64,
-    /// Orders.
+    /// Orders for tasks on this worker.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub commands: Vec<Command>,
 }
 
-/// Where a task stands at its worker.
+/// The state of a task at its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "kebab-case")]
 pub enum TaskPhase {
-    /// Resources are set aside.
+    /// Resources are reserved.
     Reserved,
-    /// The worker had no room; nothing ran.
+    /// The worker had too little free capacity; nothing ran.
     Refused,
-    /// It runs under a short lease.
+    /// The task runs under a short lease.
     Started,
-    /// It runs and all members are known to run.
+    /// The task runs, and all members of the gang are known to run.
     Confirmed,
-    /// Its progress is saved; it still runs.
+    /// The progress is saved; the task still runs.
     Checkpointed,
-    /// It was stopped or its lease lapsed.
+    /// The task was stopped, or its lease expired.
     Stopped {
-        /// Whether it ever started.
+        /// Whether the task had started.
         started: bool,
     },
-    /// It ended by itself.
+    /// The task ended on its own.
     Finished {
-        /// Whether it did what it should.
+        /// Whether the task succeeded.
         success: bool,
-        /// What it answered.
+        /// Output of the task.
         output: String,
     },
 }
 
-/// One task as its worker reports it.
+/// The state of one task, as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The task.
+    /// Task that is reported.
     pub task: TaskId,
-    /// Where it stands.
+    /// Current state.
     #[serde(flatten)]
     pub phase: TaskPhase,
-    /// Work that a checkpoint holds, in milliseconds.
+    /// Work saved by a checkpoint, in milliseconds.
     pub saved_ms: u64,
-    /// What the task is.
+    /// Description of the task.
     pub spec: Box<TaskSpec>,
 }
 
-/// A worker's usage as it was some time ago.
+/// Resource usage of a worker, measured some time ago.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// How old the figures are, in milliseconds.
+    /// Age of the figures, in milliseconds.
     pub age_ms: u64,
     /// Accelerators in use.
     pub accelerators: u16,
@@ -170,25 +174,27 @@
     pub memory_mb: u32,
 }
 
-/// A worker's answer.
+/// Reply of a worker to a [`SyncRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// Drawn at each start of the worker; another one has forgotten every task.
+    /// Random number that the worker draws at each start; a new incarnation has no record of
+    /// earlier tasks.
     pub incarnation: u64,
-    /// Version of this reply, for the next request.
+    /// Version of this reply, to be sent as [`SyncRequest::since`] in the next request.
     pub version: u64,
-    /// What the worker has.
+    /// Total capacity of the worker.
     pub capacity: Capacity,
-    /// Usage, with a lag.
+    /// Recent usage of the worker.
     pub usage: Usage,
-    /// Tasks that changed since the version asked for, and those that the commands name.
+    /// Tasks that changed since the requested version, and tasks named in the request's commands.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tasks: Vec<TaskReport>,
 }
 
-/// A worker's refusal of a token or sequence that is too low; nothing was done.
+/// Reply of a worker that refused a request because its token or sequence number is too low; the
+/// request had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StaleRequest {
-    /// The highest token it has seen.
+    /// Highest fencing token that the worker has seen.
     pub highest: u64,
 }
--- a/crates/stairstall-core/src/routing.rs
+++ b/crates/stairstall-core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which minion a request goes to, so that no minion's slots are exceeded.
+//! Selection of a minion for each request, such that no minion's slots are exceeded.
 
 mod circuit;
 mod minions;
--- a/crates/stairstall-core/src/routing/circuit.rs
+++ b/crates/stairstall-core/src/routing/circuit.rs
@@ -2,10 +2,11 @@
 
 use crate::Timestamp;
 
-/// Keeps requests away from a minion that fails again and again.
+/// A circuit breaker, which withholds requests from a minion that fails repeatedly.
 ///
-/// After a few faults in a row it opens for a while that doubles with each
-/// further fault; then one request at a time may try.
+/// It opens after three consecutive faults, for a time that doubles with each
+/// further fault. After that time it lets one request at a time through until a
+/// request succeeds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
     faults: u32,
@@ -13,19 +14,19 @@
 }
 
 impl CircuitBreaker {
-    /// A circuit that lets requests through.
+    /// A circuit breaker without faults, which lets all requests through.
     pub const CLOSED: Self = Self {
         faults: 0,
         open_until: None,
     };
-    /// Faults in a row that open the circuit.
+    /// Number of consecutive faults that open the circuit.
     const FAULTS_TO_OPEN: u32 = 3;
-    /// How long it stays open the first time.
+    /// How long the circuit stays open the first time.
     const FIRST_OPEN: Duration = Duration::from_secs(1);
-    /// How often that time doubles at most.
+    /// Maximum number of times that the open time doubles.
     const MAX_DOUBLINGS: u32 = 5;
 
-    /// Tells whether a request may go through while `in_flight` others do.
+    /// Returns whether a request may be sent while `in_flight` others are in progress.
     #[must_use]
     pub fn allows(&self, now: Timestamp, in_flight: u16) -> bool {
         match self.open_until {
@@ -34,13 +35,13 @@
         }
     }
 
-    /// Notes an answer: the minion works.
+    /// Records that the minion answered, and closes the circuit.
     pub const fn record_success(&mut self) {
         self.faults = 0;
         self.open_until = None;
     }
 
-    /// Notes a fault: no answer, or a broken one.
+    /// Records a fault: no response, or an incomplete one.
     pub fn record_fault(&mut self, now: Timestamp) {
         self.faults = self.faults.saturating_add(1);
         if self.faults >= Self::FAULTS_TO_OPEN {
--- a/crates/stairstall-core/src/routing/minions.rs
+++ b/crates/stairstall-core/src/routing/minions.rs
@@ -8,69 +8,72 @@
 use crate::protocol::VmState;
 use crate::{MinionId, ServiceId, Timestamp, Verdict};
 
-/// A minion of this zone, as the platform's list gives it.
+/// A minion of this zone, as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MinionInfo {
-    /// Name.
+    /// Identifier of the minion.
     pub id: MinionId,
-    /// Where it listens.
+    /// Address at which the minion listens.
     pub address: SocketAddr,
-    /// What it answers for.
+    /// Service that the minion answers for.
     pub service: ServiceId,
-    /// Whether it takes new work.
+    /// Whether the minion takes new work.
     pub state: VmState,
-    /// When its present life began, in milliseconds since the Unix epoch, where the list says so.
+    /// When the current incarnation of the minion started, in milliseconds since the Unix epoch, if
+    /// the platform reports it.
     pub born_unix_ms: Option<u64>,
 }
 
 impl MinionInfo {
-    /// Tells whether another entry is of the same life: one process at one address.
-    fn is_same_life(&self, other: &Self) -> bool {
+    /// Returns whether another entry describes the same incarnation: one process at one address.
+    fn is_same_incarnation(&self, other: &Self) -> bool {
         self.address == other.address && self.born_unix_ms == other.born_unix_ms
     }
 }
 
-/// How a request to a minion ended, as far as the minion's health goes.
+/// How a request to a minion ended, with respect to the health of the minion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It answered.
+    /// The minion answered.
     Answered,
-    /// It refused because its slots are taken.
+    /// The minion refused the request because all of its slots are in use.
     Busy,
-    /// It said that it is leaving.
+    /// The minion announced that it is leaving.
     Leaving,
-    /// It could not be reached, or broke off.
+    /// The minion could not be reached, or the connection broke.
     Fault,
-    /// Nobody waited for its answer any more; that says nothing of the minion.
+    /// The caller abandoned the request before it ended, which says nothing about the minion.
     Abandoned,
 }
 
-/// A minion chosen for one request; give it back through [`MinionTable::release`].
+/// A minion selected for one request, with a slot that has to be returned through
+/// [`MinionTable::release`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pick {
-    /// Which minion.
+    /// Selected minion.
     pub minion: MinionId,
-    /// Where it listens.
+    /// Address at which the minion listens.
     pub address: SocketAddr,
-    /// Which of its lives it is, as the list says.
+    /// Start time of the selected incarnation, see [`MinionInfo::born_unix_ms`].
     pub born_unix_ms: Option<u64>,
-    /// Requests that this daemon has on the minion now, this one among them.
+    /// Number of requests of this daemon that are in flight at the minion, including this one.
     pub in_flight: u16,
-    /// Slots of the minion that this daemon may use.
+    /// Number of the minion's slots that this daemon may use.
     pub share: u16,
-    /// Minions of the service that were passed over.
+    /// Number of other minions of the service that take new work.
     pub passed_over: usize,
 }
 
 quick_error! {
-    /// Why no minion was chosen.
+    /// Why no minion was selected.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum PickRefusal {
-        /// The zone has no minion of the service that takes work.
+        /// No minion of the service takes new work in this zone.
         NoMinion {
             display("no minion of the service takes work in this zone")
         }
-        /// Each minion's share is used up.
+        /// No minion can be selected now: for each, the share of its slots is used up, its circuit
+        /// is open, it was busy just before, or the request avoids it.
         AllBusy {
             display("every slot of this daemon is taken")
         }
@@ -78,7 +81,7 @@
 }
 
 impl PickRefusal {
-    /// Returns [`Verdict::NotRun`]: nothing was sent.
+    /// Returns [`Verdict::NotRun`], as nothing was sent.
     #[must_use]
     pub const fn verdict(self) -> Verdict {
         Verdict::NotRun
@@ -91,26 +94,26 @@
     in_flight: u16,
     circuit: CircuitBreaker,
     busy_until: Timestamp,
-    said_leaving: bool,
+    announced_leaving: bool,
     listed: bool,
 }
 
 impl Minion {
-    fn takes_work(&self) -> bool {
-        self.listed && self.info.state == VmState::Live && !self.said_leaving
+    fn takes_new_work(&self) -> bool {
+        self.listed && self.info.state == VmState::Live && !self.announced_leaving
     }
 }
 
-/// The minions of one zone and what this daemon has in flight on each.
+/// The minions of one zone, with their health and the requests of this daemon in flight at each.
 #[derive(Debug, Clone)]
 pub struct MinionTable {
     minions: BTreeMap<MinionId, Minion>,
     shares: SlotShares,
-    turn: usize,
+    rotation: usize,
 }
 
 impl MinionTable {
-    /// How long a minion that refused as busy is passed over.
+    /// How long a minion is not selected after it refused a request as busy.
     const BUSY_PAUSE: Duration = Duration::from_millis(20);
 
     /// Creates a table without minions.
@@ -119,16 +122,16 @@
         Self {
             minions: BTreeMap::new(),
             shares,
-            turn: 0,
+            rotation: 0,
         }
     }
 
-    /// Returns the shares, for news about the zone's daemons.
+    /// Returns the shares, to update them when the daemons of the zone change.
     pub const fn shares_mut(&mut self) -> &mut SlotShares {
         &mut self.shares
     }
 
-    /// Takes the platform's list; minions that are gone from it get nothing new.
+    /// Replaces the list of minions; minions that are no longer listed get no new requests.
     pub fn set_minions(&mut self, list: Vec<MinionInfo>) {
         for minion in self.minions.values_mut() {
             minion.listed = false;
@@ -136,8 +139,8 @@
         for info in list {
             match self.minions.get_mut(&info.id) {
                 Some(minion) => {
-                    if !minion.info.is_same_life(&info) {
-                        minion.begin_life();
+                    if !minion.info.is_same_incarnation(&info) {
+                        minion.reset_health();
                     }
                     minion.info = info;
                     minion.listed = true;
@@ -148,11 +151,13 @@
         self.minions.retain(|_, m| m.listed || m.in_flight > 0);
     }
 
-    /// Chooses the minion with the fewest requests for its share.
+    /// Selects the minion with the lowest load relative to this daemon's share, and takes a slot.
+    ///
+    /// Minions of equal load are selected in rotation. Minions in `avoid` are not selected.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why no minion was selected.
     pub fn pick(
         &mut self,
         service: &ServiceId,
@@ -160,11 +165,11 @@
         avoid: &[MinionId],
         now: Timestamp,
     ) -> Result<Pick, PickRefusal> {
-        self.turn = self.turn.wrapping_add(1);
+        self.rotation = self.rotation.wrapping_add(1);
         let mut candidates = 0;
         let mut best: Option<(u32, usize, u16, MinionId)> = None;
         for (index, minion) in self.minions.values().enumerate() {
-            if minion.info.service != *service || !minion.takes_work() {
+            if minion.info.service != *service || !minion.takes_new_work() {
                 continue;
             }
             candidates += 1;
@@ -174,7 +179,7 @@
                 continue;
             }
             let load = u32::from(minion.in_flight) * 1_000 / u32::from(share);
-            let rotated = (index + self.turn) % 64;
+            let rotated = (index + self.rotation) % 64;
             let key = (load, rotated, share, minion.info.id.clone());
             if best.as_ref().is_none_or(|b| (key.0, key.1) < (b.0, b.1)) {
                 best = Some(key);
@@ -199,7 +204,10 @@
         })
     }
 
-    /// Gives a slot back and notes how the request ended; that says nothing of another life.
+    /// Returns a slot and records how the request ended.
+    ///
+    /// The outcome is ignored if the minion has restarted since, as it does not describe the new
+    /// incarnation.
     pub fn release(&mut self, pick: &Pick, outcome: RequestOutcome, now: Timestamp) {
         let Some(minion) = self.minions.get_mut(&pick.minion) else {
             return;
@@ -212,13 +220,13 @@
         match outcome {
             RequestOutcome::Answered => minion.circuit.record_success(),
             RequestOutcome::Busy => minion.busy_until = now + Self::BUSY_PAUSE,
-            RequestOutcome::Leaving => minion.said_leaving = true,
+            RequestOutcome::Leaving => minion.announced_leaving = true,
             RequestOutcome::Fault => minion.circuit.record_fault(now),
             RequestOutcome::Abandoned => {}
         }
     }
 
-    /// Returns the requests in flight over all minions.
+    /// Returns the number of requests in flight over all minions.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.minions
@@ -227,12 +235,13 @@
             .sum()
     }
 
-    /// Returns the slots that this daemon could use now for a service with `slots` each.
+    /// Returns the number of free slots in this daemon's shares of the minions of a service, which
+    /// have `slots` slots each.
     #[must_use]
     pub fn free_slots(&self, service: &ServiceId, slots: u16, now: Timestamp) -> usize {
         self.minions
             .values()
-            .filter(|m| m.info.service == *service && m.takes_work())
+            .filter(|m| m.info.service == *service && m.takes_new_work())
             .filter(|m| m.circuit.allows(now, m.in_flight))
             .map(|m| {
                 let share = self.shares.share_of(&m.info.id, slots, now);
@@ -241,23 +250,24 @@
             .sum()
     }
 
-    /// Tells whether the zone has a minion of the service that takes work.
+    /// Returns whether the zone has a minion of the service that takes new work.
     #[must_use]
     pub fn serves(&self, service: &ServiceId) -> bool {
         self.minions
             .values()
-            .any(|m| m.info.service == *service && m.takes_work())
+            .any(|m| m.info.service == *service && m.takes_new_work())
     }
 }
 
 impl Minion {
-    /// Forgets what the life before said and did.
+    /// Resets the health recorded for the previous incarnation.
     ///
-    /// One that said that it leaves, and starts again under its id and address, would get nothing more.
-    const fn begin_life(&mut self) {
+    /// Otherwise a minion that announced that it was leaving, and restarted under the same id and
+    /// address, would never get requests again.
+    const fn reset_health(&mut self) {
         self.circuit = CircuitBreaker::CLOSED;
         self.busy_until = Timestamp::from_millis(0);
-        self.said_leaving = false;
+        self.announced_leaving = false;
     }
 
     const fn new(info: MinionInfo) -> Self {
@@ -266,7 +276,7 @@
             in_flight: 0,
             circuit: CircuitBreaker::CLOSED,
             busy_until: Timestamp::from_millis(0),
-            said_leaving: false,
+            announced_leaving: false,
             listed: true,
         }
     }
--- a/crates/stairstall-core/src/routing/shares.rs
+++ b/crates/stairstall-core/src/routing/shares.rs
@@ -3,12 +3,13 @@
 
 use crate::{MinionId, Timestamp, VmId};
 
-/// How many of a minion's slots this daemon may use.
+/// Computes how many of each minion's slots this daemon may use.
 ///
-/// The slots are divided by the list of live daemons of the zone; a remainder
-/// goes by rank of a hash. A share shrinks at once when the list changes, and
-/// grows only after [`SlotShares::GAIN_DELAY`], when every daemon that heard the
-/// news has shrunk its own. A daemon that was paused starts again from nothing.
+/// The slots are divided evenly among the live daemons of the zone; the remainder
+/// goes to the daemons that rank first by a hash. When the list of live daemons
+/// changes, a smaller share takes effect at once. A larger one takes effect only
+/// after [`SlotShares::GAIN_DELAY`], when every daemon that noticed the change has
+/// reduced its own share. A daemon that was paused starts again without shares.
 ///
 /// # Examples
 ///
@@ -26,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct SlotShares {
     me: VmId,
-    /// Lists with the time each was replaced; the last one is in force.
+    /// Lists of live daemons that limit the share, oldest first; the last one is current.
     views: VecDeque<View>,
 }
 
@@ -37,10 +38,11 @@
 }
 
 impl SlotShares {
-    /// How long a larger share waits: longer than a silent member stays on any list.
+    /// Delay before a larger share takes effect; longer than a silent daemon stays on any list.
     pub const GAIN_DELAY: Duration = Duration::from_secs(3);
 
-    /// Creates the shares of the daemon `me`, none at first.
+    /// Creates the shares of the daemon `me`, which are zero until [`SlotShares::GAIN_DELAY`] has
+    /// passed.
     #[must_use]
     pub fn new(me: VmId, now: Timestamp) -> Self {
         let mut shares = Self {
@@ -51,7 +53,7 @@
         shares
     }
 
-    /// Takes the list of live daemons of the zone, `me` among them.
+    /// Sets the list of live daemons of the zone, which includes `me`.
     pub fn set_members(&mut self, mut members: Vec<VmId>, now: Timestamp) {
         members.sort();
         members.dedup();
@@ -69,10 +71,11 @@
             members,
             replaced_at: None,
         });
-        self.forget_old(now);
+        self.remove_expired_views(now);
     }
 
-    /// Gives up every share after a pause in which the others may have taken them.
+    /// Resets all shares to zero, after a pause of this process in which other daemons may have
+    /// taken over its slots.
     pub fn suspend(&mut self, now: Timestamp) {
         let members = self
             .views
@@ -90,25 +93,25 @@
         });
     }
 
-    /// Returns how many of the minion's `slots` may be used at `now`.
+    /// Returns how many of the minion's `slots` this daemon may use at `now`.
     #[must_use]
     pub fn share_of(&self, minion: &MinionId, slots: u16, now: Timestamp) -> u16 {
         self.views
             .iter()
-            .filter(|view| view.in_force(now))
+            .filter(|view| view.is_in_effect(now))
             .map(|view| view.share(&self.me, minion, slots))
             .min()
             .unwrap_or(0)
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        self.views.retain(|view| view.in_force(now));
+    fn remove_expired_views(&mut self, now: Timestamp) {
+        self.views.retain(|view| view.is_in_effect(now));
     }
 }
 
 impl View {
-    /// Tells whether the list still bounds the share at `now`.
-    fn in_force(&self, now: Timestamp) -> bool {
+    /// Returns whether the list still limits the share at `now`.
+    fn is_in_effect(&self, now: Timestamp) -> bool {
         self.replaced_at
             .is_none_or(|at| now < at + SlotShares::GAIN_DELAY)
     }
@@ -131,7 +134,7 @@
     }
 }
 
-/// Ranks the daemons for one minion; equal in every build and process.
+/// Returns the hash that ranks the daemons for one minion; the same in every build and process.
 fn rank_hash(member: &VmId, minion: &MinionId) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(
         member.as_str().as_bytes(),
--- a/crates/stairstall-core/src/time.rs
+++ b/crates/stairstall-core/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as a value.
+//! Timestamps that are passed to the decision logic.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on one process's monotonic clock, in milliseconds since its start.
+/// A point on the monotonic clock of one process, in milliseconds since the process started.
 ///
 /// Timestamps of different processes are not comparable; messages carry
 /// durations instead.
@@ -27,7 +27,7 @@
         self.0
     }
 
-    /// Returns the time from `earlier` to `self`, or zero where `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns a duration as whole milliseconds.
+/// Returns a duration in whole milliseconds.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/stairstall-core/src/verdict.rs
+++ b/crates/stairstall-core/src/verdict.rs
@@ -1,14 +1,14 @@
-//! What is known about whether work ran.
+//! Verdicts on whether work may have run.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Says whether a request or job may have run.
+/// Whether a request or job may have run.
 ///
-/// Every error that crosses a layer carries one. Only [`Verdict::NotRun`] is
-/// grounds for trying not-repeatable work again.
+/// Every error that crosses a layer carries a verdict. Non-repeatable work may be
+/// retried only after [`Verdict::NotRun`].
 ///
 /// # Examples
 ///
@@ -23,16 +23,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Proved: nothing ran anywhere.
+    /// It is certain that the work did not run anywhere.
     NotRun,
-    /// It ran, and the whole answer is at hand.
+    /// The work ran, and the complete response is available.
     Ran,
-    /// Nothing is proved: it may have run, in part or in whole.
+    /// It is unknown whether the work ran; it may have run in part or completely.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// Tells whether the work may be tried again under this verdict.
+    /// Returns whether work with this verdict may be retried.
     #[must_use]
     pub const fn allows_retry(self, repeatable: bool) -> bool {
         match self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the form used in headers, bodies and logs.
+    /// Returns the name used in headers, bodies and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
