--- a/crates/stairstall-core/src/config/follower.rs
+++ b/crates/stairstall-core/src/config/follower.rs
@@ -2,29 +2,30 @@
 
 use super::{Configuration, Head, Revision};
 
-/// What became of an offered head or configuration.
+/// Result of offering a head or a configuration to a [`Follower`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
-    /// It was newer and is in force now.
+pub enum OfferOutcome {
+    /// It was newer and is now in effect.
     Applied,
-    /// It is not newer than what is in force.
+    /// It is not newer than the configuration in effect.
     Stale,
-    /// Changes are missing in between; this snapshot closes the gap.
+    /// The tail does not reach back to the configuration in effect; load the snapshot of this
+    /// revision.
     NeedsSnapshot(Revision),
 }
 
-/// The configuration in force at one daemon; its revision never falls.
+/// The configuration in effect at one daemon; its revision never decreases.
 ///
 /// # Examples
 ///
 /// ```
-/// use stairstall_core::config::{Configuration, Follower, Offer, Revision};
+/// use stairstall_core::config::{Configuration, Follower, OfferOutcome, Revision};
 ///
 /// let mut follower = Follower::new();
 /// let newer = Configuration { revision: Revision(3), ..Default::default() };
-/// assert_eq!(follower.offer_full(newer), Offer::Applied);
+/// assert_eq!(follower.offer_configuration(newer), OfferOutcome::Applied);
 /// let older = Configuration { revision: Revision(2), ..Default::default() };
-/// assert_eq!(follower.offer_full(older), Offer::Stale);
+/// assert_eq!(follower.offer_configuration(older), OfferOutcome::Stale);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Follower {
@@ -32,22 +33,22 @@
 }
 
 impl Follower {
-    /// Creates a follower at revision zero: nothing is configured.
+    /// Creates a follower with the empty configuration of revision zero.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in effect.
     #[must_use]
     pub const fn current(&self) -> &Arc<Configuration> {
         &self.current
     }
 
-    /// Takes the store's head, if it is newer.
-    pub fn offer_head(&mut self, head: &Head) -> Offer {
+    /// Applies the changes in the tail of the stored head, if the head is newer.
+    pub fn offer_head(&mut self, head: &Head) -> OfferOutcome {
         if head.revision <= self.current.revision {
-            return Offer::Stale;
+            return OfferOutcome::Stale;
         }
         let mut next = Configuration::clone(&self.current);
         for entry in &head.tail {
@@ -56,22 +57,22 @@
             }
             match next.apply(&entry.change) {
                 Ok(applied) => next = applied,
-                Err(_) => return Offer::NeedsSnapshot(head.snapshot),
+                Err(_) => return OfferOutcome::NeedsSnapshot(head.snapshot),
             }
         }
         if next.revision != head.revision {
-            return Offer::NeedsSnapshot(head.snapshot);
+            return OfferOutcome::NeedsSnapshot(head.snapshot);
         }
         self.current = Arc::new(next);
-        Offer::Applied
+        OfferOutcome::Applied
     }
 
-    /// Takes a whole configuration, from a snapshot or a peer, if it is newer.
-    pub fn offer_full(&mut self, configuration: Configuration) -> Offer {
+    /// Replaces the configuration by a complete one, from a snapshot or a peer, if that is newer.
+    pub fn offer_configuration(&mut self, configuration: Configuration) -> OfferOutcome {
         if configuration.revision <= self.current.revision {
-            return Offer::Stale;
+            return OfferOutcome::Stale;
         }
         self.current = Arc::new(configuration);
-        Offer::Applied
+        OfferOutcome::Applied
     }
 }
--- a/crates/stairstall-core/src/placement/scheduler/contact.rs
+++ b/crates/stairstall-core/src/placement/scheduler/contact.rs
@@ -3,9 +3,7 @@
 
 use super::Scheduler;
 use crate::placement::JobKey;
-use crate::protocol::{
-    Command, Order, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, VmState,
-};
+use crate::protocol::{Command, Order, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, VmState};
 use crate::{Lease, RackId, Timestamp, VmId};
 
 /// What the holder knows of one worker, and the state of the syncs with it.
@@ -187,7 +185,7 @@
         // The worker may have renewed its leases as late as the timeout of the last renewing
         // request.
         let latest = self.renewed_at + SYNC_TIMEOUT;
-        Lease::new(latest, Scheduler::TASK_LEASE).surely_ended_at(latest)
+        Lease::new(latest, Scheduler::TASK_LEASE).expired_for_all_at(latest)
     }
 
     /// Returns the order for a task that no current run accounts for. `may_forget` tells whether
--- a/crates/stairstall-core/src/placement/scheduler/summary.rs
+++ b/crates/stairstall-core/src/placement/scheduler/summary.rs
@@ -3,10 +3,8 @@
 use super::Scheduler;
 use super::entry::Stage;
 use crate::Timestamp;
-use crate::placement::{
-    Access, Block, Fit, FreeCapacity, HomeBlocks, Inventory, JobKey, RunPhase, Shape,
-};
-use crate::protocol::{Explanation, Stage as ExplainedStage};
+use crate::placement::{Access, Block, Fit, FreeCapacity, HomeBlocks, Inventory, JobKey, RunPhase, Shape};
+use crate::protocol::{Explanation, ExplanationEntry};
 
 /// Fragmentation of the free accelerators of a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -157,7 +155,7 @@
             }
             Stage::Closing => "over; its end is being recorded".to_owned(),
         };
-        let stage = |(at, text): &(Timestamp, String)| ExplainedStage {
+        let stage = |(at, text): &(Timestamp, String)| ExplanationEntry {
             age_ms: u64::try_from(now.since(*at).as_millis()).unwrap_or(u64::MAX),
             text: text.clone(),
         };
--- a/crates/stairstalld/src/batch/refusals.rs
+++ b/crates/stairstalld/src/batch/refusals.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use stairstall_core::admission::{ReturnBounds, ReturnTimes};
+use stairstall_core::admission::{RetryAfterBounds, RetryAfterSchedule};
 use stairstall_core::batch::AdmissionPolicy;
 use stairstall_core::{Lease, Timestamp};
 use stairstall_ports::LeaseId;
@@ -26,7 +26,7 @@
     /// Held while a lease is requested, so that concurrent refusals share one lease.
     pub(crate) grant_lock: tokio::sync::Mutex<()>,
     /// Retry times by queue priority.
-    retry_times: Mutex<BTreeMap<u8, ReturnTimes>>,
+    retry_times: Mutex<BTreeMap<u8, RetryAfterSchedule>>,
 }
 
 impl Refusals {
@@ -59,14 +59,14 @@
 
     /// Returns the delay after which a caller should retry if its job would likely wait for `wait`.
     pub(crate) fn retry_after(&self, priority: u8, wait: Duration, now: Timestamp) -> Duration {
-        let bounds = ReturnBounds {
+        let bounds = RetryAfterBounds {
             shortest: self.policy.min_retry_after,
             longest: self.policy.max_retry_after,
         };
         let spacing = self.policy.retry_after_spacing;
         let mut retry_times = lock(&self.retry_times);
         let retry_times = retry_times.entry(priority);
-        let retry_times = retry_times.or_insert_with(|| ReturnTimes::new(bounds, spacing));
+        let retry_times = retry_times.or_insert_with(|| RetryAfterSchedule::new(bounds, spacing));
         retry_times.next(wait, now, rand::random_range(0.0..1.0))
     }
 }
