--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -93,7 +93,7 @@
     changed_timelines: BTreeSet<JobId>,
     summaries: Vec<JobSummary>,
     demand: UrgentDemand,
-    evacuation: evacuation::EvacuatedZones,
+    evacuated_zones: evacuation::EvacuatedZones,
     paces: WorkerPaces,
     run_times: RunTimes,
     usage: CustomerUsage,
@@ -159,7 +159,7 @@
             changed_timelines: BTreeSet::new(),
             summaries: Vec::new(),
             demand: UrgentDemand::default(),
-            evacuation: evacuation::EvacuatedZones::default(),
+            evacuated_zones: evacuation::EvacuatedZones::default(),
             paces: WorkerPaces::default(),
             run_times: RunTimes::default(),
             usage: CustomerUsage::default(),
@@ -270,7 +270,7 @@
         self.has_urgent_arrival |= accepted.queue.priority == 0;
         let job = Job::new(Arc::new(accepted), now);
         self.jobs.insert(id.clone(), job);
-        self.note_demand(&id, now);
+        self.record_demand(&id, now);
         self.replan = true;
     }
 
--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -23,7 +23,7 @@
             return;
         };
         // The earlier planner may have granted its longest lease before this tenure began.
-        worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
+        worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.lease_duration));
         let why = if is_needed {
             "still running"
         } else {
@@ -101,7 +101,7 @@
         run.incarnation = placement.incarnation;
         run.start_confirmed = placement.start_confirmed;
         run.is_listed = false;
-        let lease_until = now.at + Self::max_lease_duration(self.bounds.hold_max);
+        let lease_until = now.at + Self::max_lease_duration(self.bounds.lease_duration);
         self.get_or_insert_worker(id, now).extend_lease(lease_until);
         self.insert_run(id, task, run);
         self.ranked_guaranteed_jobs = None;
--- a/crates/stairstall-core/src/batch/planner/advice.rs
+++ b/crates/stairstall-core/src/batch/planner/advice.rs
@@ -150,7 +150,7 @@
             })
             .collect();
         unasked
-            .sort_by_key(|candidate| (candidate.penalty, u32::MAX - candidate.room.accelerators));
+            .sort_by_key(|candidate| (candidate.penalty, u32::MAX - candidate.free.accelerators));
         let workers: Vec<WorkerId> = unasked
             .iter()
             .take(usize::from(policy.workers_at_once))
--- a/crates/stairstall-core/src/batch/planner/bounds.rs
+++ b/crates/stairstall-core/src/batch/planner/bounds.rs
@@ -42,13 +42,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Longest time that a worker keeps running without a lease renewal.
-    pub hold_max: Duration,
+    pub lease_duration: Duration,
     /// Longest time that a stop takes.
     pub stop_max: Duration,
     /// Time after acceptance within which a guaranteed job must start.
-    pub reclaim: Duration,
+    pub guaranteed_start_limit: Duration,
     /// Longest time from an operator's evacuation of a zone until nothing starts there any more.
-    pub evacuate: Duration,
+    pub evacuation_limit: Duration,
     /// Factor by which a task takes longer on a worker that is not near its rack.
     pub far_factor: u32,
     /// How long the planner still answers requests about a job that has ended.
--- a/crates/stairstall-core/src/batch/planner/candidate.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate.rs
@@ -11,6 +11,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Candidate {
     pub(super) rank: u8,
-    pub(super) turn: SchedulingKey,
+    pub(super) scheduling_key: SchedulingKey,
     pub(super) key: GroupKey,
 }
--- a/crates/stairstall-core/src/batch/planner/candidate_worker.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate_worker.rs
@@ -23,7 +23,7 @@
 pub(super) struct CandidateWorker {
     pub(super) worker: WorkerId,
     pub(super) rack: RackId,
-    pub(super) room: Resources,
+    pub(super) free: Resources,
     /// Resources that must become free in addition, because the worker's capacity has shrunk.
     pub(super) shortage: Resources,
     /// How many more tasks of the step may be placed there.
@@ -86,7 +86,7 @@
     }
 
     /// Returns the sum of the resources of all victims.
-    pub(super) fn room(&self) -> Resources {
+    pub(super) fn total_resources(&self) -> Resources {
         let resources = self.0.iter().map(|victim| &victim.resources);
         resources.fold(Resources::default(), |sum, resources| {
             sum.saturating_add(resources)
@@ -172,7 +172,7 @@
     /// Removes victims and frees their resources. Returns whether there were any.
     fn remove_victims(&mut self, is_preempted: impl Fn(&Victim) -> bool) -> bool {
         let before = self.victims.0.len();
-        let free = &mut self.room;
+        let free = &mut self.free;
         self.victims.0.retain(|victim| {
             let is_preempted = is_preempted(victim);
             if is_preempted {
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -14,7 +14,7 @@
     /// Returns the next report request for a worker, or `None` if it need not be polled.
     ///
     /// A lease deadline in the request counts as sent from this moment on.
-    pub fn hold_request(&mut self, id: &WorkerId, now: Now) -> Option<ReportRequest> {
+    pub fn report_request(&mut self, id: &WorkerId, now: Now) -> Option<ReportRequest> {
         let report_wait = self.report_wait();
         let jobs = &self.jobs;
         let worker = self.workers.get_mut(id)?;
@@ -24,14 +24,14 @@
         let deadline_ms = worker
             .incarnation_state
             .clock_at(now.at)
-            .map(|clock| clock.saturating_add(millis(self.bounds.hold_max)));
+            .map(|clock| clock.saturating_add(millis(self.bounds.lease_duration)));
         let acknowledged_end = worker
             .incarnation_state
             .next_acknowledgement(acknowledgeable);
-        let request = worker.hold_request(acknowledged_end, deadline_ms, report_wait)?;
+        let request = worker.report_request(acknowledged_end, deadline_ms, report_wait)?;
         worker.set_report_pending(true);
         if request.deadline_ms.is_some() {
-            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
+            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.lease_duration));
         }
         Some(request)
     }
@@ -222,7 +222,7 @@
     ///
     /// An unresponsive worker gets no work until its next report. Three of them at once do the same
     /// to the whole zone, with all placements there that wait for free capacity.
-    pub(super) fn mark_unresponsive_unless_heard(
+    pub(super) fn mark_unresponsive_unless_answered(
         &mut self,
         id: &WorkerId,
         task: &TaskKey,
@@ -241,7 +241,7 @@
 
     /// Polls every worker of a zone that has not answered recently before it gets new work.
     fn mark_zone_unresponsive(&mut self, zone: &ZoneId, now: Now) {
-        self.mark_unheard_unresponsive_where(|worker| worker.listed.zone == *zone, now);
+        self.mark_unresponsive_where(|worker| worker.listed.zone == *zone, now);
     }
 
     /// Polls every idle worker that has not answered recently before it gets new work. Called when
@@ -250,11 +250,11 @@
     ///
     /// Without this, the task is sent to one worker after another whose incarnation has ended: four
     /// were seen within 45 ms.
-    pub(super) fn mark_unheard_unresponsive(&mut self, now: Now) {
-        self.mark_unheard_unresponsive_where(|worker| !worker.is_busy(), now);
+    pub(super) fn mark_idle_workers_unresponsive(&mut self, now: Now) {
+        self.mark_unresponsive_where(|worker| !worker.is_busy(), now);
     }
 
-    fn mark_unheard_unresponsive_where(&mut self, test: impl Fn(&Worker) -> bool, now: Now) {
+    fn mark_unresponsive_where(&mut self, test: impl Fn(&Worker) -> bool, now: Now) {
         let recent_contact = self.policy.health.recent_contact;
         let unheard = self
             .workers
--- a/crates/stairstall-core/src/batch/planner/directory.rs
+++ b/crates/stairstall-core/src/batch/planner/directory.rs
@@ -37,7 +37,7 @@
             return;
         };
         let was_draining = worker.listed.draining;
-        worker.in_evacuated_zone = self.evacuation.includes(&listed.zone);
+        worker.in_evacuated_zone = self.evacuated_zones.includes(&listed.zone);
         worker.incarnation_state.incarnation =
             worker.incarnation_state.incarnation.or(listed.incarnation);
         worker.relist(listed, now.at);
--- a/crates/stairstall-core/src/batch/planner/evacuation.rs
+++ b/crates/stairstall-core/src/batch/planner/evacuation.rs
@@ -35,7 +35,7 @@
     ///
     /// The rest of the evacuation limit is left for a start on its way to its worker.
     pub(super) fn max_evacuated_zones_age(&self) -> Duration {
-        self.evacuate * 3 / 5
+        self.evacuation_limit * 3 / 5
     }
 }
 
@@ -49,7 +49,7 @@
         now: Now,
     ) {
         let is_older = self
-            .evacuation
+            .evacuated_zones
             .read_sent_at
             .is_some_and(|at| at > requested_at);
         if is_older {
@@ -57,21 +57,21 @@
         }
         // Starts that waited for a fresh list can be sent again.
         self.starts_due |= !self.has_fresh_evacuated_zones(now);
-        self.evacuation.read_sent_at = Some(requested_at);
-        if zones == self.evacuation.zones {
+        self.evacuated_zones.read_sent_at = Some(requested_at);
+        if zones == self.evacuated_zones.zones {
             return;
         }
-        let before = std::mem::replace(&mut self.evacuation.zones, zones);
+        let before = std::mem::replace(&mut self.evacuated_zones.zones, zones);
         self.log_zone_changes(&before);
         for worker in self.workers.values_mut() {
-            worker.in_evacuated_zone = self.evacuation.includes(&worker.listed.zone);
+            worker.in_evacuated_zone = self.evacuated_zones.includes(&worker.listed.zone);
         }
         self.cancel_planned_in_evacuated_zones(now);
         self.replan = true;
     }
 
     fn log_zone_changes(&mut self, before: &BTreeSet<ZoneId>) {
-        let zones = &self.evacuation.zones;
+        let zones = &self.evacuated_zones.zones;
         let evacuated = zones.difference(before);
         let evacuated = evacuated.map(|zone| Decision::of_zone(zone, "evacuated"));
         let restored = before.difference(zones);
@@ -100,19 +100,19 @@
     /// Returns the age of the list of evacuated zones, or `None` before it was first read.
     #[must_use]
     pub fn evacuated_zones_age(&self, now: Now) -> Option<Duration> {
-        self.evacuation.age(now.at)
+        self.evacuated_zones.age(now.at)
     }
 
     /// Returns the number of evacuated zones.
     #[must_use]
     pub fn evacuated_zone_count(&self) -> usize {
-        self.evacuation.zones.len()
+        self.evacuated_zones.zones.len()
     }
 
     /// Returns whether the list of evacuated zones is fresh enough to start anything. If the list
     /// could not be read in time, any zone may have been evacuated, so all starts wait.
     pub(super) fn has_fresh_evacuated_zones(&self, now: Now) -> bool {
-        let age = self.evacuation.age(now.at);
+        let age = self.evacuated_zones.age(now.at);
         age.is_some_and(|age| age <= self.bounds.max_evacuated_zones_age())
     }
 
--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ContactLag {
     /// Listed workers that do not answer.
-    pub silent: usize,
+    pub unresponsive: usize,
     /// Age of the oldest last report among the responsive workers that have runs.
     pub oldest_report: Duration,
     /// How long workers are told to wait for a run to end before they report.
     pub report_wait: Duration,
     /// Starts that wait for an answer, or for their placement to be stored.
-    pub starts_under_way: usize,
+    pub starts_in_flight: usize,
 }
 
 /// Capacity of this VM, and the measured size of reports.
@@ -104,7 +104,7 @@
         let window = usize::try_from(window).unwrap_or(usize::MAX).max(1);
         let under_way = *pass
             .starts_in_flight
-            .get_or_insert_with(|| self.starts_under_way());
+            .get_or_insert_with(|| self.starts_in_flight());
         let left = window.saturating_sub(under_way);
         let fits = count <= left || under_way == 0;
         let startable_count = match (gang, fits) {
@@ -131,22 +131,22 @@
     #[must_use]
     pub fn contact_lag(&self, now: Now) -> ContactLag {
         let listed = self.workers.values().filter(|w| w.is_listed);
-        let (answering, silent): (Vec<_>, Vec<_>) = listed.partition(|w| w.is_in_contact());
+        let (answering, unresponsive): (Vec<_>, Vec<_>) = listed.partition(|w| w.is_in_contact());
         let busy = answering.into_iter().filter(|w| !w.runs.is_empty());
         let ages = busy
             .filter_map(|w| w.incarnation_state.last_answer_at)
             .map(|at| now.at - at);
         ContactLag {
-            silent: silent.len(),
+            unresponsive: unresponsive.len(),
             oldest_report: ages.max().unwrap_or_default(),
             report_wait: self.report_wait(),
-            starts_under_way: self.starts_under_way(),
+            starts_in_flight: self.starts_in_flight(),
         }
     }
 
     /// Counts the runs that wait for an answer to their start, or for their placement to be stored.
     /// Runs that wait for preempted work to stop do not count.
-    fn starts_under_way(&self) -> usize {
+    fn starts_in_flight(&self) -> usize {
         let runs = self
             .workers
             .values()
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -10,7 +10,7 @@
 
 impl Planner {
     /// Records the demand of a job that has arrived, if the job is urgent.
-    pub(super) fn note_demand(&mut self, id: &JobId, now: Now) {
+    pub(super) fn record_demand(&mut self, id: &JobId, now: Now) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -89,7 +89,7 @@
     /// time left until its latest start runs out, and is `f64::MAX` in its back-off after a
     /// preemption.
     fn headroom_fraction(&self, candidate: &Candidate, now: Now) -> f64 {
-        let scheduling_key = &candidate.turn;
+        let scheduling_key = &candidate.scheduling_key;
         if scheduling_key.is_aged() {
             return 0.0;
         }
--- a/crates/stairstall-core/src/batch/planner/placement.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -219,7 +219,7 @@
             .map(|(id, w)| CandidateWorker {
                 worker: id.clone(),
                 rack: w.listed.rack.clone(),
-                room: if scope.preempts {
+                free: if scope.preempts {
                     w.free_after_stops()
                 } else {
                     w.free()
--- a/crates/stairstall-core/src/batch/planner/placement/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -128,7 +128,9 @@
 fn may_fit_all(workers: &[CandidateWorker], needs: &Resources, count: usize) -> bool {
     let limit = u32::try_from(count).unwrap_or(u32::MAX);
     let fitting = workers.iter().map(|worker| {
-        let capacity = worker.room.saturating_add(&worker.victims.room());
+        let capacity = worker
+            .free
+            .saturating_add(&worker.victims.total_resources());
         needs.copies_in(&capacity, limit.min(worker.spread_left))
     });
     fitting.fold(0_u32, u32::saturating_add) >= limit
@@ -168,8 +170,8 @@
             return None;
         }
         let required = needs.saturating_add(&self.shortage);
-        let (cost, victims) = self.victims.select(&required, &self.room)?;
-        let left = self.room.saturating_sub(needs);
+        let (cost, victims) = self.victims.select(&required, &self.free)?;
+        let left = self.free.saturating_sub(needs);
         Some(Offer {
             rank: (
                 cost + self.penalty,
@@ -216,7 +218,7 @@
             choice.victims.push((workers[index].worker.clone(), victim));
         }
         let worker = &mut workers[index];
-        worker.room = worker.room.saturating_sub(needs);
+        worker.free = worker.free.saturating_sub(needs);
         worker.spread_left -= 1;
         choice.slowest_factor = choice.slowest_factor.max(worker.pace.factor);
         choice.places.push(worker.worker.clone());
--- a/crates/stairstall-core/src/batch/planner/placement/reservations.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/reservations.rs
@@ -57,7 +57,7 @@
         let known = self.reservations.get(key);
         let limit = usize::from(self.policy.places.max_reservations);
         // A gang that is already late is not worth the work that the reserved capacity could do.
-        let is_in_time = candidate.turn.timeliness == Timeliness::InTime;
+        let is_in_time = candidate.scheduling_key.timeliness == Timeliness::InTime;
         if known.is_none() && (!is_in_time || self.reservations.len() >= limit) {
             return;
         }
@@ -72,7 +72,9 @@
             let known = self.reservations.get(key);
             let reservation = Reservation {
                 found_at: now.at,
-                timeliness: known.map_or(candidate.turn.timeliness, |known| known.timeliness),
+                timeliness: known.map_or(candidate.scheduling_key.timeliness, |known| {
+                    known.timeliness
+                }),
                 rank: candidate.rank,
                 expected_start,
                 backfill_until: known.map_or(expected_start, |known| {
@@ -100,8 +102,9 @@
         self.reservations.retain(|key, reservation| {
             let candidate = candidates.iter().find(|one| one.key == *key);
             let has_passed = now.at > reservation.backfill_until + RESERVATION_GRACE;
-            let holds = candidate
-                .is_some_and(|one| one.turn.timeliness <= reservation.timeliness || !has_passed);
+            let holds = candidate.is_some_and(|one| {
+                one.scheduling_key.timeliness <= reservation.timeliness || !has_passed
+            });
             if let Some(candidate) = candidate.filter(|_| holds && keeps_reservations) {
                 reserved.add(candidate, reservation);
             }
@@ -214,7 +217,7 @@
         let holder = ReservationHolder {
             gang: candidate.key.clone(),
             rank: reservation.rank,
-            used: candidate.turn.usage_level,
+            used: candidate.scheduling_key.usage_level,
             expected_start: reservation.backfill_until,
         };
         for id in &reservation.workers {
@@ -236,8 +239,8 @@
     fn yields_to(&self, candidate: &Candidate) -> bool {
         candidate.key == self.gang
             || candidate.rank < self.rank
-            || candidate.turn.is_aged()
-            || candidate.rank == self.rank && candidate.turn.usage_level < self.used
+            || candidate.scheduling_key.is_aged()
+            || candidate.rank == self.rank && candidate.scheduling_key.usage_level < self.used
     }
 }
 
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -310,7 +310,7 @@
     }
 
     /// Returns the next report request to send, or `None` if the worker need not be polled.
-    pub(super) fn hold_request(
+    pub(super) fn report_request(
         &self,
         acknowledged_end: u64,
         deadline_ms: Option<u64>,
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -51,8 +51,8 @@
             .iter()
             .enumerate()
             .filter_map(|(index, candidate)| {
-                let is_overdue =
-                    !policy.by_timeliness || candidate.turn.timeliness == Timeliness::Overdue;
+                let is_overdue = !policy.by_timeliness
+                    || candidate.scheduling_key.timeliness == Timeliness::Overdue;
                 let job = self.jobs.get(&candidate.key.job);
                 let job = job.filter(|_| is_overdue && candidate.rank > URGENT_RANK)?;
                 let (objective, _) = self.job_objective(&candidate.key, job, now);
@@ -65,7 +65,7 @@
         let aged = aged.filter(|(aged, _)| self.fits_on_empty_fleet(&aged.key, pass));
         let (aged, index) = aged.min()?;
         let first = candidates.partition_point(|candidate| candidate.rank <= URGENT_RANK);
-        candidates[index].turn = SchedulingKey::aged();
+        candidates[index].scheduling_key = SchedulingKey::aged();
         candidates[first..=index].rotate_right(1);
         Some(aged.key)
     }
@@ -153,8 +153,12 @@
                 job.accepted.queue.priority.saturating_add(1)
             };
             for key in ready_groups(id, job) {
-                let turn = self.turn_of(rank, &key, job, now);
-                found.push(Candidate { rank, turn, key });
+                let scheduling_key = self.turn_of(rank, &key, job, now);
+                found.push(Candidate {
+                    rank,
+                    scheduling_key,
+                    key,
+                });
             }
         }
         self.sort_candidates(&mut found, now);
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -36,7 +36,7 @@
         if worker.is_busy() {
             // A deadline by the previous incarnation's clock is far ahead of the new one's clock. A
             // start that arrives with such a deadline may run for the longest lease.
-            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
+            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.lease_duration));
         }
         let planned = worker.tasks_where(|run| run.state == RunState::Planned);
         let lost = worker.tasks_where(Run::is_lost_by_restart);
@@ -96,7 +96,7 @@
             return;
         }
         if worker.incarnation_state.is_clock_set_back(clock_ms, now.at) {
-            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
+            worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.lease_duration));
             self.mark_unresponsive(id, now);
         } else {
             worker.incarnation_state.read_clock(clock_ms, now.at);
--- a/crates/stairstall-core/src/batch/planner/start_outcomes.rs
+++ b/crates/stairstall-core/src/batch/planner/start_outcomes.rs
@@ -14,7 +14,7 @@
         if outcome == StartOutcome::OtherLife {
             self.drop_unstarted_runs(order, now);
             self.end_incarnation(id, "another incarnation answered a start", now);
-            self.mark_unheard_unresponsive(now);
+            self.mark_idle_workers_unresponsive(now);
             return;
         }
         if outcome == StartOutcome::Refused(RefusalReason::Fenced) {
@@ -140,7 +140,7 @@
 
     fn retry_start(&mut self, order: &Order, now: Now) {
         let (id, task) = (&order.worker, &order.task);
-        self.mark_unresponsive_unless_heard(id, task, now);
+        self.mark_unresponsive_unless_answered(id, task, now);
         let run = self.run_at(id, task);
         let tries = run.map_or(0, |run| run.tries);
         let is_done = run.is_some_and(|run| run.redundant_since.is_some());
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -104,7 +104,11 @@
         let Some(clock_ms) = worker.incarnation_state.clock_at(now.at) else {
             return;
         };
-        let lease = self.policy.orders.start_lease.min(self.bounds.hold_max);
+        let lease = self
+            .policy
+            .orders
+            .start_lease
+            .min(self.bounds.lease_duration);
         let late_start = self.policy.orders.late_start;
         let late_start_until = worker.may_keep_id().then(|| now.at + late_start);
         let Some(run) = worker.runs.get_mut(task) else {
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -187,7 +187,7 @@
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
             };
-            let class = (candidate.rank, candidate.turn.timeliness);
+            let class = (candidate.rank, candidate.scheduling_key.timeliness);
             if class != queue_class {
                 queues.clear();
                 queue_class = class;
@@ -196,7 +196,8 @@
             let (used_ms, ahead_ms) = queues
                 .entry(customer)
                 .or_insert_with(|| (self.usage.used_ms(customer, now.at), 0));
-            candidate.turn.usage_level = self.usage.usage_level(*used_ms, *ahead_ms, WEIGHT);
+            candidate.scheduling_key.usage_level =
+                self.usage.usage_level(*used_ms, *ahead_ms, WEIGHT);
             *ahead_ms += self.cost_ms(key, job, now);
         }
         candidates.sort_unstable();
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -25,7 +25,7 @@
             return Duration::ZERO;
         }
         let needed = self.bounds.stop_max + self.policy.victims.claim_margin;
-        self.bounds.reclaim.saturating_sub(needed)
+        self.bounds.guaranteed_start_limit.saturating_sub(needed)
     }
 
     /// Returns the time since a job was accepted, by the wall clock.
@@ -144,7 +144,7 @@
         let waited = self.since_accepted(&candidate.key, now);
         let ends_ms = now.unix_ms + millis(self.bounds.stop_max + run_time);
         let recheck_ms = ends_ms + millis(RECHECK_INTERVAL);
-        let objective_unix_ms = candidate.turn.objective_unix_ms;
+        let objective_unix_ms = candidate.scheduling_key.objective_unix_ms;
         let is_last_chance_in_time = ends_ms <= objective_unix_ms && recheck_ms > objective_unix_ms;
         is_last_chance_in_time || waited >= self.guaranteed_wait_limit()
     }
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -21,14 +21,21 @@
             job.accepted.queue.priority.saturating_add(1)
         };
         let customer = job.accepted.customer.as_ref();
-        let turn = self.turn_of(rank, &key, job, now);
+        let scheduling_key = self.turn_of(rank, &key, job, now);
         let reason = reason.unwrap_or_else(|| {
             let key = key.clone();
-            self.capacity_wait_reason(&Candidate { rank, turn, key }, now)
+            self.capacity_wait_reason(
+                &Candidate {
+                    rank,
+                    scheduling_key,
+                    key,
+                },
+                now,
+            )
         });
         Some(WaitStatus {
             rank,
-            timeliness: turn.timeliness,
+            timeliness: scheduling_key.timeliness,
             customer_usage: Duration::from_millis(self.usage.used_ms(customer, now.at)),
             mean_usage: Duration::from_millis(self.usage.mean_used_ms(now.at)),
             eligible_for: self.waiting_time(&key, now),
--- a/crates/stairstall-core/tests/batch/fences.rs
+++ b/crates/stairstall-core/tests/batch/fences.rs
@@ -76,7 +76,7 @@
     fleet.planner.handle_fenced(&id, start.token);
     assert!(!fleet.planner.is_superseded());
     let now = fleet.now();
-    let asked = fleet.planner.hold_request(&id, now).expect("it is asked");
+    let asked = fleet.planner.report_request(&id, now).expect("it is asked");
     fleet.planner.handle_fenced(&id, asked.token);
     assert!(fleet.planner.is_superseded());
 }
@@ -136,13 +136,13 @@
     for after_ms in 1..=3 {
         fleet.begin_unheard_life(&first.worker, after_ms);
         let now = fleet.now();
-        let asked = fleet.planner.hold_request(&first.worker, now);
+        let asked = fleet.planner.report_request(&first.worker, now);
         let token = asked.expect("a life that was not met is asked").token;
         assert!(token > highest);
         highest = token;
     }
     fleet.succeed(&[]);
     let now = fleet.now();
-    let asked = fleet.planner.hold_request(&first.worker, now);
+    let asked = fleet.planner.report_request(&first.worker, now);
     assert!(asked.expect("it is asked").token > highest);
 }
--- a/crates/stairstall-core/tests/batch/flow.rs
+++ b/crates/stairstall-core/tests/batch/flow.rs
@@ -60,7 +60,7 @@
             let now = fleet.now();
             let request = fleet
                 .planner
-                .hold_request(&id, now)
+                .report_request(&id, now)
                 .expect("something runs");
             let report = WorkerReport {
                 incarnation: None,
@@ -81,7 +81,7 @@
 fn wait_of(fleet: &mut Fleet) -> Duration {
     let id: WorkerId = "w0".parse().expect("an id");
     let now = fleet.now();
-    let request = fleet.planner.hold_request(&id, now);
+    let request = fleet.planner.report_request(&id, now);
     request.expect("something runs").max_wait
 }
 
@@ -196,14 +196,14 @@
     let mut fleet = busy(10, VmLimits::default());
     let now = fleet.now();
     let lag = fleet.planner.contact_lag(now);
-    assert_eq!((lag.silent, lag.starts_under_way), (0, 0));
+    assert_eq!((lag.unresponsive, lag.starts_in_flight), (0, 0));
     assert_eq!(lag.report_wait, Duration::from_millis(300));
     fleet.at_ms += 700;
     let silent: WorkerId = "w3".parse().expect("an id");
     let now = fleet.now();
     fleet.planner.handle_report_failure(&silent, now);
     let lag = fleet.planner.contact_lag(now);
-    assert_eq!(lag.silent, 1);
+    assert_eq!(lag.unresponsive, 1);
     assert!(lag.oldest_report >= Duration::from_millis(700));
 }
 
--- a/crates/stairstall-core/tests/batch/harness.rs
+++ b/crates/stairstall-core/tests/batch/harness.rs
@@ -379,7 +379,7 @@
             }
             return None;
         }
-        let request = self.planner.hold_request(id, now)?;
+        let request = self.planner.report_request(id, now)?;
         if self.replaced.contains(id) {
             self.planner
                 .end_incarnation(id, "another life answered", now);
--- a/crates/stairstall-core/tests/batch/harness/fixtures.rs
+++ b/crates/stairstall-core/tests/batch/harness/fixtures.rs
@@ -29,10 +29,10 @@
 
 pub fn bounds() -> Bounds {
     Bounds {
-        hold_max: HOLD_MAX,
+        lease_duration: HOLD_MAX,
         stop_max: STOP_MAX,
-        reclaim: Duration::from_millis(3_400),
-        evacuate: EVACUATE,
+        guaranteed_start_limit: Duration::from_millis(3_400),
+        evacuation_limit: EVACUATE,
         far_factor: 3,
         keep_ended: Duration::from_secs(120),
     }
--- a/crates/stairstall-core/tests/batch/leaving.rs
+++ b/crates/stairstall-core/tests/batch/leaving.rs
@@ -96,7 +96,7 @@
     let gone: WorkerId = "w1".parse().expect("an id");
     let request = fleet
         .planner
-        .hold_request(&gone, asked)
+        .report_request(&gone, asked)
         .expect("it is busy");
     let mut next = worker("w1b", "r1", Resources::new(32_000, 64_000, 8));
     next.address = worker("w1", "r1", Resources::default()).address;
--- a/crates/stairstall-core/tests/batch/lossy/world.rs
+++ b/crates/stairstall-core/tests/batch/lossy/world.rs
@@ -586,7 +586,7 @@
                 continue;
             }
             let now = self.now();
-            if let Some(request) = self.planner.hold_request(&id, now) {
+            if let Some(request) = self.planner.report_request(&id, now) {
                 self.asking.insert(id.clone(), Asking::Asked);
                 self.send(&id, Call::Hold(request));
             } else {
--- a/crates/stairstall-core/tests/batch/restarts.rs
+++ b/crates/stairstall-core/tests/batch/restarts.rs
@@ -270,7 +270,7 @@
     let asked = fleet.now();
     let request = fleet
         .planner
-        .hold_request(&place, asked)
+        .report_request(&place, asked)
         .expect("it is busy");
     fleet.crash_for(&place, 300);
     fleet.pass(1_000);
@@ -305,7 +305,10 @@
     fleet.submit(job("third", 2, vec![step(1, 8)]));
     fleet.pass(300);
     let now = fleet.now();
-    let request = fleet.planner.hold_request(&place, now).expect("it is busy");
+    let request = fleet
+        .planner
+        .report_request(&place, now)
+        .expect("it is busy");
     let report = WorkerReport {
         incarnation: Some(Incarnation::from_unix_ms(START_UNIX_MS - 2_000)),
         clock_ms: 50,
@@ -428,7 +431,7 @@
     let now = fleet.now();
     let naming = fleet
         .planner
-        .hold_request(&place, now)
+        .report_request(&place, now)
         .expect("ends to name");
     assert_eq!(naming.acknowledged_end, 2);
     fleet.at_ms += 1_000;
@@ -453,7 +456,7 @@
     let now = fleet.now();
     let first = fleet
         .planner
-        .hold_request(&place, now)
+        .report_request(&place, now)
         .expect("a life that was not met");
     // What it is sent before its clock is read brings no deadline by the clock of the life before.
     assert_eq!((first.acknowledged_end, first.deadline_ms), (0, None));
@@ -463,7 +466,7 @@
         .handle_worker_report(&place, &first, now.at, report, now);
     let told = fleet
         .planner
-        .hold_request(&place, now)
+        .report_request(&place, now)
         .expect("an end to name");
     assert_eq!(told.acknowledged_end, 1);
 }
--- a/crates/stairstall-core/tests/batch/silence.rs
+++ b/crates/stairstall-core/tests/batch/silence.rs
@@ -185,7 +185,7 @@
         fleet.hold_all();
         lose_a_start(&mut fleet, reports);
         let now = fleet.now();
-        assert_eq!(fleet.planner.contact_lag(now).silent, silent);
+        assert_eq!(fleet.planner.contact_lag(now).unresponsive, silent);
     }
 }
 
@@ -216,7 +216,7 @@
             .handle_start_outcome(start, StartOutcome::Unknown, now);
     }
     let now = fleet.now();
-    assert_eq!(fleet.planner.contact_lag(now).silent, 0);
+    assert_eq!(fleet.planner.contact_lag(now).unresponsive, 0);
 }
 
 /// A worker that takes a stop and never lists the end: nothing else in the log tells why its room,
--- a/crates/stairstall-core/tests/batch/takeover.rs
+++ b/crates/stairstall-core/tests/batch/takeover.rs
@@ -111,7 +111,7 @@
     for _ in 0..4 {
         let now = fleet.now();
         let id = "w1".parse().expect("an id");
-        let Some(request) = fleet.planner.hold_request(&id, now) else {
+        let Some(request) = fleet.planner.report_request(&id, now) else {
             break;
         };
         for _ in 0..10 {
--- a/crates/stairstalld/src/batch/evacuated_zones.rs
+++ b/crates/stairstalld/src/batch/evacuated_zones.rs
@@ -43,7 +43,7 @@
 
 /// Polls for as long as the tenure lasts; [`load`] has done the first read.
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>) {
-    let interval = node.settings.bounds.evacuate / POLLS_PER_BOUND;
+    let interval = node.settings.bounds.evacuation_limit / POLLS_PER_BOUND;
     loop {
         tokio::time::sleep(interval).await;
         while let Err(fault) = load(&node, &tenure).await {
--- a/crates/stairstalld/src/batch/maintenance.rs
+++ b/crates/stairstalld/src/batch/maintenance.rs
@@ -50,9 +50,9 @@
 fn log_contact_lag(tenure: &Tenure) {
     let lag = tenure.contact_lag();
     let (evacuated, evacuated_age) = tenure.evacuated_zones();
-    log::info!(target: "contact", token = tenure.token(), silent = lag.silent,
+    log::info!(target: "contact", token = tenure.token(), silent = lag.unresponsive,
         oldest_report_ms = millis(lag.oldest_report), report_wait_ms = millis(lag.report_wait),
-        starts_under_way = lag.starts_under_way, evacuated_zones = evacuated,
+        starts_under_way = lag.starts_in_flight, evacuated_zones = evacuated,
         evacuations_age_ms = millis(evacuated_age.unwrap_or_default()); "worker contact of this planner");
 }
 
--- a/crates/stairstalld/src/batch/settings.rs
+++ b/crates/stairstalld/src/batch/settings.rs
@@ -348,10 +348,10 @@
         let far_factor = checks.number("--far-factor", &raw.far_factor, 1, 1_000);
         let keep_ended_s = checks.number("--keep-ended-s", &raw.keep_ended_s, 1, DAY_MS);
         Some(Bounds {
-            hold_max: hold_max?,
+            lease_duration: hold_max?,
             stop_max: stop_max?,
-            reclaim: reclaim?,
-            evacuate: evacuate?,
+            guaranteed_start_limit: reclaim?,
+            evacuation_limit: evacuate?,
             far_factor: u32::try_from(far_factor?).ok()?,
             keep_ended: Duration::from_secs(keep_ended_s?),
         })
--- a/crates/stairstalld/src/batch/telemetry.rs
+++ b/crates/stairstalld/src/batch/telemetry.rs
@@ -279,10 +279,10 @@
     }
 
     pub(crate) fn contact(&self, lag: &ContactLag) {
-        self.silent_workers.set(gauge_count(lag.silent));
+        self.silent_workers.set(gauge_count(lag.unresponsive));
         self.oldest_report.set(gauge_millis(lag.oldest_report));
         self.report_wait.set(gauge_millis(lag.report_wait));
-        self.starts_under_way.set(gauge_count(lag.starts_under_way));
+        self.starts_under_way.set(gauge_count(lag.starts_in_flight));
     }
 
     /// Returns all metrics in the Prometheus text format.
--- a/crates/stairstalld/src/batch/worker_links.rs
+++ b/crates/stairstalld/src/batch/worker_links.rs
@@ -156,7 +156,7 @@
             tokio::time::sleep(SUSPENDED_DELAY).await;
             continue;
         }
-        let request = tenure.with_planner(|planner, now| planner.hold_request(&worker.id, now));
+        let request = tenure.with_planner(|planner, now| planner.report_request(&worker.id, now));
         match request {
             None => {
                 let _ = tokio::time::timeout(IDLE_CHECK_INTERVAL, control.wake.notified()).await;
