--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -6,8 +6,8 @@
 use crate::{JobId, WorkerId};
 
 impl Planner {
-    /// Adopts a run that a worker reports and an earlier planner started, or stops it if no task
-    /// needs it.
+    /// Adopts a run that an earlier planner started and a worker reports. Stops the run if its task
+    /// is not waiting for one.
     pub(super) fn adopt(&mut self, id: &WorkerId, running: &RunningTask, now: Now) {
         let key = &running.task.group;
         let is_needed = self.jobs.get(&key.job).is_some_and(|job| {
@@ -22,7 +22,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        // The earlier planner may have granted its longest lease before this tenure began.
+        // The earlier planner may have renewed the lease just before this tenure began.
         worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.lease_duration));
         let why = if is_needed {
             "still running"
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Returns a worker that stored data names; adds it as unlisted if the directory has not listed
-    /// it.
+    /// Returns the worker with an ID from stored data. Adds it as unlisted if the directory has not
+    /// listed it.
     pub(super) fn get_or_insert_worker(&mut self, id: &WorkerId, now: Now) -> &mut Worker {
         if !self.workers.contains_key(id) {
             let fence = self.next_fencing_token();
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Creates the state of a run that this planner did not start.
     fn adopted_run(&self, id: &WorkerId, running: &RunningTask, now: Now) -> Run {
         let key = &running.task.group;
         let job = self.jobs.get(&key.job);
--- a/crates/stairstall-core/src/batch/planner/advice.rs
+++ b/crates/stairstall-core/src/batch/planner/advice.rs
@@ -20,10 +20,14 @@
 /// The adviser's answers about one step.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Advice {
+    /// Tickets by worker, each with the time until which it is valid.
     tickets: BTreeMap<WorkerId, (String, Timestamp)>,
-    /// Workers that may not run the step. Only a new incarnation of the worker clears this.
+    /// Workers that may not run the step. They are not asked about again until a new incarnation of
+    /// the worker begins.
     denied: BTreeSet<WorkerId>,
+    /// When advice was last requested.
     requested_at: Option<Timestamp>,
+    /// Whether that request has neither been answered nor failed.
     request_pending: bool,
 }
 
@@ -34,13 +38,15 @@
         (at + margin < *until).then_some(ticket.as_str())
     }
 
+    /// Returns whether advice may be requested, considering the last request.
     fn may_request(&self, at: Timestamp, policy: &AdvicePolicy) -> bool {
         let delay = if self.request_pending {
             policy.answer_timeout
         } else {
             policy.retry_pause
         };
-        self.requested_at.is_none_or(|asked| at - asked >= delay)
+        self.requested_at
+            .is_none_or(|requested_at| at - requested_at >= delay)
     }
 }
 
@@ -63,8 +69,8 @@
             return;
         };
         advice.request_pending = false;
-        // A ticket is valid from the answer on, which came before now. Counting from the request
-        // makes sure that no ticket is used for too long.
+        // A ticket becomes valid when the adviser issues it, between the request and now. Counting
+        // its validity from the request ensures that no expired ticket is used.
         let requested_at = advice.requested_at.unwrap_or(now.at);
         advice.denied.extend(request.workers.iter().cloned());
         for (id, ticket) in granted {
@@ -74,7 +80,7 @@
         self.replan = true;
     }
 
-    /// Handles a request that the adviser did not answer.
+    /// Handles a failed request to the adviser. Advice may be requested again after a pause.
     pub fn handle_advice_failure(&mut self, request: &AdviceRequest) {
         if let Some(advice) = self.advice_mut(&request.group) {
             advice.request_pending = false;
@@ -143,15 +149,15 @@
             .filter(|candidate| has_ticket(candidate))
             .count()
             >= tasks;
-        let mut unasked: Vec<&CandidateWorker> = candidates
+        let mut without_advice: Vec<&CandidateWorker> = candidates
             .iter()
             .filter(|candidate| {
                 !has_ticket(candidate) && !advice.denied.contains(&candidate.worker)
             })
             .collect();
-        unasked
+        without_advice
             .sort_by_key(|candidate| (candidate.penalty, u32::MAX - candidate.free.accelerators));
-        let workers: Vec<WorkerId> = unasked
+        let workers: Vec<WorkerId> = without_advice
             .iter()
             .take(usize::from(policy.workers_at_once))
             .map(|candidate| candidate.worker.clone())
--- a/crates/stairstall-core/src/batch/planner/bounds.rs
+++ b/crates/stairstall-core/src/batch/planner/bounds.rs
@@ -1,3 +1,5 @@
+//! Clock readings and operating limits that the planner is given.
+
 use std::time::Duration;
 
 use crate::Timestamp;
@@ -38,18 +40,19 @@
     }
 }
 
-/// Operating limits that the planner relies on, most of them times that workers keep to.
+/// Operating limits that the planner relies on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Longest time that a worker keeps running without a lease renewal.
+    /// Longest lease that a worker is granted, on its own clock: how long its runs continue without
+    /// a renewal.
     pub lease_duration: Duration,
-    /// Longest time that a stop takes.
+    /// Longest time that a worker takes to stop a run.
     pub stop_max: Duration,
     /// Time after acceptance within which a guaranteed job must start.
     pub guaranteed_start_limit: Duration,
     /// Longest time from an operator's evacuation of a zone until nothing starts there any more.
     pub evacuation_limit: Duration,
-    /// Factor by which a task takes longer on a worker that is not near its rack.
+    /// Factor by which a task takes longer on a worker that is not on the rack of its data.
     pub far_factor: u32,
     /// How long the planner still answers requests about a job that has ended.
     pub keep_ended: Duration,
--- a/crates/stairstall-core/src/batch/planner/candidate.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate.rs
@@ -2,9 +2,10 @@
 
 use crate::batch::{GroupKey, SchedulingKey};
 
-/// Rank of guaranteed jobs, within their customer's guaranteed share. It is the highest rank.
+/// Rank of guaranteed jobs: urgent work within its customer's guaranteed share. It is scheduled
+/// first.
 pub(super) const GUARANTEED_RANK: u8 = 0;
-/// Rank of urgent work beyond the customer's guaranteed share.
+/// Rank of urgent work beyond its customer's guaranteed share.
 pub(super) const URGENT_RANK: u8 = 1;
 
 /// A step with tasks that may start. Candidates sort by rank, then by scheduling key.
--- a/crates/stairstall-core/src/batch/planner/candidate_worker.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate_worker.rs
@@ -11,8 +11,8 @@
 /// Which workers a placement search considers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SearchScope {
-    /// Whether to use only workers on the rack of the step's data, and a single rack for a gang
-    /// that requests one.
+    /// Whether to use only workers on the rack of the step's data, and only a single rack for a
+    /// gang that requests one.
     pub(super) near: bool,
     /// Whether runs of less urgent ranks may be preempted.
     pub(super) preempts: bool,
@@ -23,8 +23,10 @@
 pub(super) struct CandidateWorker {
     pub(super) worker: WorkerId,
     pub(super) rack: RackId,
+    /// Free capacity. If the search may preempt runs, this includes what stopping runs will free.
     pub(super) free: Resources,
-    /// Resources that must become free in addition, because the worker's capacity has shrunk.
+    /// Resources that must become free in addition to what the task needs, because the worker's
+    /// capacity has shrunk.
     pub(super) shortage: Resources,
     /// How many more tasks of the step may be placed there.
     pub(super) spread_left: u32,
@@ -44,6 +46,8 @@
 struct Victim {
     task: TaskKey,
     resources: Resources,
+    /// Cost of preempting it, in core-milliseconds: the lost work, for a gang that of all members,
+    /// and the time that the stop takes.
     cost: u64,
     gang: bool,
 }
@@ -93,8 +97,8 @@
         })
     }
 
-    /// Selects the victims that must be preempted so that `needs` fits, and returns their cost and
-    /// tasks. Returns `None` if `needs` can't fit.
+    /// Selects the victims to preempt so that `needs` fits beside the `free` capacity, and returns
+    /// their cost and tasks. Returns `None` if `needs` can't fit.
     pub(super) fn select(
         &self,
         needs: &Resources,
@@ -146,8 +150,9 @@
     }
 }
 
-/// Preempts a victim, together with all members of its gang if it has one, and frees their
-/// resources. Returns the indices of the workers that have more free capacity as a result.
+/// Preempts a victim, together with all members of its gang if it has one, in the placement
+/// search: their resources count as free. Returns the indices of the workers that have more free
+/// capacity as a result.
 pub(super) fn preempt(workers: &mut [CandidateWorker], index: usize, task: &TaskKey) -> Vec<usize> {
     let is_gang = workers[index]
         .victims
@@ -169,7 +174,7 @@
 }
 
 impl CandidateWorker {
-    /// Removes victims and frees their resources. Returns whether there were any.
+    /// Removes victims and counts their resources as free. Returns whether there were any.
     fn remove_victims(&mut self, is_preempted: impl Fn(&Victim) -> bool) -> bool {
         let before = self.victims.0.len();
         let free = &mut self.free;
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -13,7 +13,8 @@
 impl Planner {
     /// Returns the next report request for a worker, or `None` if it need not be polled.
     ///
-    /// A lease deadline in the request counts as sent from this moment on.
+    /// If the request carries a lease deadline, the lease counts as extended from this call on,
+    /// even if the request never reaches the worker.
     pub fn report_request(&mut self, id: &WorkerId, now: Now) -> Option<ReportRequest> {
         let report_wait = self.report_wait();
         let jobs = &self.jobs;
@@ -122,16 +123,19 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let is_of_earlier = |task: &TaskKey| {
+        let is_of_earlier_incarnation = |task: &TaskKey| {
             let run = worker.runs.get(task);
             run.is_some_and(|run| worker.incarnation_state.differs_from(run.incarnation))
         };
-        let lost = absent.extract_if(.., |task| is_of_earlier(task)).collect();
-        let may_start = |task: &TaskKey| {
+        let lost = absent
+            .extract_if(.., |task| is_of_earlier_incarnation(task))
+            .collect();
+        let may_start_late = |task: &TaskKey| {
             let run = worker.runs.get(task);
             run.is_some_and(|run| self.waits_for_late_start(task, run, now))
         };
-        let unconfirmed: Vec<TaskKey> = absent.extract_if(.., |task| may_start(task)).collect();
+        let unconfirmed: Vec<TaskKey> =
+            absent.extract_if(.., |task| may_start_late(task)).collect();
         self.lose_runs_of_previous_incarnation(id, lost, now);
         for task in unconfirmed {
             self.handle_unconfirmed_start(id, &task, now);
@@ -142,10 +146,11 @@
         }
     }
 
-    /// Returns whether an unlisted run must be kept because its start may still be carried out.
+    /// Returns whether a run that no report lists must be kept, because its start may still be
+    /// carried out.
     ///
-    /// The worker's next incarnation accepts a delayed start until it has answered the planner.
-    /// Starting the task elsewhere before then could run it twice.
+    /// The worker's next incarnation accepts a delayed start until it has answered a request with
+    /// its own fencing token. Starting the task elsewhere before then could run it twice.
     fn waits_for_late_start(&self, task: &TaskKey, run: &Run, now: Now) -> bool {
         let job = self.jobs.get(&task.group.job);
         let is_open = job.is_some_and(|job| job.outcome.is_none());
@@ -184,18 +189,20 @@
         self.remove_if_gone(id, now);
     }
 
-    /// Returns the gang members at a worker whose unanswered starts may still be carried out.
+    /// Returns the gang members at a worker whose starts were given up without an answer and may
+    /// still be carried out.
     fn unanswered_gang_members(&self, id: &WorkerId, now: Now) -> Vec<TaskKey> {
-        let is_unanswered =
+        let is_given_up =
             |run: &Run| run.gang && run.state == RunState::Starting && run.answered_at.is_some();
         let worker = self.workers.get(id);
         worker.map_or_else(Vec::new, |worker| {
-            worker.tasks_where(|run| is_unanswered(run) && run.may_start_late(now.at))
+            worker.tasks_where(|run| is_given_up(run) && run.may_start_late(now.at))
         })
     }
 
-    /// Marks a worker as unresponsive: it gets no new work until it answers. If enough workers of
-    /// its zone are unresponsive, the whole zone is polled before it gets new work.
+    /// Marks a worker as unresponsive, so that it gets no new work until it answers a poll. If
+    /// enough workers of its zone are unresponsive, marks the others too, except those that have
+    /// answered recently.
     pub(super) fn mark_unresponsive(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -208,20 +215,21 @@
         self.workers_to_poll.push(id.clone());
         self.mark_timelines_changed_at(id);
         self.decisions.push(Decision::of_worker(id, "unresponsive"));
-        let of_zone = |w: &&Worker| w.is_listed && w.listed.zone == zone;
-        let unresponsive = self.workers.values().filter(of_zone);
+        let in_zone = |w: &&Worker| w.is_listed && w.listed.zone == zone;
+        let unresponsive = self.workers.values().filter(in_zone);
         let unresponsive = unresponsive.filter(|w| !w.is_in_contact()).count();
         if unresponsive >= usize::from(self.policy.health.suspect_zone_workers) {
             self.mark_zone_unresponsive(&zone, now);
         }
     }
 
-    /// Marks a worker as unresponsive because an order about a run got no answer. If the worker has
-    /// answered anything since the order was sent, only the order is late and the worker can be
-    /// reached, so it is left as it is.
+    /// Marks a worker as unresponsive because an order about a run got no answer, unless the worker
+    /// has answered anything since the order was sent: then it can be reached and only the order is
+    /// late.
     ///
-    /// An unresponsive worker gets no work until its next report. Three of them at once do the same
-    /// to the whole zone, with all placements there that wait for free capacity.
+    /// Marking a worker without need is costly. It gets no work until its next report. Three such
+    /// workers at once (the default of `suspect_zone_workers`) make their whole zone unresponsive,
+    /// and no planned run is started there then.
     pub(super) fn mark_unresponsive_unless_answered(
         &mut self,
         id: &WorkerId,
@@ -232,31 +240,33 @@
             return;
         };
         let ordered_at = worker.runs.get(task).map(|run| run.ordered_at);
-        let was_heard =
+        let has_answered_since =
             ordered_at.is_some_and(|at| worker.incarnation_state.last_answer_at > Some(at));
-        if !(was_heard && self.policy.health.trusts_reports) {
+        if !(has_answered_since && self.policy.health.trusts_reports) {
             self.mark_unresponsive(id, now);
         }
     }
 
-    /// Polls every worker of a zone that has not answered recently before it gets new work.
+    /// Marks the workers of a zone as unresponsive, except those that have answered recently.
     fn mark_zone_unresponsive(&mut self, zone: &ZoneId, now: Now) {
         self.mark_unresponsive_where(|worker| worker.listed.zone == *zone, now);
     }
 
-    /// Polls every idle worker that has not answered recently before it gets new work. Called when
-    /// a start outcome shows that the directory is outdated. Workers with runs are polled all the
-    /// time anyway.
+    /// Marks the idle workers as unresponsive, except those that have answered recently, so that
+    /// they are polled before they get new work. Called when a start outcome shows that the
+    /// directory is outdated. Workers with runs are polled all the time anyway.
     ///
-    /// Without this, the task is sent to one worker after another whose incarnation has ended: four
-    /// were seen within 45 ms.
+    /// Without this, a task may be sent to one worker after another whose incarnation has ended, as
+    /// with four workers within 45 ms.
     pub(super) fn mark_idle_workers_unresponsive(&mut self, now: Now) {
         self.mark_unresponsive_where(|worker| !worker.is_busy(), now);
     }
 
+    /// Marks the workers that pass a test as unresponsive, except those that have answered
+    /// recently.
     fn mark_unresponsive_where(&mut self, test: impl Fn(&Worker) -> bool, now: Now) {
         let recent_contact = self.policy.health.recent_contact;
-        let unheard = self
+        let to_mark = self
             .workers
             .values_mut()
             .filter(|w| w.is_in_contact() && test(w))
@@ -265,7 +275,7 @@
                     .last_answer_at
                     .is_none_or(|at| now.at - at > recent_contact)
             });
-        for worker in unheard {
+        for worker in to_mark {
             worker.set_contact(false);
             self.workers_to_poll.push(worker.listed.id.clone());
         }
@@ -305,6 +315,7 @@
             .collect()
     }
 
+    /// Handles a run that a report lists. An unknown run is adopted.
     fn handle_running_task(&mut self, id: &WorkerId, running: &RunningTask, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -333,6 +344,7 @@
         }
     }
 
+    /// Records the progress and the checkpoint of a reported run in its job.
     pub(super) fn record_progress(&mut self, running: &RunningTask) {
         let key = &running.task.group;
         let Some(job) = self.jobs.get_mut(&key.job) else {
@@ -372,6 +384,7 @@
 }
 
 impl Run {
+    /// Records that a report lists the run. `by` is the incarnation that sent the report.
     pub(super) fn record_running(
         &mut self,
         running: &RunningTask,
--- a/crates/stairstall-core/src/batch/planner/crashes.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes.rs
@@ -2,9 +2,9 @@
 //!
 //! A crashed worker reports no ends for its runs, so the loss of the worker is the only sign that a
 //! task crashes its workers. Each loss is counted before the task starts again, and the counts are
-//! stored with the job's progress. A worker that is silent beyond its lease may only have
-//! lost its connection: its tasks are counted at once, and the counts are retracted when the same
-//! incarnation answers again.
+//! stored with the job's progress. A worker that is silent beyond its lease may only have lost its
+//! connection. The loss is counted against its tasks at once, and retracted if the same incarnation
+//! answers again.
 
 use super::job::Task;
 use super::pool::{Run, RunState};
@@ -33,6 +33,7 @@
     }
 
     /// Counts the silence of a worker beyond its lease against the tasks that may have crashed it.
+    /// The silence of a leaving worker is not counted.
     pub(super) fn count_silence(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)]) {
         let Some(worker) = self.workers.get(id).filter(|worker| !worker.is_leaving()) else {
             return;
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Retracts the counts against tasks that were caused by a worker that did not crash.
+    /// Retracts the losses that were counted against tasks when a worker became silent, because the
+    /// worker did not crash.
     pub(super) fn retract_losses(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
             self.update_losses(task, |losses| {
@@ -64,7 +66,7 @@
         self.replan |= !tasks.is_empty();
     }
 
-    /// Counts a silent worker as crashed.
+    /// Counts a worker's silence, which was recorded against `tasks` before, as a crash.
     pub(super) fn confirm_crashes(&mut self, id: &WorkerId, tasks: &[TaskKey]) {
         for task in tasks {
             self.update_losses(task, |losses| {
@@ -75,8 +77,8 @@
         }
     }
 
-    /// Resolves the counts from a worker's silence when an incarnation of it answers: the answering
-    /// incarnation did not crash, an earlier one did.
+    /// Settles the losses from a worker's silence when one of its incarnations answers: the
+    /// answering incarnation did not crash, an earlier one did.
     pub(super) fn resolve_silence(&mut self, id: &WorkerId, tasks: &[TaskKey], now: Now) {
         let Some(worker) = self.workers.get(id).filter(|_| !tasks.is_empty()) else {
             return;
@@ -84,8 +86,8 @@
         let incarnation = worker.incarnation_state.clone();
         for task in tasks {
             self.update_losses(task, |losses| {
-                let settled = losses.take_silent(id);
-                let crashed = settled
+                let silent_workers = losses.take_silent(id);
+                let crashed = silent_workers
                     .iter()
                     .filter(|silent| incarnation.differs_from(silent.incarnation));
                 crashed.for_each(|silent| losses.record_crash(silent.start_confirmed));
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Clears the losses of a long-running task whose run has worked for long enough, because
-    /// workers also crash now and then without a fault of the task.
+    /// Clears the losses of a long-running task once its run has lasted long enough, because
+    /// workers also crash occasionally for reasons other than the task.
     pub(super) fn clear_losses_once_proven(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let forgiven_after = self.policy.health.crashes_forgiven_after;
         let has_run_long = self.run_at(id, task).is_some_and(|run| {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Restores the losses that an earlier planner could not resolve.
+    /// Restores the silent workers whose losses an earlier planner had not settled.
     pub(super) fn restore_losses(&mut self, job: &JobId, progress: &Progress, now: Now) {
         for (key, group) in progress.unfinished_groups(job) {
             for (index, losses) in &group.losses {
@@ -143,6 +145,7 @@
         }
     }
 
+    /// Changes the losses of an unfinished task, and its job's progress with them.
     fn update_losses(&mut self, task: &TaskKey, change: impl FnOnce(&mut TaskLosses)) {
         let key = &task.group;
         let job = self.jobs.get_mut(&key.job);
--- a/crates/stairstall-core/src/batch/planner/crashes/attribution.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes/attribution.rs
@@ -1,4 +1,4 @@
-//! Crash attribution: which tasks a worker may have crashed under.
+//! Crash attribution: which tasks a crash is counted against.
 
 use super::super::Planner;
 use super::super::pool::{Run, RunState};
@@ -9,10 +9,11 @@
     /// Returns the tasks that may have crashed a worker that last answered at `last_answer_at`, and
     /// for each whether its run was certainly active.
     ///
-    /// If some runs had just started, these are the suspects, together with runs whose start was
-    /// not confirmed. Otherwise all runs on the worker are suspects. When crashes were always
-    /// counted against all runs, eight jobs that crash their workers one after the other also
-    /// failed a job of 36 tasks next to them.
+    /// If some runs had begun within `fresh_start` before that answer, these are the suspects,
+    /// together with the runs whose start was not confirmed. Otherwise all runs on the worker are
+    /// suspects. If crashes were always counted against all runs, jobs that crash their workers
+    /// would also fail unrelated jobs there: eight such jobs, one after the other, failed a job of
+    /// 36 tasks that shared their workers.
     pub(super) fn crash_suspects(
         &self,
         last_answer_at: Option<Timestamp>,
@@ -35,8 +36,8 @@
 }
 
 impl Run {
-    /// Returns whether the run was certainly active. A run whose stop was confirmed may have ended
-    /// without the planner knowing.
+    /// Returns whether the run was certainly active when its worker was lost. A run whose stop the
+    /// worker had answered may have ended without the planner knowing.
     fn was_certainly_running(&self) -> bool {
         let may_have_ended = self.state == RunState::Stopping && self.answered_at.is_some();
         self.has_confirmed_start() && !may_have_ended
--- a/crates/stairstall-core/src/batch/planner/crashes/isolation.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes/isolation.rs
@@ -1,4 +1,4 @@
-//! Isolation of suspect tasks: those that may have crashed workers are kept away from other work.
+//! Isolation of suspect tasks: tasks that may have crashed workers are kept away from other work.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the rule for which workers the tasks of a step must avoid.
+    /// Returns the rule that tells which workers the tasks of a step must avoid.
     pub(in crate::batch::planner) fn isolation(
         &self,
         key: &GroupKey,
@@ -50,13 +50,13 @@
     }
 }
 
-/// Keeps a task on its last attempt away from other runs that have just started, so that a crash
-/// right after the start can be attributed to one of them.
+/// Keeps a task on its last attempt away from freshly started runs of other jobs, whichever starts
+/// first, so that a crash right after a start can be attributed to one job.
 pub(in crate::batch::planner) struct Isolation<'a> {
     job: Option<&'a JobId>,
     fresh_start: Duration,
-    /// Whether the step itself has a task on its last attempt and still waits for a worker without
-    /// freshly started runs.
+    /// Whether the step has a task on its last attempt and has not yet waited so long that it may
+    /// start next to freshly started runs.
     avoids_fresh_starts: bool,
 }
 
--- a/crates/stairstall-core/src/batch/planner/directory.rs
+++ b/crates/stairstall-core/src/batch/planner/directory.rs
@@ -1,4 +1,4 @@
-//! Updates from the worker directory.
+//! Updates from the worker directory, which lists the workers and their addresses.
 
 use super::pool::Worker;
 use super::{Now, Planner};
@@ -15,7 +15,7 @@
             return;
         }
         if known.is_some_and(|known| known.incarnation_state.is_newer_than(listed.incarnation)) {
-            // An ended incarnation wrote this entry.
+            // The entry was written by an incarnation that has ended.
             return;
         }
         if known.is_some_and(|known| known.incarnation_state.differs_from(listed.incarnation)) {
--- a/crates/stairstall-core/src/batch/planner/draining.rs
+++ b/crates/stairstall-core/src/batch/planner/draining.rs
@@ -8,8 +8,10 @@
 
 impl Planner {
     /// Stops the runs that can't end before a leaving worker goes, so that they continue elsewhere.
+    /// Planned runs are stopped in any case.
     ///
-    /// A run that is nearly done may stay even if it is expected to end slightly late.
+    /// A run that is nearly done may stay even if it is expected to end slightly after the
+    /// announced time.
     pub(super) fn drain_worker(&mut self, id: &WorkerId, now: Now) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -22,10 +24,10 @@
             .iter()
             .filter(|(task, run)| {
                 let run_ms = self.remaining_run_ms(task, run);
-                let ends_there = run_ms + margin_ms < leaves_in_ms;
+                let ends_in_time = run_ms + margin_ms < leaves_in_ms;
                 let may_end_late = run.percent >= policy.nearly_done
                     && run_ms < leaves_in_ms + millis(policy.late_margin);
-                run.state == RunState::Planned || !(ends_there || may_end_late)
+                run.state == RunState::Planned || !(ends_in_time || may_end_late)
             })
             .map(|(task, _)| task.clone())
             .collect();
--- a/crates/stairstall-core/src/batch/planner/evacuation.rs
+++ b/crates/stairstall-core/src/batch/planner/evacuation.rs
@@ -33,7 +33,7 @@
 impl Bounds {
     /// Returns the age above which the list of evacuated zones is no longer relied on.
     ///
-    /// The rest of the evacuation limit is left for a start on its way to its worker.
+    /// The rest of the evacuation limit is left for starts that are on their way to a worker.
     pub(super) fn max_evacuated_zones_age(&self) -> Duration {
         self.evacuation_limit * 3 / 5
     }
--- a/crates/stairstall-core/src/batch/planner/fencing.rs
+++ b/crates/stairstall-core/src/batch/planner/fencing.rs
@@ -19,8 +19,8 @@
 impl Planner {
     /// Returns a token above all tokens used so far.
     ///
-    /// When the tokens of this tenure are used up, the planner gives up its role. The next tenure
-    /// has as many again.
+    /// When the tokens of this tenure are used up, the planner gives up its role, and the last
+    /// token is returned again. The next tenure has its own tokens.
     pub(super) const fn next_fencing_token(&mut self) -> u64 {
         if self.incarnations_started + 1 == INCARNATIONS_PER_TENURE {
             self.superseded = true;
@@ -30,8 +30,9 @@
         self.token * INCARNATIONS_PER_TENURE + self.incarnations_started
     }
 
-    /// Handles a call that a worker refused because it has seen a higher token. Another planner has
-    /// taken over, unless the call was sent to an earlier incarnation.
+    /// Handles a call that a worker refused because it has seen a higher token than the call's
+    /// `token`. Another planner has taken over, unless the call was meant for an earlier
+    /// incarnation.
     pub fn handle_fenced(&mut self, id: &WorkerId, token: u64) {
         if self.is_current_token(id, token) {
             self.superseded = true;
--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -1,7 +1,8 @@
-//! Flow control between the planner and its workers, so that the planner's own VM keeps up.
+//! Flow control between the planner and its workers, so that their messages do not saturate the
+//! planner's own VM.
 //!
-//! A saturated link delays every answer: starts count as unanswered and are resent, reports arrive
-//! late and leases expire. All of this adds load to the link.
+//! A saturated link delays every answer: starts count as unanswered and are sent again, reports
+//! arrive late and leases expire. All of this adds to the load of the link.
 
 use std::time::Duration;
 
@@ -11,19 +12,19 @@
 use super::{Now, Planner, VmLimits};
 use crate::batch::FlowPolicy;
 
-/// Divisor for the weight of the newest report in the running mean of report sizes.
+/// The newest report counts for one part in this many in the running mean of report sizes.
 const MEAN_WEIGHT_DIVISOR: u32 = 16;
 
 /// How well the planner keeps up with its workers at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ContactLag {
-    /// Listed workers that do not answer.
+    /// Number of listed workers that are unresponsive.
     pub unresponsive: usize,
-    /// Age of the oldest last report among the responsive workers that have runs.
+    /// Longest time since a responsive worker with runs last answered.
     pub oldest_report: Duration,
     /// How long workers are told to wait for a run to end before they report.
     pub report_wait: Duration,
-    /// Starts that wait for an answer, or for their placement to be stored.
+    /// Number of starts that wait for an answer, or for their placement to be stored.
     pub starts_in_flight: usize,
 }
 
@@ -33,7 +34,7 @@
     limits: VmLimits,
     /// Running mean of the sizes of report bodies, in bytes.
     report_bytes: u32,
-    /// Whether tasks that have free capacity wait until earlier starts are answered.
+    /// Whether tasks for which capacity is free wait until earlier starts are answered.
     starts_limited: bool,
 }
 
@@ -42,12 +43,13 @@
         self.limits = limits;
     }
 
+    /// Updates the mean size of reports with a new report.
     pub(super) const fn record_report_size(&mut self, bytes: u32) {
         let older = self.report_bytes - self.report_bytes / MEAN_WEIGHT_DIVISOR;
         self.report_bytes = older.saturating_add(bytes / MEAN_WEIGHT_DIVISOR);
     }
 
-    /// Returns how many reports per second this VM can take.
+    /// Returns how many reports per second the link and the CPU of this VM can handle.
     fn reports_per_s(&self, policy: &FlowPolicy) -> u64 {
         let bytes = u64::from(policy.message_bytes) + u64::from(self.report_bytes);
         let link_reports_per_s =
@@ -62,7 +64,7 @@
         per_s * u64::try_from(policy.start_window.as_millis()).unwrap_or(u64::MAX) / 1000
     }
 
-    /// Returns how many messages per second fit into the share of the CPU that is meant for them.
+    /// Returns how many messages per second fit into their share of the CPU.
     fn messages_per_s(&self, policy: &FlowPolicy) -> u64 {
         let percent = u64::from(self.limits.cpu_percent) * u64::from(policy.processor_percent);
         let us_per_s = percent * 1_000_000 / 10_000;
@@ -71,9 +73,9 @@
 }
 
 impl Planner {
-    /// Returns how long a worker may wait for a run to end before it reports. The more often
-    /// workers report, the sooner problems become visible, and the longer their leases outlast a
-    /// network partition.
+    /// Returns how long a worker may wait for a run to end before it reports. It is as short as the
+    /// VM and the policy allow, because frequent reports reveal problems sooner and leave more of
+    /// each lease to outlast a network partition.
     pub(super) fn report_wait(&self) -> Duration {
         let policy = &self.policy.reports;
         let workers = u32::try_from(self.workers.len()).unwrap_or(u32::MAX);
@@ -87,9 +89,9 @@
     /// Returns how many of `count` tasks may be placed now; for a gang all or none. Work that is
     /// not urgent is placed no faster than its starts are answered.
     ///
-    /// A gang that does not fit into the rest of the window blocks later candidates, since a wide
-    /// gang would otherwise never start. A gang wider than the whole window starts once no other
-    /// start is in flight.
+    /// A gang that does not fit into the rest of the start window blocks later candidates, since a
+    /// wide gang would otherwise never start. A gang wider than the whole window starts once no
+    /// other start is in flight.
     pub(super) fn startable_count(
         &mut self,
         candidate: &Candidate,
@@ -102,15 +104,15 @@
         }
         let window = self.flow.start_window(&self.policy.flow);
         let window = usize::try_from(window).unwrap_or(usize::MAX).max(1);
-        let under_way = *pass
+        let in_flight = *pass
             .starts_in_flight
             .get_or_insert_with(|| self.starts_in_flight());
-        let left = window.saturating_sub(under_way);
-        let fits = count <= left || under_way == 0;
+        let left = window.saturating_sub(in_flight);
+        let fits = count <= left || in_flight == 0;
         let startable_count = match (gang, fits) {
             (true, true) => count,
             (true, false) => {
-                pass.starts_in_flight = Some(under_way.max(window));
+                pass.starts_in_flight = Some(in_flight.max(window));
                 0
             }
             (false, _) => count.min(left),
@@ -131,8 +133,8 @@
     #[must_use]
     pub fn contact_lag(&self, now: Now) -> ContactLag {
         let listed = self.workers.values().filter(|w| w.is_listed);
-        let (answering, unresponsive): (Vec<_>, Vec<_>) = listed.partition(|w| w.is_in_contact());
-        let busy = answering.into_iter().filter(|w| !w.runs.is_empty());
+        let (responsive, unresponsive): (Vec<_>, Vec<_>) = listed.partition(|w| w.is_in_contact());
+        let busy = responsive.into_iter().filter(|w| !w.runs.is_empty());
         let ages = busy
             .filter_map(|w| w.incarnation_state.last_answer_at)
             .map(|at| now.at - at);
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -9,7 +9,7 @@
 use crate::batch::{AcceptedJob, DemandHorizon, GroupKey, Timeliness, UrgentWork};
 
 impl Planner {
-    /// Records the demand of a job that has arrived, if the job is urgent.
+    /// Records the demand of a newly accepted job, if the job is urgent.
     pub(super) fn record_demand(&mut self, id: &JobId, now: Now) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -85,9 +85,9 @@
             .get_or_insert_with(|| self.demand.headroom(&horizon, policy, now.at))
     }
 
-    /// Returns the fraction of the headroom that a step must leave free. It drops for a gang as the
-    /// time left until its latest start runs out, and is `f64::MAX` in its back-off after a
-    /// preemption.
+    /// Returns the fraction of the headroom that a step must leave free. For a gang, it drops to
+    /// zero as its latest start approaches. During the gang's back-off after a preemption it is
+    /// `f64::MAX`, which withholds all accelerators if any headroom is kept.
     fn headroom_fraction(&self, candidate: &Candidate, now: Now) -> f64 {
         let scheduling_key = &candidate.scheduling_key;
         if scheduling_key.is_aged() {
@@ -103,21 +103,22 @@
             return f64::MAX;
         }
         if scheduling_key.timeliness != Timeliness::InTime || self.was_preempted(&candidate.key) {
-            // If urgent work preempts the gang a moment later, both lose.
+            // If the gang took the headroom, urgent work might preempt it a moment later: the gang
+            // would lose its work, and the urgent work the time of the stop.
             return 1.0;
         }
         let due_unix_ms = job.due_unix_ms(candidate.key.occurrence);
         let latest_start = scheduling_key.start_by_unix_ms;
-        let whole = Duration::from_millis(latest_start.saturating_sub(due_unix_ms));
-        let left = Duration::from_millis(latest_start.saturating_sub(now.unix_ms));
-        if whole.is_zero() {
+        let max_wait = Duration::from_millis(latest_start.saturating_sub(due_unix_ms));
+        let remaining_wait = Duration::from_millis(latest_start.saturating_sub(now.unix_ms));
+        if max_wait.is_zero() {
             return 0.0;
         }
-        (left.as_secs_f64() / whole.as_secs_f64() / yields_from).clamp(0.0, 1.0)
+        (remaining_wait.as_secs_f64() / max_wait.as_secs_f64() / yields_from).clamp(0.0, 1.0)
     }
 }
 
-/// Returns the number of accelerators that the widest step of a job takes.
+/// Returns the number of accelerators that the step of a job with the most accelerators takes.
 fn accelerators_at_once(job: &AcceptedJob) -> u32 {
     let steps = job.spec.steps.iter();
     let accelerators = steps.map(|step| step.needs.accelerators.saturating_mul(step.count));
--- a/crates/stairstall-core/src/batch/planner/incarnations.rs
+++ b/crates/stairstall-core/src/batch/planner/incarnations.rs
@@ -6,7 +6,7 @@
 use crate::batch::{Decision, Setback, TaskKey};
 
 impl Planner {
-    /// Handles the end of a worker's current incarnation: none of its runs is running any more.
+    /// Handles the end of a worker's current incarnation, and with it of all its runs.
     pub fn end_incarnation(&mut self, id: &WorkerId, why: &str, now: Now) {
         let Some(mut worker) = self.workers.remove(id) else {
             return;
@@ -28,7 +28,7 @@
             self.retract_losses(id, &suspects);
         } else {
             // A crashed worker reports no run ends. If the crash were not counted, its tasks would
-            // be started on one worker after another and might crash each of them.
+            // be started on one worker after another and could crash each of them.
             self.confirm_crashes(id, &suspects);
             suspects.extend(self.count_crash(id, worker.incarnation_state.last_answer_at, &runs));
             self.fail_crashing_jobs(&suspects, now);
@@ -39,7 +39,8 @@
     /// Releases the tasks of runs that were lost with their worker, and stops the gangs that can't
     /// continue without them.
     ///
-    /// In a gang that has not begun, the other members would wait 3 s for the lost one.
+    /// Otherwise the members of a gang that has not begun would wait 3 s for the lost one, until
+    /// their workers give up the gang.
     pub(super) fn release_lost_runs(&mut self, id: &WorkerId, runs: &[(TaskKey, Run)], now: Now) {
         for (task, run) in runs {
             self.run_index.remove(task, id);
@@ -58,8 +59,8 @@
 
     /// Removes a worker that is no longer listed and has no runs.
     ///
-    /// A worker that may have crashed under tasks is polled for a while longer, because an answer
-    /// proves that it did not crash.
+    /// A worker that tasks may have crashed is polled for a while longer, because an answer of the
+    /// same incarnation proves that it did not crash.
     pub(super) fn remove_if_gone(&mut self, id: &WorkerId, now: Now) {
         let presumed_crashed_after = self.policy.health.presumed_crashed_after;
         let Some(worker) = self.workers.get(id) else {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Treats workers as crashed that became silent while they had runs and have since neither
+    /// Presumes workers crashed that became silent while they had runs, and since then have neither
     /// answered nor been listed again.
     pub(super) fn end_vanished_incarnations(&mut self, now: Now) {
         let suspects = self
