--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -88,7 +88,7 @@
     orders: Vec<Order>,
     advice_requests: Vec<AdviceRequest>,
     decisions: Vec<Decision>,
-    changed: BTreeSet<JobId>,
+    changed_jobs: BTreeSet<JobId>,
     /// Jobs that have changed since their timelines were last updated.
     changed_timelines: BTreeSet<JobId>,
     summaries: Vec<JobSummary>,
@@ -155,7 +155,7 @@
             orders: Vec::new(),
             advice_requests: Vec::new(),
             decisions: Vec::new(),
-            changed: BTreeSet::new(),
+            changed_jobs: BTreeSet::new(),
             changed_timelines: BTreeSet::new(),
             summaries: Vec::new(),
             demand: UrgentDemand::default(),
@@ -297,7 +297,7 @@
             self.end_vanished_incarnations(now);
             self.expire_leases(now);
             self.check_unsettled_runs(now);
-            self.start_due_occurrences(now);
+            self.add_eligible_occurrences(now);
             self.charge_customers(now);
             self.learn_from_running(now);
             self.move_stalled_runs(now);
@@ -308,13 +308,13 @@
             self.last_pass_at = Some(now.at);
             self.replan_at = if self.has_enough_reports(now) {
                 let waits = self.plan(now);
-                waits.then(|| now.at + Self::IDLE_TICK)
+                waits.then(|| now.at + Self::MAX_TICK_INTERVAL)
             } else {
                 Some(now.at + REPORTS_CHECK_INTERVAL)
             };
         }
         self.starts_due = false;
-        self.emit_starts(now);
+        self.send_starts(now);
         self.update_timelines(now);
         std::mem::take(&mut self.orders)
     }
@@ -399,7 +399,7 @@
         job.end(outcome, now);
         self.drop_forecast(id);
         self.changed_timelines.insert(id.clone());
-        self.changed.insert(id.clone());
+        self.changed_jobs.insert(id.clone());
         self.decisions.push(Decision::of_job(
             DecisionKind::Outcome,
             id,
@@ -414,7 +414,7 @@
         };
         for (worker, task) in running {
             if outcome == Outcome::Completed {
-                self.note_unwanted(&worker, &task, now);
+                self.mark_redundant(&worker, &task, now);
             } else {
                 self.stop_run(&worker, &task, reason, now);
             }
--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -46,7 +46,7 @@
             if let Some(group) = job.group_mut(key) {
                 group.last_run = group.last_run.max(running.run);
                 let task = &mut group.tasks[running.task.index as usize];
-                task.place = Some(id.clone());
+                task.worker = Some(id.clone());
                 task.run = running.run;
                 task.incarnation = incarnation;
                 task.start_confirmed = true;
@@ -134,20 +134,20 @@
             .unwrap_or_default();
         let mut run = Run {
             number: running.run,
-            room: step.reserved_resources(),
+            resources: step.reserved_resources(),
             state: RunState::Running,
             rank: job.map_or(u8::MAX, |job| job.accepted.queue.priority.saturating_add(1)),
             gang: step.gang,
             checkpoints: step.checkpoints,
-            lasts: step.long_running,
-            serves: step.has_latency_target(),
-            fills: step.uses_spare_cpu,
+            long_running: step.long_running,
+            has_latency_target: step.has_latency_target(),
+            uses_spare_cpu: step.uses_spare_cpu,
             expected_ms: self.expected_ms(key, &step, id, now),
             since: now.at,
             ordered_at: now.at,
             answered_at: Some(now.at),
-            stops: 0,
-            tries: 1,
+            unanswered_stops: 0,
+            start_attempts: 1,
             late_start_until: None,
             percent: running.percent,
             progressed_at: now.at,
@@ -158,7 +158,7 @@
             resumes: false,
             start_confirmed: true,
             incarnation: None,
-            fence: 0,
+            fencing_token: 0,
             is_listed: false,
             placement_change: 0,
             restored: false,
--- a/crates/stairstall-core/src/batch/planner/candidate_worker.rs
+++ b/crates/stairstall-core/src/batch/planner/candidate_worker.rs
@@ -72,10 +72,10 @@
                 } else {
                     run.lost_work(at, policy.restore_cost)
                 };
-                let stop = run.room.weight() * millis(policy.stop_cost) / 1000;
+                let stop = run.resources.weight() * millis(policy.stop_cost) / 1000;
                 Victim {
                     task: task.clone(),
-                    resources: run.room,
+                    resources: run.resources,
                     cost: lost_work + stop,
                     gang: run.gang,
                 }
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -28,7 +28,7 @@
         let acknowledged_end = worker
             .incarnation_state
             .next_acknowledgement(acknowledgeable);
-        let request = worker.hold_request(acknowledged_end, deadline_ms, report_wait)?;
+        let request = worker.report_request(acknowledged_end, deadline_ms, report_wait)?;
         worker.set_report_pending(true);
         if request.deadline_ms.is_some() {
             worker.extend_lease(now.at + Self::max_lease_duration(self.bounds.hold_max));
@@ -57,7 +57,7 @@
             self.handle_late_run_ends(id, &report.ended, now);
             return;
         };
-        if request.token == worker.fence {
+        if request.token == worker.fencing_token {
             worker.set_report_pending(false);
         }
         let acknowledged = match worker
@@ -80,9 +80,9 @@
         if !worker.is_in_contact() || !worker.incarnation_state.fenced {
             self.replan = true;
         }
-        let is_fenced = request.token == worker.fence;
+        let is_fenced = request.token == worker.fencing_token;
         let incarnation = &mut worker.incarnation_state;
-        if incarnation.note_report(report.incarnation, is_fenced, now.at) {
+        if incarnation.record_report(report.incarnation, is_fenced, now.at) {
             self.last_new_report_at = Some(now.at);
         }
         let was_unresponsive = !worker.is_in_contact();
@@ -315,7 +315,7 @@
                 run.record_running(running, worker.incarnation_state.incarnation, now.at);
                 let has_started = run.state != before;
                 let was_restored = std::mem::take(&mut run.restored);
-                let long_running = run.lasts;
+                let long_running = run.long_running;
                 self.record_progress(running);
                 if has_started {
                     self.mark_timeline_changed(&running.task.group.job);
@@ -362,7 +362,7 @@
     /// its own token, it no longer starts those.
     fn tasks_expected_in_report(&self, is_fenced: bool, sent_at: Timestamp) -> Vec<TaskKey> {
         self.tasks_where(|run| {
-            if run.fence == self.fence {
+            if run.fencing_token == self.fencing_token {
                 run.answered_at.is_some_and(|at| at < sent_at)
             } else {
                 is_fenced && run.was_started()
--- a/crates/stairstall-core/src/batch/planner/crashes.rs
+++ b/crates/stairstall-core/src/batch/planner/crashes.rs
@@ -154,7 +154,7 @@
         };
         change(&mut entry.losses);
         job.record_change();
-        self.changed.insert(key.job.clone());
+        self.changed_jobs.insert(key.job.clone());
     }
 
     /// Logs a decision for each run that was lost with its worker, with the failures and crashes of
--- a/crates/stairstall-core/src/batch/planner/explain.rs
+++ b/crates/stairstall-core/src/batch/planner/explain.rs
@@ -47,7 +47,7 @@
         job: &Job,
         now: Now,
     ) -> Option<StepExplanation> {
-        let phase = self.span_of_group(key, group, job)?;
+        let phase = self.phase_of_group(key, group, job)?;
         let waiting = count_tasks(group, Task::is_waiting);
         let steps_ahead = if waiting > 0 {
             self.count_steps_ahead(key, now)
--- a/crates/stairstall-core/src/batch/planner/fencing.rs
+++ b/crates/stairstall-core/src/batch/planner/fencing.rs
@@ -40,6 +40,8 @@
 
     /// Returns whether `token` is the one of the worker's current incarnation.
     pub(super) fn is_current_token(&self, id: &WorkerId, token: u64) -> bool {
-        self.workers.get(id).is_some_and(|w| w.fence == token)
+        self.workers
+            .get(id)
+            .is_some_and(|w| w.fencing_token == token)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -16,7 +16,7 @@
     /// Whether a run of it has finished successfully.
     pub(super) done: bool,
     /// The worker of its current run.
-    pub(super) place: Option<WorkerId>,
+    pub(super) worker: Option<WorkerId>,
     /// Number of its current run.
     pub(super) run: u32,
     /// Incarnation of that worker when the run was placed there.
@@ -30,7 +30,7 @@
     /// Last run whose failure was counted.
     pub(super) last_failed_run: u32,
     /// Worker of its last failed run.
-    pub(super) failed_at: Option<WorkerId>,
+    pub(super) failed_on: Option<WorkerId>,
     /// How often it was moved because it stalled or was a straggler. For a gang, only the first
     /// task counts.
     pub(super) moves: u8,
@@ -44,7 +44,7 @@
     /// Returns the placement of the current run in its stored form.
     pub(super) fn stored_placement(&self) -> Option<RunPlacement> {
         Some(RunPlacement {
-            worker: self.place.clone()?,
+            worker: self.worker.clone()?,
             run: self.run,
             incarnation: self.incarnation,
             start_confirmed: self.start_confirmed,
@@ -52,7 +52,7 @@
     }
 
     pub(super) const fn is_waiting(&self) -> bool {
-        !self.done && self.place.is_none()
+        !self.done && self.worker.is_none()
     }
 }
 
@@ -116,7 +116,7 @@
             if self.last_failed_gang_run >= run {
                 return None;
             }
-            task.failed_at = Some(worker.clone());
+            task.failed_on = Some(worker.clone());
             self.last_failed_gang_run = run;
             self.gang_failures += 1;
             return Some(self.gang_failures);
@@ -125,7 +125,7 @@
             return None;
         }
         task.last_failed_run = run;
-        task.failed_at = Some(worker.clone());
+        task.failed_on = Some(worker.clone());
         task.failures += 1;
         Some(task.failures)
     }
@@ -187,12 +187,12 @@
         let known_after = now.unix_ms.saturating_sub(job.accepted.accepted_unix_ms);
         job.timeline
             .add_time(JobPhase::Accepted, Duration::from_millis(known_after));
-        job.add_due_occurrences(now);
+        job.add_eligible_occurrences(now);
         job
     }
 
     /// Returns when the next occurrence becomes eligible, in milliseconds since the Unix epoch.
-    pub(super) fn next_due_unix_ms(&self) -> Option<u64> {
+    pub(super) fn next_eligible_unix_ms(&self) -> Option<u64> {
         if self.outcome.is_some()
             || self.occurrences.len() >= self.accepted.spec.occurrences() as usize
         {
@@ -203,10 +203,12 @@
     }
 
     /// Adds the occurrences that are eligible now. Returns whether there were any.
-    pub(super) fn add_due_occurrences(&mut self, now: Now) -> bool {
+    pub(super) fn add_eligible_occurrences(&mut self, now: Now) -> bool {
         let before = self.occurrences.len();
         while self.occurrences.len() < self.accepted.spec.occurrences() as usize {
-            let is_eligible = self.next_due_unix_ms().is_none_or(|due| due <= now.unix_ms);
+            let is_eligible = self
+                .next_eligible_unix_ms()
+                .is_none_or(|due| due <= now.unix_ms);
             if !is_eligible || self.outcome.is_some() {
                 break;
             }
@@ -289,7 +291,7 @@
     }
 
     /// Returns when an occurrence becomes eligible, in milliseconds since the Unix epoch.
-    pub(super) fn due_unix_ms(&self, occurrence: u32) -> u64 {
+    pub(super) fn eligible_unix_ms(&self, occurrence: u32) -> u64 {
         let schedule = self.accepted.spec.schedule;
         schedule.map_or(self.accepted.accepted_unix_ms, |schedule| {
             schedule.due_unix_ms(occurrence)
@@ -300,7 +302,7 @@
     /// since the Unix epoch.
     pub(super) fn objective_unix_ms(&self, occurrence: u32) -> u64 {
         let span_ms = self.objective_span_ms(self.accepted.spec.critical_path_ms());
-        self.due_unix_ms(occurrence).saturating_add(span_ms)
+        self.eligible_unix_ms(occurrence).saturating_add(span_ms)
     }
 
     /// Returns the time from eligibility to the objective, in milliseconds, for a job with this
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -106,10 +106,10 @@
         let mut totals: BTreeMap<(&ServiceId, u8, Option<u64>), ResourceTotal> = BTreeMap::new();
         for worker in self.workers.values() {
             for run in worker.runs.values() {
-                let bucket_ms = (!run.lasts).then(|| end_bucket_ms(remaining_ms(run, now)));
+                let bucket_ms = (!run.long_running).then(|| end_bucket_ms(remaining_ms(run, now)));
                 let resources = totals.entry((&worker.listed.service, run.rank, bucket_ms));
                 let resources = resources.or_default();
-                *resources = resources.plus(&ResourceTotal::of(&run.room, 1));
+                *resources = resources.plus(&ResourceTotal::of(&run.resources, 1));
             }
         }
         let totals = totals
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -12,7 +12,7 @@
 use crate::{Timestamp, WorkerId};
 
 /// Minimum share of the work, in percent, from which the duration of the whole work is estimated.
-const MIN_PROGRESS_PERCENT: u8 = 5;
+const MIN_PROJECTION_PERCENT: u8 = 5;
 
 /// A run whose progress is evaluated.
 struct ObservedRun<'a> {
@@ -216,7 +216,7 @@
     /// A long-running step has no duration, and runs that serve users or use spare CPU are
     /// disturbed by other work.
     const fn is_pace_representative(&self) -> bool {
-        let is_plain = !self.lasts && !self.serves && !self.fills;
+        let is_plain = !self.long_running && !self.has_latency_target && !self.uses_spare_cpu;
         is_plain && !self.restored && self.began.is_some()
     }
 
@@ -249,7 +249,7 @@
         let (since, from) = self.sampled_until()?;
         let left = 100_u8
             .checked_sub(from)
-            .filter(|left| *left >= MIN_PROGRESS_PERCENT)?;
+            .filter(|left| *left >= MIN_PROJECTION_PERCENT)?;
         ProgressSample::new(self.sample_id(task), left, at - since)
     }
 
@@ -260,7 +260,7 @@
         let gained = self.percent.checked_sub(from)?;
         let worked = self.reported_at - at;
         let is_enough =
-            gained >= MIN_PROGRESS_PERCENT && self.percent <= 100 && worked >= min_judged_work;
+            gained >= MIN_PROJECTION_PERCENT && self.percent <= 100 && worked >= min_judged_work;
         is_enough.then(|| Duration::from_millis(millis(worked) * 100 / u64::from(gained)))
     }
 
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -11,16 +11,16 @@
 /// Workers reserved for waiting gangs.
 #[derive(Debug, Default)]
 pub(super) struct ReservedWorkers {
-    pub(super) workers: BTreeMap<WorkerId, ReservationHolder>,
+    pub(super) workers: BTreeMap<WorkerId, ReservingGang>,
 }
 
 /// The waiting gang that a worker is reserved for.
 #[derive(Debug, Clone)]
-pub(super) struct ReservationHolder {
+pub(super) struct ReservingGang {
     pub(super) gang: GroupKey,
     pub(super) rank: u8,
     /// Usage of its customer, as computed in this pass.
-    pub(super) used: u64,
+    pub(super) usage_level: u64,
     /// When the reserved capacity should be free.
     pub(super) expected_start: Timestamp,
 }
@@ -51,7 +51,7 @@
     /// The capacity that neither a run nor a planned run uses.
     Free,
     /// The capacity that is free once all runs above this rank have been preempted.
-    Above(u8),
+    AfterPreemption(u8),
 }
 
 /// Everything that decides how many tasks of a step fit on a worker; the cache key of a
@@ -99,7 +99,7 @@
     }
 
     /// Records that tasks were placed, and how many free accelerators they use.
-    pub(super) fn note_placed(&mut self, tasks: usize, accelerators: u32) {
+    pub(super) fn record_placed(&mut self, tasks: usize, accelerators: u32) {
         if let Some(in_flight) = &mut self.starts_in_flight {
             *in_flight += tasks;
         }
@@ -142,7 +142,7 @@
         let workers = self
             .workers
             .values()
-            .filter(|w| w.takes_tasks() && w.suits(step) && (!near || w.is_near(step)))
+            .filter(|w| w.takes_tasks() && w.has_required_label(step) && (!near || w.is_near(step)))
             .filter(|w| ceiling_key.service.as_ref() == Some(&w.listed.service));
         for worker in workers {
             let copies = ceiling_key
@@ -172,7 +172,7 @@
         match kind {
             CapacityKind::Whole => self.listed.capacity,
             CapacityKind::Free => self.free(),
-            CapacityKind::Above(rank) => self.free_for_rank(rank),
+            CapacityKind::AfterPreemption(rank) => self.free_for_rank(rank),
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/placement.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -63,11 +63,11 @@
                 with_preemption.unwrap_or(choice)
             });
             if let Some(choice) = choice {
-                let accelerators = step.needs.accelerators * as_u32(choice.places.len());
+                let accelerators = step.needs.accelerators * as_u32(choice.workers.len());
                 allowance = allowance.saturating_sub(accelerators);
-                let placed: Vec<u32> = waiting.drain(..choice.places.len()).collect();
+                let placed: Vec<u32> = waiting.drain(..choice.workers.len()).collect();
                 self.commit_placement(candidate, &step, &placed, &choice, scope, now);
-                pass.note_placed(choice.places.len(), accelerators);
+                pass.record_placed(choice.workers.len(), accelerators);
                 if !choice.victims.is_empty() {
                     pass.invalidate_capacity();
                 }
@@ -100,14 +100,14 @@
             preempts: true,
             ..scope
         };
-        let count = free.places.len();
+        let count = free.workers.len();
         if !self.may_fit(candidate, step, scope, count, pass, now) {
             return None;
         }
         let workers = self.candidate_workers(candidate, step, scope, pass, now);
         let workers = self.filter_by_ticket(&candidate.key, workers, count, now);
         let choice = search(step, count, scope, workers, Some(paces))?;
-        let is_better = choice.places.len() == count && choice.cost < free.cost;
+        let is_better = choice.workers.len() == count && choice.cost < free.cost;
         let is_in_time = paces.ends_in_time(choice.slowest_factor, self.bounds.stop_max);
         (is_better && is_in_time)
             .then_some(choice)
@@ -130,7 +130,7 @@
             return true;
         }
         let kind = if scope.preempts {
-            CapacityKind::Above(self.protected_rank_for(candidate, now))
+            CapacityKind::AfterPreemption(self.protected_rank_for(candidate, now))
         } else {
             CapacityKind::Free
         };
@@ -209,7 +209,7 @@
         self.workers
             .iter()
             .filter(|(_, w)| scope.preempts || is_advised || needs.fits_in(&w.free()))
-            .filter(|(_, w)| w.takes_tasks() && w.suits(step))
+            .filter(|(_, w)| w.takes_tasks() && w.has_required_label(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
             .filter(|(_, w)| w.can_colocate(step))
             .filter(|(_, w)| isolation.allows(w, now.at))
@@ -226,7 +226,7 @@
                 },
                 shortage: w.shortage(),
                 spread_left: free_task_slots(w, step, key),
-                penalty: costs.of(w, step, now.at),
+                penalty: costs.cost_on(w, step, now.at),
                 pace: if knows_paces {
                     self.pace_of(id, now)
                 } else {
@@ -314,9 +314,9 @@
         let Some(placement_change) = self.jobs.get_mut(&key.job).map(Job::record_change) else {
             return;
         };
-        self.changed.insert(key.job.clone());
+        self.changed_jobs.insert(key.job.clone());
         self.mark_timeline_changed(&key.job);
-        for (index, id) in tasks.iter().zip(&choice.places) {
+        for (index, id) in tasks.iter().zip(&choice.workers) {
             let task = key.task(*index);
             let mut run = self.planned_run(candidate, step, id, number, now);
             run.placement_change = placement_change;
@@ -325,7 +325,7 @@
                 && let Some(group) = job.group_mut(key)
             {
                 let task = &mut group.tasks[*index as usize];
-                task.place = Some(id.clone());
+                task.worker = Some(id.clone());
                 task.run = number;
                 task.incarnation = run.incarnation;
                 task.start_confirmed = false;
@@ -374,20 +374,20 @@
     ) -> Run {
         Run {
             number,
-            room: step.reserved_resources(),
+            resources: step.reserved_resources(),
             state: RunState::Planned,
             rank: candidate.rank,
             gang: step.gang,
             checkpoints: step.checkpoints,
-            lasts: step.long_running,
-            serves: step.has_latency_target(),
-            fills: step.uses_spare_cpu,
+            long_running: step.long_running,
+            has_latency_target: step.has_latency_target(),
+            uses_spare_cpu: step.uses_spare_cpu,
             expected_ms: self.expected_ms(&candidate.key, step, id, now),
             since: now.at,
             ordered_at: now.at,
             answered_at: None,
-            stops: 0,
-            tries: 0,
+            unanswered_stops: 0,
+            start_attempts: 0,
             late_start_until: None,
             percent: 0,
             progressed_at: now.at,
@@ -397,7 +397,7 @@
             pace_sampled: None,
             resumes: false,
             start_confirmed: false,
-            fence: 0,
+            fencing_token: 0,
             incarnation: self.incarnation_of(id),
             is_listed: false,
             placement_change: 0,
--- a/crates/stairstall-core/src/batch/planner/placement/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -13,7 +13,7 @@
     pub(in crate::batch::planner) cost: u64,
     /// How many of the chosen workers are in another zone than the job's caller.
     pub(in crate::batch::planner) in_other_zones: usize,
-    pub(in crate::batch::planner) places: Vec<WorkerId>,
+    pub(in crate::batch::planner) workers: Vec<WorkerId>,
     pub(in crate::batch::planner) victims: Vec<(WorkerId, TaskKey)>,
     /// Pace factor of the slowest chosen worker.
     pub(in crate::batch::planner) slowest_factor: f64,
@@ -63,7 +63,7 @@
     }
     let mut workers = workers;
     for worker in &mut workers {
-        worker.penalty += paces.of(worker, worker.pace.factor);
+        worker.penalty += paces.cost_on(worker, worker.pace.factor);
     }
     choose(workers, needs, count, false, Some(paces))
 }
@@ -86,7 +86,7 @@
             return None;
         }
         for worker in &mut set {
-            worker.penalty += paces.of(worker, slowest);
+            worker.penalty += paces.cost_on(worker, slowest);
         }
         choose(set, needs, count, true, None)
     });
@@ -145,10 +145,10 @@
 }
 
 /// The cost of placing one more task on a worker.
-struct Offer {
+struct PlacementOption {
     /// Sort key, cheapest first: cost, whether the zone differs from the caller's, then the
     /// accelerators and CPU that stay free.
-    rank: (u64, bool, u32, u32),
+    sort_key: (u64, bool, u32, u32),
     /// Cost of the preempted runs.
     cost: u64,
     victims: Vec<TaskKey>,
@@ -158,20 +158,20 @@
     /// Marks that a task placed on the worker will reveal its pace, and updates the penalty.
     fn mark_pace_pending(&mut self, paces: &PaceCosts) {
         let factor = self.pace.factor;
-        let before = paces.of(self, factor);
+        let before = paces.cost_on(self, factor);
         self.pace_pending = true;
-        self.penalty = self.penalty.saturating_sub(before) + paces.of(self, factor);
+        self.penalty = self.penalty.saturating_sub(before) + paces.cost_on(self, factor);
     }
 
-    fn offer(&self, needs: &Resources) -> Option<Offer> {
+    fn placement_option(&self, needs: &Resources) -> Option<PlacementOption> {
         if self.spread_left == 0 {
             return None;
         }
         let required = needs.saturating_add(&self.shortage);
         let (cost, victims) = self.victims.select(&required, &self.room)?;
         let left = self.room.saturating_sub(needs);
-        Some(Offer {
-            rank: (
+        Some(PlacementOption {
+            sort_key: (
                 cost + self.penalty,
                 self.in_other_zone,
                 left.accelerators,
@@ -185,7 +185,7 @@
 
 /// Chooses a worker for each of `count` tasks, cheapest first.
 ///
-/// Only the offers of workers that a choice has changed are computed again.
+/// Only the options of workers that a choice has changed are computed again.
 ///
 /// With `paces`, a worker of unknown pace is preferred only for its first task, which already
 /// reveals the pace.
@@ -196,22 +196,26 @@
     all_or_none: bool,
     paces: Option<&PaceCosts>,
 ) -> Option<PlacementChoice> {
-    let mut offers: Vec<Option<Offer>> = workers.iter().map(|worker| worker.offer(needs)).collect();
+    let mut options: Vec<Option<PlacementOption>> = workers
+        .iter()
+        .map(|worker| worker.placement_option(needs))
+        .collect();
     let mut choice = PlacementChoice::default();
     for _ in 0..count {
-        let ranks = offers.iter().enumerate();
-        let ranks = ranks.filter_map(|(index, offer)| Some((offer.as_ref()?.rank, index)));
-        let Some((_, index)) = ranks.min() else {
+        let sort_keys = options.iter().enumerate();
+        let sort_keys =
+            sort_keys.filter_map(|(index, option)| Some((option.as_ref()?.sort_key, index)));
+        let Some((_, index)) = sort_keys.min() else {
             break;
         };
-        let Some(offer) = offers[index].take() else {
+        let Some(option) = options[index].take() else {
             break;
         };
-        choice.cost += offer.cost + workers[index].penalty;
+        choice.cost += option.cost + workers[index].penalty;
         choice.in_other_zones += usize::from(workers[index].in_other_zone);
-        for victim in offer.victims {
+        for victim in option.victims {
             for changed in candidate_worker::preempt(&mut workers, index, &victim) {
-                offers[changed] = workers[changed].offer(needs);
+                options[changed] = workers[changed].placement_option(needs);
             }
             choice.victims.push((workers[index].worker.clone(), victim));
         }
@@ -219,16 +223,16 @@
         worker.room = worker.room.saturating_sub(needs);
         worker.spread_left -= 1;
         choice.slowest_factor = choice.slowest_factor.max(worker.pace.factor);
-        choice.places.push(worker.worker.clone());
+        choice.workers.push(worker.worker.clone());
         if let Some(paces) = paces {
             worker.mark_pace_pending(paces);
         }
-        offers[index] = worker.offer(needs);
+        options[index] = worker.placement_option(needs);
     }
     let enough = if all_or_none {
-        choice.places.len() == count
+        choice.workers.len() == count
     } else {
-        !choice.places.is_empty()
+        !choice.workers.is_empty()
     };
     enough.then_some(choice)
 }
--- a/crates/stairstall-core/src/batch/planner/placement/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/cost.rs
@@ -17,7 +17,7 @@
     /// Whether a run of the step has failed.
     has_failed: bool,
     /// Workers on which runs of the step have failed.
-    failed_at: Vec<&'a WorkerId>,
+    failed_on: Vec<&'a WorkerId>,
     /// The job, if workers were lost under a task of the step.
     suspect_job: Option<&'a JobId>,
     far_factor: u32,
@@ -26,7 +26,7 @@
 
 impl PlacementCosts<'_> {
     /// Returns the cost of placing a task on a worker, in core-milliseconds.
-    pub(super) fn of(&self, worker: &Worker, step: &StepSpec, at: Timestamp) -> u64 {
+    pub(super) fn cost_on(&self, worker: &Worker, step: &StepSpec, at: Timestamp) -> u64 {
         let mut cost = 0;
         if !worker.is_near(step) {
             cost += self.work * u64::from(self.far_factor.saturating_sub(1));
@@ -37,7 +37,7 @@
         if self.has_failed && worker.incarnation_state.succeeded_at.is_none() {
             cost += self.work * u64::from(self.policy.unproven_penalty);
         }
-        if self.failed_at.contains(&&worker.listed.id) {
+        if self.failed_on.contains(&&worker.listed.id) {
             cost += self.work * u64::from(self.policy.failed_here_penalty);
         }
         // If two such jobs ran on one worker, a crash could not be attributed to either of them.
@@ -96,7 +96,7 @@
         clippy::cast_sign_loss,
         reason = "core-milliseconds of work are far below 2^52"
     )]
-    pub(super) fn of(&self, worker: &CandidateWorker, factor: f64) -> u64 {
+    pub(super) fn cost_on(&self, worker: &CandidateWorker, factor: f64) -> u64 {
         let times = if self.is_urgent || self.ends_late(factor) && !self.is_overdue {
             self.urgent_cost_factor(worker, factor)
         } else {
@@ -159,7 +159,7 @@
             return None;
         }
         let job = self.jobs.get(&key.job)?;
-        let eligible_ms = job.due_unix_ms(key.occurrence);
+        let eligible_ms = job.eligible_unix_ms(key.occurrence);
         let objective_ms = job.objective_unix_ms(key.occurrence);
         let late_bound = u64::from(self.policy.turns.late_bound);
         let late_bound_ms = eligible_ms + late_bound * objective_ms.saturating_sub(eligible_ms);
@@ -202,7 +202,7 @@
                 .saturating_mul(self.estimate_ms(step))
                 / 1000,
             has_failed: group.is_some_and(|group| group.max_failures() > 0),
-            failed_at: tasks.iter().filter_map(|t| t.failed_at.as_ref()).collect(),
+            failed_on: tasks.iter().filter_map(|t| t.failed_on.as_ref()).collect(),
             suspect_job: tasks
                 .iter()
                 .any(|t| t.is_waiting() && !t.losses.is_empty())
--- a/crates/stairstall-core/src/batch/planner/placement/reservations.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/reservations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::super::candidate::Candidate;
-use super::super::pass::{ReservationHolder, ReservedWorkers};
+use super::super::pass::{ReservedWorkers, ReservingGang};
 use super::super::pool::Worker;
 use super::super::{Now, Planner};
 use crate::batch::{GroupKey, Resources, StepSpec, Timeliness};
@@ -191,7 +191,7 @@
         let mut available: Vec<WorkerAvailability<'_>> = self
             .workers
             .iter()
-            .filter(|(_, w)| w.takes_tasks() && w.suits(step) && w.is_near(step))
+            .filter(|(_, w)| w.takes_tasks() && w.has_required_label(step) && w.is_near(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
             .filter(|(id, _)| reserved.is_available_to(id, &candidate.key))
             .filter_map(|(id, w)| {
@@ -211,10 +211,10 @@
 
 impl ReservedWorkers {
     fn add(&mut self, candidate: &Candidate, reservation: &Reservation) {
-        let holder = ReservationHolder {
+        let holder = ReservingGang {
             gang: candidate.key.clone(),
             rank: reservation.rank,
-            used: candidate.turn.usage_level,
+            usage_level: candidate.turn.usage_level,
             expected_start: reservation.backfill_until,
         };
         for id in &reservation.workers {
@@ -229,7 +229,7 @@
     }
 }
 
-impl ReservationHolder {
+impl ReservingGang {
     /// Returns whether a step comes before the gang that holds the reservation: it is that gang,
     /// has a higher rank, is the oldest aged step, or has the same rank and a customer with less
     /// usage.
@@ -237,7 +237,7 @@
         candidate.key == self.gang
             || candidate.rank < self.rank
             || candidate.turn.is_aged()
-            || candidate.rank == self.rank && candidate.turn.usage_level < self.used
+            || candidate.rank == self.rank && candidate.turn.usage_level < self.usage_level
     }
 }
 
@@ -296,16 +296,16 @@
     /// Returns the time until all runs except long-running ones are expected to have ended, in
     /// milliseconds.
     fn free_in_ms(&self, min_progress_percent: u8) -> u64 {
-        let ending = self.runs.values().filter(|run| !run.lasts);
+        let ending = self.runs.values().filter(|run| !run.long_running);
         let left = ending.map(|run| run.remaining_ms(min_progress_percent));
         left.max().unwrap_or(0)
     }
 
     /// Returns the capacity that is free once all runs except long-running ones have ended.
     fn capacity_beside_long_running(&self) -> Resources {
-        let long_running = self.runs.values().filter(|run| run.lasts);
+        let long_running = self.runs.values().filter(|run| run.long_running);
         let occupied = long_running.fold(Resources::default(), |sum, run| {
-            sum.saturating_add(&run.room)
+            sum.saturating_add(&run.resources)
         });
         self.listed.capacity.saturating_sub(&occupied)
     }
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -31,14 +31,14 @@
     /// State of its current incarnation.
     pub(super) incarnation_state: IncarnationState,
     /// Fencing token of all calls that are meant for its current incarnation.
-    pub(super) fence: u64,
+    pub(super) fencing_token: u64,
     /// Whether its availability zone is evacuated, so that nothing may start on it.
     pub(super) in_evacuated_zone: bool,
     pub(super) runs: BTreeMap<TaskKey, Run>,
     /// Whether it may have runs that are planned, being stopped or redundant.
     pub(super) has_unsettled: bool,
     /// Resources of all runs, including planned ones.
-    claimed: Resources,
+    occupied: Resources,
     contact: bool,
     /// Whether a report was requested and the request has neither been answered nor failed.
     report_pending: bool,
@@ -59,16 +59,16 @@
 }
 
 impl Worker {
-    pub(super) fn new(listed: ListedWorker, fence: u64, at: Timestamp) -> Self {
+    pub(super) fn new(listed: ListedWorker, fencing_token: u64, at: Timestamp) -> Self {
         let mut worker = Self {
             listed: listed.clone(),
             is_listed: true,
             incarnation_state: IncarnationState::new(listed.incarnation),
-            fence,
+            fencing_token,
             in_evacuated_zone: false,
             runs: BTreeMap::new(),
             has_unsettled: false,
-            claimed: Resources::default(),
+            occupied: Resources::default(),
             contact: true,
             report_pending: false,
             lease_until: None,
@@ -83,7 +83,7 @@
     }
 
     /// Creates a worker that is known only from stored placements.
-    pub(super) fn unlisted(id: &WorkerId, fence: u64, at: Timestamp) -> Self {
+    pub(super) fn unlisted(id: &WorkerId, fencing_token: u64, at: Timestamp) -> Self {
         let listed = ListedWorker {
             id: id.clone(),
             incarnation: None,
@@ -96,7 +96,7 @@
             draining: false,
             remaining_ms: None,
         };
-        let mut worker = Self::new(listed, fence, Timestamp::default());
+        let mut worker = Self::new(listed, fencing_token, Timestamp::default());
         worker.unlist(at);
         worker.contact = false;
         worker
@@ -148,22 +148,22 @@
     }
 
     pub(super) fn insert(&mut self, task: TaskKey, run: Run) {
-        self.claimed = self.claimed.saturating_add(&run.room);
+        self.occupied = self.occupied.saturating_add(&run.resources);
         self.has_unsettled = true;
         if let Some(old) = self.runs.insert(task, run) {
-            self.claimed = self.claimed.saturating_sub(&old.room);
+            self.occupied = self.occupied.saturating_sub(&old.resources);
         }
     }
 
     pub(super) fn remove(&mut self, task: &TaskKey) -> Option<Run> {
         let run = self.runs.remove(task)?;
-        self.claimed = self.claimed.saturating_sub(&run.room);
+        self.occupied = self.occupied.saturating_sub(&run.resources);
         Some(run)
     }
 
     /// Returns the capacity that neither a run nor a planned run uses.
     pub(super) fn free(&self) -> Resources {
-        self.remaining_beside(&self.claimed)
+        self.remaining_beside(&self.occupied)
     }
 
     /// Returns the capacity that remains beside `used`. If any resource is overcommitted because
@@ -183,22 +183,22 @@
     pub(super) fn free_after_stops(&self) -> Resources {
         self.listed
             .capacity
-            .saturating_sub(&self.claimed_after_stops())
+            .saturating_sub(&self.occupied_after_stops())
     }
 
     /// Returns the resources that the worker will lack once all stopping runs have ended, because
     /// its capacity has shrunk.
     pub(super) fn shortage(&self) -> Resources {
-        if self.claimed.fits_in(&self.listed.capacity) {
+        if self.occupied.fits_in(&self.listed.capacity) {
             return Resources::default();
         }
-        self.claimed_after_stops()
+        self.occupied_after_stops()
             .saturating_sub(&self.listed.capacity)
     }
 
-    fn claimed_after_stops(&self) -> Resources {
+    fn occupied_after_stops(&self) -> Resources {
         let stopping = self.sum_resources(|run| run.state == RunState::Stopping);
-        self.claimed.saturating_sub(&stopping)
+        self.occupied.saturating_sub(&stopping)
     }
 
     /// Returns the capacity that is free once all runs that work of `rank` may preempt have ended.
@@ -219,7 +219,7 @@
             .values()
             .filter(|run| test(run))
             .fold(Resources::default(), |sum, run| {
-                sum.saturating_add(&run.room)
+                sum.saturating_add(&run.resources)
             })
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Returns whether the worker has the label that a step requires.
-    pub(super) fn suits(&self, step: &StepSpec) -> bool {
+    pub(super) fn has_required_label(&self, step: &StepSpec) -> bool {
         step.required_label
             .as_ref()
             .is_none_or(|label| self.listed.labels.contains(label))
@@ -261,7 +261,8 @@
     /// CPU and a step with a latency target would disturb each other.
     pub(super) fn can_colocate(&self, step: &StepSpec) -> bool {
         self.runs.values().all(|run| {
-            !(step.uses_spare_cpu && run.serves || step.has_latency_target() && run.fills)
+            !(step.uses_spare_cpu && run.has_latency_target
+                || step.has_latency_target() && run.uses_spare_cpu)
         })
     }
 
@@ -299,8 +300,8 @@
     /// next incarnation.
     pub(super) fn release_resources(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
-            let resources = std::mem::take(&mut run.room);
-            self.claimed = self.claimed.saturating_sub(&resources);
+            let resources = std::mem::take(&mut run.resources);
+            self.occupied = self.occupied.saturating_sub(&resources);
         }
     }
 
@@ -310,7 +311,7 @@
     }
 
     /// Returns the next report request to send, or `None` if the worker need not be polled.
-    pub(super) fn hold_request(
+    pub(super) fn report_request(
         &self,
         acknowledged_end: u64,
         deadline_ms: Option<u64>,
@@ -323,7 +324,7 @@
         }
         let waits = started && !identifies_only && !self.incarnation_state.has_unstored_ends();
         Some(ReportRequest {
-            token: self.fence,
+            token: self.fencing_token,
             deadline_ms: if identifies_only { None } else { deadline_ms },
             // After an unresponsive period, another incarnation with other run ends may answer.
             acknowledged_end: if identifies_only { 0 } else { acknowledged_end },
--- a/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
@@ -143,7 +143,7 @@
 
     /// Records a report. Returns whether it is the first answer to a request with the incarnation's
     /// own token.
-    pub(in crate::batch::planner) fn note_report(
+    pub(in crate::batch::planner) fn record_report(
         &mut self,
         reported: Option<Incarnation>,
         is_fenced: bool,
@@ -182,7 +182,7 @@
 
     /// Records a run end that was handled, and the change that must be stored before the run end is
     /// acknowledged.
-    pub(in crate::batch::planner) fn note_end(
+    pub(in crate::batch::planner) fn record_end(
         &mut self,
         number: u64,
         change: Option<(JobId, u64)>,
--- a/crates/stairstall-core/src/batch/planner/pool/run.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/run.rs
@@ -34,18 +34,18 @@
 #[derive(Debug, Clone)]
 pub(in crate::batch::planner) struct Run {
     pub(in crate::batch::planner) number: u32,
-    pub(in crate::batch::planner) room: Resources,
+    pub(in crate::batch::planner) resources: Resources,
     pub(in crate::batch::planner) state: RunState,
     /// 0 for a guaranteed job, otherwise the queue's priority plus one. Lower ranks go first.
     pub(in crate::batch::planner) rank: u8,
     pub(in crate::batch::planner) gang: bool,
     pub(in crate::batch::planner) checkpoints: bool,
     /// Whether the step is long-running: it runs until its job is cancelled.
-    pub(in crate::batch::planner) lasts: bool,
+    pub(in crate::batch::planner) long_running: bool,
     /// Whether the step serves users and has a latency target.
-    pub(in crate::batch::planner) serves: bool,
+    pub(in crate::batch::planner) has_latency_target: bool,
     /// Whether the step uses only the CPU that other runs leave unused.
-    pub(in crate::batch::planner) fills: bool,
+    pub(in crate::batch::planner) uses_spare_cpu: bool,
     /// Expected duration on this worker, in milliseconds.
     pub(in crate::batch::planner) expected_ms: u64,
     /// When it entered its current state. For a planned run, when its placement was stored.
@@ -56,9 +56,9 @@
     /// report requested later must list the run.
     pub(in crate::batch::planner) answered_at: Option<Timestamp>,
     /// Number of stop orders that were not answered.
-    pub(in crate::batch::planner) stops: u8,
+    pub(in crate::batch::planner) unanswered_stops: u8,
     /// Number of start orders that were sent.
-    pub(in crate::batch::planner) tries: u8,
+    pub(in crate::batch::planner) start_attempts: u8,
     /// Until when its start may still be carried out, by this incarnation of its worker or the
     /// next. `None` once that is ruled out, or if the worker gets a new ID on every restart.
     pub(in crate::batch::planner) late_start_until: Option<Timestamp>,
@@ -87,7 +87,7 @@
     pub(in crate::batch::planner) incarnation: Option<Incarnation>,
     /// Fencing token of its last start order; 0 for an adopted run, to which this planner sent
     /// none.
-    pub(in crate::batch::planner) fence: u64,
+    pub(in crate::batch::planner) fencing_token: u64,
     /// Whether a report of that incarnation has listed it.
     pub(in crate::batch::planner) is_listed: bool,
     /// The change of its job that contains its placement. No start is sent before that is stored.
@@ -107,7 +107,7 @@
 
     /// Returns whether work of `rank` may preempt it. Long-running steps are never preempted.
     pub(in crate::batch::planner) const fn is_preemptible_by(&self, rank: u8) -> bool {
-        self.rank > rank && !self.lasts && !matches!(self.state, RunState::Stopping)
+        self.rank > rank && !self.long_running && !matches!(self.state, RunState::Stopping)
     }
 
     /// Returns whether it has to be checked as time passes.
@@ -130,6 +130,6 @@
             } else {
                 u64::MAX
             });
-        ran.saturating_mul(self.room.weight()) / 1000
+        ran.saturating_mul(self.resources.weight()) / 1000
     }
 }
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -29,7 +29,7 @@
     /// Returns whether any job's progress waits to be written.
     #[must_use]
     pub fn has_writes(&self) -> bool {
-        !self.changed.is_empty()
+        !self.changed_jobs.is_empty()
     }
 
     /// Removes and returns up to `max` progress writes that are due, urgent jobs first.
@@ -42,7 +42,7 @@
         busy: &BTreeSet<JobId>,
         now: Now,
     ) -> Vec<ProgressWrite> {
-        let writable = self.changed.iter().filter(|id| !busy.contains(*id));
+        let writable = self.changed_jobs.iter().filter(|id| !busy.contains(*id));
         let mut writable: Vec<(u8, &JobId)> =
             writable.map(|id| (self.priority_of(id), id)).collect();
         writable.sort_unstable();
@@ -53,7 +53,7 @@
             .collect();
         ids.into_iter()
             .filter_map(|id| {
-                self.changed.remove(&id);
+                self.changed_jobs.remove(&id);
                 let job = self.jobs.get(&id)?;
                 Some(ProgressWrite {
                     change: job.change_count,
@@ -81,7 +81,7 @@
     /// Handles a write that may not have been stored: it becomes due again.
     pub fn progress_write_failed(&mut self, id: &JobId) {
         if self.jobs.contains_key(id) {
-            self.changed.insert(id.clone());
+            self.changed_jobs.insert(id.clone());
         }
     }
 
@@ -115,9 +115,9 @@
         }
     }
 
-    pub(super) fn start_due_occurrences(&mut self, now: Now) {
+    pub(super) fn add_eligible_occurrences(&mut self, now: Now) {
         for job in self.jobs.values_mut() {
-            if job.add_due_occurrences(now) {
+            if job.add_eligible_occurrences(now) {
                 self.replan = true;
             }
         }
@@ -171,7 +171,7 @@
         let tasks = if self.is_done() {
             ALL_DONE.to_owned()
         } else {
-            self.tasks.iter().map(mark).collect()
+            self.tasks.iter().map(task_mark).collect()
         };
         let open = (0..).zip(&self.tasks).filter(|(_, task)| !task.done);
         GroupProgress {
@@ -213,7 +213,7 @@
         }
         for (index, placement) in &stored.places {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
-                task.place = Some(placement.worker.clone());
+                task.worker = Some(placement.worker.clone());
                 task.run = placement.run;
                 task.incarnation = placement.incarnation;
                 task.start_confirmed = placement.start_confirmed;
@@ -240,7 +240,7 @@
 /// Largest number of failures that one character can express.
 const MAX_FAILURES_MARK: u32 = 9;
 
-fn mark(task: &super::job::Task) -> char {
+fn task_mark(task: &super::job::Task) -> char {
     match (task.done, task.failures) {
         (true, _) => DONE,
         (_, 0) => OPEN,
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -153,7 +153,7 @@
                 job.accepted.queue.priority.saturating_add(1)
             };
             for key in ready_groups(id, job) {
-                let turn = self.turn_of(rank, &key, job, now);
+                let turn = self.scheduling_key_of(rank, &key, job, now);
                 found.push(Candidate { rank, turn, key });
             }
         }
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -14,7 +14,7 @@
         let mut to_retry = Vec::new();
         let mut to_cancel = Vec::new();
         let mut redundant = Vec::new();
-        self.start_waits_of_stored_placements(now);
+        self.update_unsettled_workers(now);
         for (id, worker) in self.workers.iter().filter(|(_, w)| w.has_unsettled) {
             for (task, run) in &worker.runs {
                 if run.state == RunState::Planned
@@ -41,7 +41,7 @@
             }
         }
         for (id, task, run) in to_retry {
-            self.report_overdue_stop(&id, &task, now);
+            self.record_overdue_stop(&id, &task, now);
             self.send_stop(&id, &task, run, now);
         }
         for (id, task) in redundant {
@@ -54,7 +54,7 @@
 
     /// Reports a stopped run that has not ended. Other work waits for its resources, and nothing
     /// else shows that they don't become free.
-    fn report_overdue_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    fn record_overdue_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(run) = self.run_at(id, task) else {
             return;
         };
@@ -86,7 +86,7 @@
     /// Updates which workers have unsettled runs, and starts the wait of planned runs for their
     /// resources only once their placements are stored: a slow store is no reason to place them
     /// elsewhere.
-    fn start_waits_of_stored_placements(&mut self, now: Now) {
+    fn update_unsettled_workers(&mut self, now: Now) {
         let jobs = &self.jobs;
         for worker in self.workers.values_mut().filter(|w| w.has_unsettled) {
             worker.has_unsettled = worker.runs.values().any(Run::is_unsettled);
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -23,14 +23,14 @@
         incarnation: Option<Incarnation>,
         now: Now,
     ) {
-        let fence = self.next_fencing_token();
+        let fencing_token = self.next_fencing_token();
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         worker.incarnation_state = worker
             .incarnation_state
             .successor(incarnation, worker.is_leaving());
-        worker.fence = fence;
+        worker.fencing_token = fencing_token;
         worker.set_contact(false);
         self.paces.record_restart(id, now.at);
         if worker.is_busy() {
@@ -90,7 +90,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if order.token != worker.fence {
+        if order.token != worker.fencing_token {
             // This is the clock of an earlier incarnation. A deadline computed from it would be far
             // ahead.
             return;
@@ -115,13 +115,16 @@
         };
         // A refusal may be late. By then another run or try may be on its way to the next
         // incarnation.
-        let is_refused = |run: &&Run| run.number == refused.run && run.fence == refused.token;
+        let is_refused =
+            |run: &&Run| run.number == refused.run && run.fencing_token == refused.token;
         let Some(refused_run) = worker.runs.get(&refused.task).filter(is_refused) else {
             return;
         };
         let sent_at = refused_run.ordered_at;
-        let is_first_try = |run: &Run| run.state == RunState::Starting && run.tries <= 1;
-        let unstarted = worker.tasks_where(|run| is_first_try(run) && run.ordered_at >= sent_at);
+        let is_first_attempt =
+            |run: &Run| run.state == RunState::Starting && run.start_attempts <= 1;
+        let unstarted =
+            worker.tasks_where(|run| is_first_attempt(run) && run.ordered_at >= sent_at);
         for task in unstarted {
             let why = "its worker's incarnation had already ended";
             self.end_unreported_run(&refused.worker, &task, RunEndKind::Stopped, why, now);
@@ -137,6 +140,6 @@
 
     /// Returns whether an unanswered start of the run may still be carried out.
     const fn may_start_again(&self) -> bool {
-        self.tries > 1
+        self.start_attempts > 1
     }
 }
--- a/crates/stairstall-core/src/batch/planner/run_ends.rs
+++ b/crates/stairstall-core/src/batch/planner/run_ends.rs
@@ -14,7 +14,7 @@
     pub(super) fn handle_run_end(&mut self, id: &WorkerId, end: &RunEnd, now: Now) {
         let change = self.apply_run_end(id, end, now);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.incarnation_state.note_end(end.number, change);
+            worker.incarnation_state.record_end(end.number, change);
         }
         self.replan = true;
     }
@@ -195,7 +195,7 @@
             task.done = true;
         }
         job.record_change();
-        self.changed.insert(key.job.clone());
+        self.changed_jobs.insert(key.job.clone());
         self.changed_timelines.insert(key.job.clone());
         if job.is_complete() {
             self.end_job(&key.job, Outcome::Completed, "every task is done", now);
@@ -209,14 +209,14 @@
         let mut others = self.run_index.of_group(&task.group);
         others.retain(|(_, other)| is_gang || other == task);
         for (id, other) in others {
-            self.note_unwanted(&id, &other, now);
+            self.mark_redundant(&id, &other, now);
         }
     }
 
     /// Handles a run whose task is done by another run. A planned run is dropped. A sent one is
     /// marked as redundant: members of a gang soon end by themselves, other runs are stopped a
     /// little later.
-    pub(super) fn note_unwanted(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    pub(super) fn mark_redundant(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -253,7 +253,7 @@
             return;
         };
         job.record_change();
-        self.changed.insert(key.job.clone());
+        self.changed_jobs.insert(key.job.clone());
         if failures >= attempts {
             let why = format!("{task}: {failures} of {attempts} attempts failed");
             self.end_job(&key.job, Outcome::Failed, &why, now);
@@ -288,8 +288,8 @@
         let Some(entry) = group.tasks.get_mut(task.index as usize) else {
             return;
         };
-        if entry.place.as_ref() == Some(id) {
-            entry.place = None;
+        if entry.worker.as_ref() == Some(id) {
+            entry.worker = None;
         }
         self.mark_timeline_changed(&key.job);
         log::trace!(target: "planner", task:% = task, run = run.number; "released: {why}");
--- a/crates/stairstall-core/src/batch/planner/start_outcomes.rs
+++ b/crates/stairstall-core/src/batch/planner/start_outcomes.rs
@@ -52,7 +52,7 @@
             self.update_timelines(now);
             return;
         }
-        let is_first_attempt = run.tries <= 1;
+        let is_first_attempt = run.start_attempts <= 1;
         if run.state == RunState::Starting {
             self.handle_failed_start(order, outcome, is_first_attempt, now);
         }
@@ -73,7 +73,7 @@
         let is_new = !std::mem::replace(&mut entry.start_confirmed, true);
         if is_new && !entry.losses.is_empty() {
             job.record_change();
-            self.changed.insert(task.group.job.clone());
+            self.changed_jobs.insert(task.group.job.clone());
         }
     }
 
@@ -131,7 +131,7 @@
             self.retry_start(order, now);
         } else if outcome == StartOutcome::Refused(RefusalReason::OldRun) {
             // The run has ended on this worker or its start is barred. The next report tells which.
-            self.note_answered(id, task, now.at);
+            self.record_answer(id, task, now.at);
         } else {
             self.stop_run(id, task, "an earlier attempt may have started it", now);
             self.stop_gang(task, order.run, "a member of its gang did not start", now);
@@ -142,7 +142,7 @@
         let (id, task) = (&order.worker, &order.task);
         self.mark_unresponsive_unless_heard(id, task, now);
         let run = self.run_at(id, task);
-        let tries = run.map_or(0, |run| run.tries);
+        let attempts = run.map_or(0, |run| run.start_attempts);
         let is_done = run.is_some_and(|run| run.redundant_since.is_some());
         let why = if is_done {
             // The end of an earlier run may be reported between two attempts.
@@ -151,16 +151,16 @@
             "no answer to the start; the job may have been cancelled"
         } else if !self.may_start_at(id, now) {
             "no answer to the start; the zone may be evacuated"
-        } else if tries >= self.policy.orders.max_tries {
+        } else if attempts >= self.policy.orders.max_tries {
             "no answer to repeated starts"
         } else if run.is_some_and(|run| run.may_start_late(now.at)) {
             // A resent start could be carried out twice: now, and by the worker's next incarnation.
             // The next report tells whether the run has started.
-            self.note_answered(id, task, now.at);
+            self.record_answer(id, task, now.at);
             self.workers_to_poll.push(id.clone());
             return;
         } else {
-            self.emit_start(id, task, now);
+            self.send_start(id, task, now);
             return;
         };
         self.stop_run(id, task, why, now);
@@ -169,7 +169,7 @@
 
     /// Records when the worker answered about a run. A report requested after this time must list
     /// the run, otherwise the run has ended. A later answer does not move the time.
-    pub(super) fn note_answered(&mut self, id: &WorkerId, task: &TaskKey, at: Timestamp) {
+    pub(super) fn record_answer(&mut self, id: &WorkerId, task: &TaskKey, at: Timestamp) {
         if let Some(run) = self.workers.get_mut(id).and_then(|w| w.runs.get_mut(task)) {
             run.answered_at.get_or_insert(at);
         }
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -9,7 +9,7 @@
 impl Planner {
     /// Sends the starts of planned runs whose resources are free. A gang's starts are sent all
     /// together or not at all.
-    pub(super) fn emit_starts(&mut self, now: Now) {
+    pub(super) fn send_starts(&mut self, now: Now) {
         if !self.has_fresh_evacuated_zones(now) || !self.jobs_are_current() {
             return;
         }
@@ -22,18 +22,18 @@
             }
             let is_gang = self.step(&key).is_some_and(|step| step.gang);
             if is_gang {
-                self.emit_gang(&key, &members, now);
+                self.send_gang_starts(&key, &members, now);
             } else {
                 for (id, task) in &members {
                     if self.has_free_resources(id, &[task]) {
-                        self.emit_start(id, task, now);
+                        self.send_start(id, task, now);
                     }
                 }
             }
         }
     }
 
-    fn emit_gang(&mut self, key: &GroupKey, members: &[(WorkerId, TaskKey)], now: Now) {
+    fn send_gang_starts(&mut self, key: &GroupKey, members: &[(WorkerId, TaskKey)], now: Now) {
         let by_worker = |id: &WorkerId| -> Vec<&TaskKey> {
             let here = members.iter().filter(|(other, _)| other == id);
             here.map(|(_, task)| task).collect()
@@ -48,7 +48,7 @@
             .is_some_and(|group| group.tasks.len() == members.len());
         if all_fit && is_whole {
             for (id, task) in members {
-                self.emit_start(id, task, now);
+                self.send_start(id, task, now);
             }
         }
     }
@@ -63,7 +63,7 @@
         };
         (0..)
             .zip(&group.tasks)
-            .filter_map(|(index, task)| Some((task.place.clone()?, key.task(index))))
+            .filter_map(|(index, task)| Some((task.worker.clone()?, key.task(index))))
             .filter(|(id, task)| self.run_state(id, task) == Some(RunState::Planned))
             .collect()
     }
@@ -83,7 +83,7 @@
             .iter()
             .filter_map(|task| worker.runs.get(*task))
             .fold(crate::batch::Resources::default(), |sum, run| {
-                sum.saturating_add(&run.room)
+                sum.saturating_add(&run.resources)
             });
         let takes_starts = worker.is_in_contact() && !worker.in_evacuated_zone;
         is_stored && takes_starts && needed.fits_in(&worker.free_now())
@@ -96,7 +96,7 @@
         needed <= stored
     }
 
-    pub(super) fn emit_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    pub(super) fn send_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let checkpoint = self.start_checkpoint(task);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -114,11 +114,11 @@
         run.resumes = checkpoint.is_some();
         run.set_state(RunState::Starting, now.at);
         run.ordered_at = now.at;
-        run.tries += 1;
+        run.start_attempts += 1;
         run.incarnation = worker.incarnation_state.incarnation;
-        run.fence = worker.fence;
+        run.fencing_token = worker.fencing_token;
         run.late_start_until = late_start_until;
-        let (number, tries, token) = (run.number, run.tries, run.fence);
+        let (number, attempts, token) = (run.number, run.start_attempts, run.fencing_token);
         worker.extend_lease(now.at + Self::max_lease_duration(lease));
         let Some(job) = self.jobs.get(&task.group.job) else {
             return;
@@ -144,7 +144,7 @@
             task,
             number,
             id,
-            format!("try {tries}, waited {waited} ms for its resources"),
+            format!("try {attempts}, waited {waited} ms for its resources"),
         ));
     }
 
--- a/crates/stairstall-core/src/batch/planner/stops.rs
+++ b/crates/stairstall-core/src/batch/planner/stops.rs
@@ -65,7 +65,7 @@
             entry.ordered_at = now.at;
             worker.has_unsettled = true;
         }
-        let token = worker.fence;
+        let token = worker.fencing_token;
         self.orders.push(Order {
             worker: id.clone(),
             task: task.clone(),
@@ -84,7 +84,7 @@
                     .run_at(id, task)
                     .is_some_and(|run| run.number == order.run);
                 if matches {
-                    self.note_answered(id, task, now.at);
+                    self.record_answer(id, task, now.at);
                 }
             }
             StopOutcome::Fenced => self.handle_fenced(&order.worker, order.token),
@@ -105,8 +105,8 @@
         let Some(run) = run.filter(|run| run.number == order.run) else {
             return;
         };
-        run.stops = run.stops.saturating_add(1);
-        if run.state == RunState::Stopping && run.stops < max_tries {
+        run.unanswered_stops = run.unanswered_stops.saturating_add(1);
+        if run.state == RunState::Stopping && run.unanswered_stops < max_tries {
             self.send_stop(id, task, order.run, now);
         }
     }
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -48,7 +48,7 @@
             }
             for (task, run) in &worker.runs {
                 let is_running = run.state == RunState::Running && run.began.is_some();
-                if is_running && !run.lasts && !run.restored {
+                if is_running && !run.long_running && !run.restored {
                     let members = by_group.entry(&task.group).or_default();
                     members.push((id, task, run));
                 }
@@ -88,20 +88,24 @@
             .collect();
         let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
         let any_progress = paces.iter().any(|pace| pace.gained > 0);
-        let is_sure = !step.gang || (is_complete && (any_progress || members.len() == 1));
+        let is_confirmed = !step.gang || (is_complete && (any_progress || members.len() == 1));
         members
             .iter()
             .zip(&paces)
             .filter_map(|((id, task, run), pace)| {
-                let why =
-                    match pace.verdict(is_sure, typical, self.bounds.stop_max, &self.policy.pace) {
-                        Verdict::Fine => return None,
-                        Verdict::Stalled => "it has stalled",
-                        Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
-                            return None;
-                        }
-                        Verdict::Slow => "it is far slower than the others",
-                    };
+                let why = match pace.verdict(
+                    is_confirmed,
+                    typical,
+                    self.bounds.stop_max,
+                    &self.policy.pace,
+                ) {
+                    Verdict::Fine => return None,
+                    Verdict::Stalled => "it has stalled",
+                    Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
+                        return None;
+                    }
+                    Verdict::Slow => "it is far slower than the others",
+                };
                 Some(RunToMove {
                     worker: (*id).clone(),
                     task: (*task).clone(),
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -51,11 +51,11 @@
         (self.worked_ms >= millis(policy.min_judged_work)).then(|| self.worked_ms * 100 / gained)
     }
 
-    /// Judges a run. `is_sure` says whether it is known to have been able to work, and `typical_ms`
+    /// Judges a run. `is_confirmed` says whether it is known to have been able to work, and `typical_ms`
     /// how long the whole work takes similar runs.
     pub(super) fn verdict(
         &self,
-        is_sure: bool,
+        is_confirmed: bool,
         typical_ms: Option<u64>,
         stop_max: Duration,
         policy: &PacePolicy,
@@ -63,19 +63,19 @@
         if self.left == 0 {
             return Verdict::Fine;
         }
-        if self.stalled_ms >= self.stall_limit_ms(is_sure, policy) {
+        if self.stalled_ms >= self.stall_limit_ms(is_confirmed, policy) {
             return Verdict::Stalled;
         }
         match typical_ms {
-            Some(typical_ms) if is_sure && self.is_slow(typical_ms, stop_max, policy) => {
+            Some(typical_ms) if is_confirmed && self.is_slow(typical_ms, stop_max, policy) => {
                 Verdict::Slow
             }
             _ => Verdict::Fine,
         }
     }
 
-    fn stall_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
-        let (min_stall, divisor) = match (is_sure, self.gained) {
+    fn stall_limit_ms(&self, is_confirmed: bool, policy: &PacePolicy) -> u64 {
+        let (min_stall, divisor) = match (is_confirmed, self.gained) {
             (false, _) => (policy.unconfirmed_stall, policy.unconfirmed_stall_divisor),
             (true, 0) => (policy.stall_from_start, policy.stall_divisor),
             (true, _) => (policy.stall_later, policy.stall_divisor),
--- a/crates/stairstall-core/src/batch/planner/timelines.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -74,7 +74,7 @@
                     step,
                 };
                 if job.is_ready(occurrence, step as usize) {
-                    let phase = self.span_of_group(&key, group, job);
+                    let phase = self.phase_of_group(&key, group, job);
                     least_advanced = [least_advanced, phase].into_iter().flatten().min();
                 }
             }
@@ -82,7 +82,7 @@
         least_advanced
     }
 
-    pub(super) fn span_of_group(
+    pub(super) fn phase_of_group(
         &self,
         key: &GroupKey,
         group: &TaskGroup,
@@ -92,7 +92,7 @@
             return Some(JobPhase::WaitingForCapacity);
         }
         let open = (0..).zip(&group.tasks).filter(|(_, task)| !task.done);
-        let phases = open.map(|(index, task)| match &task.place {
+        let phases = open.map(|(index, task)| match &task.worker {
             None => JobPhase::WaitingForCapacity,
             Some(worker) => self.phase_of_run(worker, &key.task(index), job),
         });
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -50,16 +50,20 @@
     /// Returns the time until the next tick is due if there is no input before.
     #[must_use]
     pub fn next_tick(&self, now: Now) -> Duration {
-        let due = self.jobs.values().filter_map(Job::next_due_unix_ms).min();
+        let due = self
+            .jobs
+            .values()
+            .filter_map(Job::next_eligible_unix_ms)
+            .min();
         let due = due.map(|due| Duration::from_millis(due.saturating_sub(now.unix_ms)));
         let replan = self.replan_at.map(|at| at - now.at);
         due.into_iter()
             .chain(replan)
             .min()
-            .unwrap_or(Self::IDLE_TICK)
-            .clamp(Duration::from_millis(1), Self::IDLE_TICK)
+            .unwrap_or(Self::MAX_TICK_INTERVAL)
+            .clamp(Duration::from_millis(1), Self::MAX_TICK_INTERVAL)
     }
 
     /// Longest time between two ticks.
-    pub(super) const IDLE_TICK: Duration = Duration::from_millis(250);
+    pub(super) const MAX_TICK_INTERVAL: Duration = Duration::from_millis(250);
 }
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -109,7 +109,13 @@
     }
 
     /// Returns the scheduling key of a step among others of its rank, without its customer's usage.
-    pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> SchedulingKey {
+    pub(super) fn scheduling_key_of(
+        &self,
+        rank: u8,
+        key: &GroupKey,
+        job: &Job,
+        now: Now,
+    ) -> SchedulingKey {
         // A job that was rejected before goes ahead of later work of its rank and customer.
         let requested_before_ms = job.accepted.requested_before_ms();
         if rank <= URGENT_RANK {
@@ -151,7 +157,7 @@
         let total_ms = critical_paths.iter().max().copied().unwrap_or(0);
         let from_here_ms = critical_paths.get(key.step as usize).copied().unwrap_or(0);
         let objective = CompletionObjective {
-            eligible_unix_ms: job.due_unix_ms(key.occurrence),
+            eligible_unix_ms: job.eligible_unix_ms(key.occurrence),
             span_ms: job.objective_span_ms(total_ms),
         };
         let saved_ms = self.saved_ms(key, job, now);
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -12,7 +12,7 @@
 use crate::time::millis;
 
 /// Time within which a waiting guaranteed job is certain to be considered again.
-const RECHECK_INTERVAL: Duration = Planner::IDLE_TICK;
+const RECHECK_INTERVAL: Duration = Planner::MAX_TICK_INTERVAL;
 
 /// Maximum number of times that the back-off of a repeatedly preempted gang doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
@@ -133,7 +133,7 @@
                 lost += costs.get(&task.group).copied().unwrap_or(0);
             }
         }
-        let tasks = choice.places.len() as u64;
+        let tasks = choice.workers.len() as u64;
         let work = step.reserved_resources().weight() * tasks * millis(run_time) / 1000;
         lost <= work.saturating_mul(max_lost_factor.into())
     }
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -21,7 +21,7 @@
             job.accepted.queue.priority.saturating_add(1)
         };
         let customer = job.accepted.customer.as_ref();
-        let turn = self.turn_of(rank, &key, job, now);
+        let turn = self.scheduling_key_of(rank, &key, job, now);
         let reason = reason.unwrap_or_else(|| {
             let key = key.clone();
             self.capacity_wait_reason(&Candidate { rank, turn, key }, now)
@@ -65,7 +65,9 @@
             occurrence: u32::try_from(job.occurrences.len()).unwrap_or(u32::MAX),
             step: 0,
         };
-        let is_later = job.next_due_unix_ms().is_some_and(|due| due > now.unix_ms);
+        let is_later = job
+            .next_eligible_unix_ms()
+            .is_some_and(|due| due > now.unix_ms);
         is_later.then_some((next, Some(WaitReason::ScheduledTime)))
     }
 
