--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -57,7 +57,7 @@
 use pool::Worker;
 pub use progress::ProgressWrite;
 
-/// Interval between checks of time-dependent state, such as leases and due occurrences.
+/// Interval between checks of time-dependent state, such as leases and scheduled occurrences.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Interval at which a new planner rechecks whether enough workers have reported for it to plan.
@@ -78,16 +78,18 @@
     catalog: Arc<Catalog>,
     jobs: BTreeMap<JobId, Job>,
     /// Latest time up to which jobs may have been submitted or cancelled without the planner being
-    /// told. `None` once the records of that time have been read.
+    /// notified. `None` once the job records stored by then have been read.
     jobs_stale_at: Option<Timestamp>,
     workers: BTreeMap<WorkerId, Worker>,
     run_index: runs::RunIndex,
+    /// Steps that have planned runs.
     planned: BTreeSet<GroupKey>,
     /// Workers reserved for waiting gangs.
     reservations: BTreeMap<GroupKey, placement::Reservation>,
     orders: Vec<Order>,
     advice_requests: Vec<AdviceRequest>,
     decisions: Vec<Decision>,
+    /// Jobs with changes that are not being written to the store yet.
     changed_jobs: BTreeSet<JobId>,
     /// Jobs that have changed since their timelines were last updated.
     changed_timelines: BTreeSet<JobId>,
@@ -100,6 +102,7 @@
     /// When a step was last moved to the front because of its age.
     last_aged_at: Option<Timestamp>,
     load: load::LoadTracker,
+    /// Whether an input requires a scheduling pass.
     replan: bool,
     /// When the time-dependent state was last checked.
     last_housekeeping_at: Option<Timestamp>,
@@ -111,8 +114,8 @@
     last_new_report_at: Option<Timestamp>,
     /// Workers to ask for a report immediately.
     workers_to_poll: Vec<WorkerId>,
-    /// Guaranteed jobs by which the ranks of runs were last set. `None` if a run was adopted or
-    /// restored since.
+    /// The guaranteed jobs when the ranks of runs were last set. `None` if a run was adopted or
+    /// restored since then.
     ranked_guaranteed_jobs: Option<BTreeSet<JobId>>,
     /// Incremented whenever the set of workers or a worker's address changes.
     worker_set_version: u64,
@@ -122,8 +125,9 @@
     last_pass_at: Option<Timestamp>,
     /// When to run the next scheduling pass even if nothing changes, because wait limits expire.
     replan_at: Option<Timestamp>,
-    /// Whether a planned start may have become sendable.
+    /// Whether the start of a planned run may have become possible since the last tick.
     starts_due: bool,
+    /// Whether the planner must give up its role.
     superseded: bool,
 }
 
@@ -338,7 +342,7 @@
     }
 
     /// Returns the accepted job, or `None` if the job is not known. The customer in it is `None`
-    /// for a job that belongs to nobody.
+    /// for a job that belongs to no customer.
     #[must_use]
     pub fn accepted(&self, id: &JobId) -> Option<&AcceptedJob> {
         self.jobs.get(id).map(|job| job.accepted.as_ref())
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -15,7 +15,7 @@
 pub(super) struct Task {
     /// Whether a run of it has finished successfully.
     pub(super) done: bool,
-    /// The worker of its current run.
+    /// The worker of its current run. `None` if it has no run.
     pub(super) worker: Option<WorkerId>,
     /// Number of its current run.
     pub(super) run: u32,
@@ -74,8 +74,9 @@
     pub(super) advice: Advice,
     /// Whether a run failed so early that its worker is the likely cause.
     pub(super) failed_early: bool,
-    /// How often its runs were preempted, and when that last happened.
+    /// How often its runs were preempted.
     pub(super) preemptions: u8,
+    /// When they were last preempted.
     pub(super) preempted_at: Option<Timestamp>,
     /// Full durations of finished tasks, as if they ran near their data, in milliseconds.
     pub(super) durations_ms: Vec<u64>,
@@ -157,11 +158,13 @@
     pub(super) outcome: Option<Outcome>,
     pub(super) ended_at: Option<Timestamp>,
     pub(super) ended_unix_ms: u64,
+    /// Whether any run of it is known to have started.
     pub(super) has_started: bool,
     /// When this planner first received the job.
     pub(super) arrived_at: Timestamp,
-    /// Number of changes that must be stored, and how many of them are.
+    /// Number of changes that must be stored.
     pub(super) change_count: u64,
+    /// Number of those changes that are stored.
     pub(super) stored_changes: u64,
     /// Progress of trimming the stored record.
     pub(super) trim_state: TrimState,
@@ -208,7 +211,7 @@
         while self.occurrences.len() < self.accepted.spec.occurrences() as usize {
             let is_eligible = self
                 .next_eligible_unix_ms()
-                .is_none_or(|due| due <= now.unix_ms);
+                .is_none_or(|eligible| eligible <= now.unix_ms);
             if !is_eligible || self.outcome.is_some() {
                 break;
             }
@@ -217,6 +220,7 @@
         self.occurrences.len() > before
     }
 
+    /// Adds the next occurrence, with all its tasks waiting.
     pub(super) fn add_occurrence(&mut self) {
         let steps = &self.accepted.spec.steps;
         let groups = steps.iter().map(TaskGroup::new);
@@ -273,6 +277,7 @@
             && self.occurrences.iter().flatten().all(TaskGroup::is_done)
     }
 
+    /// Returns whether all changes of the job are stored.
     pub(super) const fn is_stored(&self) -> bool {
         self.stored_changes >= self.change_count
     }
--- a/crates/stairstall-core/src/batch/planner/job_sync.rs
+++ b/crates/stairstall-core/src/batch/planner/job_sync.rs
@@ -1,22 +1,26 @@
 //! Whether the planner's job records are current.
 //!
 //! While the lease of the planner role is not known to be valid, other daemons store cancellations
-//! without telling the planner. It starts nothing until it has read what was stored meanwhile.
+//! without notifying the planner. It starts nothing until it has read what was stored meanwhile.
 
 use super::{Now, Planner};
 use crate::Timestamp;
 
 impl Planner {
     /// Marks the job records as stale: up to now, jobs may have been submitted or cancelled without
-    /// the planner being told.
+    /// the planner being notified.
     pub const fn mark_jobs_stale(&mut self, now: Now) {
         self.jobs_stale_at = Some(now.at);
     }
 
-    /// Marks the job records as current if they were not marked stale after `asked_at`, the time at
-    /// which the read of all stored job records was requested.
-    pub fn confirm_jobs_current(&mut self, asked_at: Timestamp) {
-        if self.jobs_stale_at.take_if(|at| *at <= asked_at).is_some() {
+    /// Marks the job records as current if they were not marked stale after `requested_at`,
+    /// the time at which the read of all stored job records was requested.
+    pub fn confirm_jobs_current(&mut self, requested_at: Timestamp) {
+        if self
+            .jobs_stale_at
+            .take_if(|at| *at <= requested_at)
+            .is_some()
+        {
             self.starts_due = true;
         }
     }
--- a/crates/stairstall-core/src/batch/planner/load.rs
+++ b/crates/stairstall-core/src/batch/planner/load.rs
@@ -16,7 +16,7 @@
 use crate::time::millis;
 use crate::{CustomerId, JobId, ServiceId, Timestamp};
 
-/// Lower bounds of the buckets, in milliseconds, that group runs by their remaining time.
+/// Lower bounds, in milliseconds, of the buckets of remaining time by which runs are grouped.
 const END_BUCKETS_MS: [u64; 5] = [0, 500, 2_000, 8_000, 30_000];
 /// Period over which urgent work is counted. Longer than the period for which capacity is kept
 /// free for urgent work.
@@ -35,7 +35,7 @@
 }
 
 /// Key by which waiting work is grouped: its service, its priority, whether it can use any free
-/// capacity that is large enough, whether it is a gang, and the power of two of its size.
+/// capacity that is large enough, whether it is a gang, and the binary logarithm of its size.
 type WorkKind = (ServiceId, u8, bool, bool, u32);
 
 /// Waiting work, by kind and by customer.
@@ -291,7 +291,8 @@
     task.run == 0 && task.failures == 0 && task.losses.is_empty()
 }
 
-/// Returns whether a step's tasks can't use all free capacity that is large enough.
+/// Returns whether a step limits which workers its tasks may use, so that free capacity may be of
+/// no use to them even if it is large enough.
 const fn is_constrained(step: &StepSpec) -> bool {
     step.required_label.is_some()
         || step.near_rack.is_some()
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -11,7 +11,8 @@
 use crate::time::millis;
 use crate::{Timestamp, WorkerId};
 
-/// Minimum share of the work, in percent, from which the duration of the whole work is estimated.
+/// Minimum share of the work, in percent, that a projection of the whole duration or a run's final
+/// sample must cover.
 const MIN_PROJECTION_PERCENT: u8 = 5;
 
 /// A run whose progress is evaluated.
@@ -23,7 +24,8 @@
 }
 
 impl Planner {
-    /// Returns the known pace of a worker. In a fleet of even pace, every worker counts as unknown.
+    /// Returns the pace of a worker. It counts as unknown for every worker unless the paces in the
+    /// fleet differ.
     pub(super) fn pace_of(&self, id: &WorkerId, now: Now) -> WorkerPace {
         if self.paces.is_heterogeneous() {
             self.paces.pace(id, now.at)
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -19,21 +19,22 @@
 pub(super) struct ReservingGang {
     pub(super) gang: GroupKey,
     pub(super) rank: u8,
-    /// Usage of its customer, as computed in this pass.
+    /// Usage level of its customer, as computed in this pass.
     pub(super) usage_level: u64,
-    /// When the reserved capacity should be free.
-    pub(super) expected_start: Timestamp,
+    /// Time by which other work on the reserved capacity must end.
+    pub(super) backfill_until: Timestamp,
 }
 
 /// Facts about the fleet that stay valid until a run is preempted.
 ///
-/// Going through all workers for every waiting step takes 19 ms per run end with 1,100 workers and
-/// 5,000 waiting tasks. With this cache it takes 0.6 ms (`benches/planner`), because most of the
-/// steps are alike.
+/// With 1,100 workers and 5,000 waiting tasks, a pass that goes through all workers for every
+/// waiting step takes 19 ms per run end. With this cache it takes 0.6 ms (`benches/planner`),
+/// because most of the steps are alike.
 #[derive(Debug, Default)]
 pub(super) struct Pass {
     pub(super) reserved: ReservedWorkers,
     ceilings: HashMap<CeilingKey, Ceiling>,
+    /// Number of accelerators that neither a run nor a planned run uses, once computed.
     free_accelerators: Option<u32>,
     /// Accelerators to keep free for urgent work, once computed.
     pub(super) urgent_headroom: Option<f64>,
@@ -50,7 +51,7 @@
     Whole,
     /// The capacity that neither a run nor a planned run uses.
     Free,
-    /// The capacity that is free once all runs above this rank have been preempted.
+    /// The capacity that is free once all runs that work of this rank may preempt have ended.
     AfterPreemption(u8),
 }
 
@@ -91,7 +92,7 @@
 }
 
 impl Pass {
-    /// Clears the facts that a preemption invalidates.
+    /// Discards the cached facts that a preemption invalidates.
     pub(super) fn invalidate_capacity(&mut self) {
         self.ceilings.clear();
         self.free_accelerators = None;
@@ -135,6 +136,7 @@
         ceiling
     }
 
+    /// Counts how many tasks with this key fit on each worker, and adds them up.
     fn count_tasks(&self, ceiling_key: &CeilingKey, step: &StepSpec, near: bool) -> Ceiling {
         let limit = step.max_per_worker.unwrap_or(u32::MAX);
         let mut ceiling = Ceiling::default();
--- a/crates/stairstall-core/src/batch/planner/placement.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -114,8 +114,8 @@
             .filter(|choice| self.is_preemption_worthwhile(candidate, step, choice, pass, now))
     }
 
-    /// Returns whether a search for workers can succeed: there must be capacity, or an adviser,
-    /// which is asked before there is capacity.
+    /// Returns whether a search for workers may succeed: there must be enough capacity, unless the
+    /// queue requires tickets. The adviser is asked for these even before there is capacity.
     fn may_fit(
         &self,
         candidate: &Candidate,
@@ -138,18 +138,22 @@
         count > 0 && ceiling.allows(step, as_u32(count), scope)
     }
 
-    /// Returns the rank up to which runs are protected from preemption by this step now.
+    /// Returns the number of the rank up to which runs are protected from preemption by this step
+    /// now.
     fn protected_rank_for(&self, candidate: &Candidate, now: Now) -> u8 {
         let since_accepted = self.since_accepted(&candidate.key, now);
         let waited = self.waiting_time(&candidate.key, now).max(since_accepted);
         self.protected_rank(candidate.rank, waited)
     }
 
+    /// Returns how long a step has been ready to start.
     pub(super) fn waiting_time(&self, key: &GroupKey, now: Now) -> Duration {
         let ready_since = self.group_of(key).and_then(|group| group.ready_since);
         ready_since.map_or(Duration::ZERO, |since| now.at - since)
     }
 
+    /// Returns the caller's estimate of a task's run time in milliseconds, or the minimum that the
+    /// policy sets if that is longer.
     pub(super) fn estimate_ms(&self, step: &StepSpec) -> u64 {
         step.estimate_ms
             .max(crate::time::millis(self.policy.places.min_run_time))
@@ -170,8 +174,8 @@
 
     /// Returns the factor by which a step's tasks take longer on a worker because of its rack.
     pub(super) fn slowdown(&self, step: &StepSpec, id: &WorkerId) -> u32 {
-        let is_anywhere = step.near_rack.is_none();
-        let near = is_anywhere || self.workers.get(id).is_none_or(|w| w.is_near(step));
+        let has_no_rack = step.near_rack.is_none();
+        let near = has_no_rack || self.workers.get(id).is_none_or(|w| w.is_near(step));
         if near { 1 } else { self.bounds.far_factor }
     }
 
@@ -258,7 +262,8 @@
         }
     }
 
-    /// Returns how long work waits for the most suitable workers after failures or crashes.
+    /// Returns how long work waits, after failures or crashes, for workers that meet the stricter
+    /// requirements, before it may start on any other.
     pub(super) const fn suspect_wait_limit(&self, urgent: bool) -> Duration {
         if urgent {
             self.policy.places.suspect_wait_urgent
@@ -271,6 +276,8 @@
         self.jobs.get(&key.job)?.group(key)
     }
 
+    /// Returns the service that a step's tasks run on. The newest configuration that has the job's
+    /// queue applies.
     pub(super) fn service_of(&self, key: &GroupKey) -> Option<crate::ServiceId> {
         let queue = &self.jobs.get(&key.job)?.accepted.queue;
         let newest = self.catalog.queue(&queue.name);
@@ -411,6 +418,7 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
+/// Returns how many more tasks of a step may be placed on a worker under the step's limit.
 fn free_task_slots(worker: &Worker, step: &StepSpec, key: &GroupKey) -> u32 {
     let Some(limit) = step.max_per_worker else {
         return u32::MAX;
@@ -424,11 +432,11 @@
     /// has made `min_progress_percent`, otherwise from the estimate.
     pub(super) fn remaining_ms(&self, min_progress_percent: u8) -> u64 {
         let left = u64::from(100_u8.saturating_sub(self.percent));
-        let shown = self.began.and_then(|(began, from)| {
+        let projected_ms = self.began.and_then(|(began, from)| {
             let gained = self.percent.saturating_sub(from);
             let worked_ms = crate::time::millis(self.reported_at - began);
             (gained >= min_progress_percent).then(|| worked_ms * left / u64::from(gained))
         });
-        shown.unwrap_or(self.expected_ms * left / 100)
+        projected_ms.unwrap_or(self.expected_ms * left / 100)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/placement/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -10,6 +10,7 @@
 /// The workers chosen for tasks, and the runs that have to be preempted for them.
 #[derive(Debug, Clone, Default)]
 pub(in crate::batch::planner) struct PlacementChoice {
+    /// Sum of the placement costs and the costs of the preemptions, in core-milliseconds.
     pub(in crate::batch::planner) cost: u64,
     /// How many of the chosen workers are in another zone than the job's caller.
     pub(in crate::batch::planner) in_other_zones: usize,
@@ -19,7 +20,7 @@
     pub(in crate::batch::planner) slowest_factor: f64,
 }
 
-/// Ratio of pace factors from which on two workers count as differently fast.
+/// Ratio of pace factors from which two workers are in different pace groups.
 const PACE_GROUP_RATIO: f64 = 1.25;
 /// Maximum number of worker sets, grouped by pace, that are tried for a gang.
 const MAX_PACE_SETS: usize = 4;
@@ -134,7 +135,7 @@
     fitting.fold(0_u32, u32::saturating_add) >= limit
 }
 
-/// Returns how many of `count` tasks an accelerator allowance covers; for a gang all or none.
+/// Returns how many of `count` tasks fit into an accelerator allowance; for a gang all or none.
 pub(super) fn allowed_count(step: &StepSpec, count: usize, allowance: u32) -> usize {
     let limit = allowance.checked_div(step.needs.accelerators);
     let limit = limit.map_or(count, |limit| limit as usize);
@@ -144,12 +145,12 @@
     count.min(limit)
 }
 
-/// The cost of placing one more task on a worker.
+/// A way to place one more task on a worker.
 struct PlacementOption {
     /// Sort key, cheapest first: cost, whether the zone differs from the caller's, then the
     /// accelerators and CPU that stay free.
     sort_key: (u64, bool, u32, u32),
-    /// Cost of the preempted runs.
+    /// Cost of preempting the victims, in core-milliseconds.
     cost: u64,
     victims: Vec<TaskKey>,
 }
@@ -163,6 +164,7 @@
         self.penalty = self.penalty.saturating_sub(before) + paces.cost_on(self, factor);
     }
 
+    /// Returns how a task can be placed on the worker, or `None` if it does not fit.
     fn placement_option(&self, needs: &Resources) -> Option<PlacementOption> {
         if self.spread_left == 0 {
             return None;
@@ -185,7 +187,7 @@
 
 /// Chooses a worker for each of `count` tasks, cheapest first.
 ///
-/// Only the options of workers that a choice has changed are computed again.
+/// After each choice, only the options of the workers that it changed are computed again.
 ///
 /// With `paces`, a worker of unknown pace is preferred only for its first task, which already
 /// reveals the pace.
--- a/crates/stairstall-core/src/batch/planner/placement/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/cost.rs
@@ -40,7 +40,8 @@
         if self.failed_on.contains(&&worker.listed.id) {
             cost += self.work * u64::from(self.policy.failed_here_penalty);
         }
-        // If two such jobs ran on one worker, a crash could not be attributed to either of them.
+        // If two jobs under which workers were lost ran on one worker, a crash could not be
+        // attributed to either of them.
         if self
             .suspect_job
             .is_some_and(|job| worker.runs_other_suspect_job(job))
@@ -61,9 +62,11 @@
     run_time_ms: u64,
     /// Time left for a task to meet its objective, in milliseconds.
     available_ms: u64,
-    /// Whether the remaining time matters more than what other work could gain from the worker.
+    /// Whether the step is urgent, so that its own run time decides, not what other work could gain
+    /// from the worker.
     is_urgent: bool,
-    /// Whether the job is past its late bound, so that nobody waits for the result any more.
+    /// Whether the job is past its late bound: its result is assumed to be of no use any more, so
+    /// more lateness does not matter.
     is_overdue: bool,
     is_gang: bool,
     policy: WorkerPacePolicy,
@@ -97,29 +100,29 @@
         reason = "core-milliseconds of work are far below 2^52"
     )]
     pub(super) fn cost_on(&self, worker: &CandidateWorker, factor: f64) -> u64 {
-        let times = if self.is_urgent || self.ends_late(factor) && !self.is_overdue {
+        let cost_factor = if self.is_urgent || self.ends_late(factor) && !self.is_overdue {
             self.urgent_cost_factor(worker, factor)
         } else {
             self.relaxed_cost_factor(worker, factor)
         };
-        (as_f64(self.work) * times) as u64
+        (as_f64(self.work) * cost_factor) as u64
     }
 
     /// Cost factor of urgent work: the time that it needs on the worker, plus lateness and unknown
     /// pace.
     fn urgent_cost_factor(&self, worker: &CandidateWorker, factor: f64) -> f64 {
-        let mut times = factor;
+        let mut cost_factor = factor;
         if self.is_late_by_pace(factor) {
-            times += fraction(self.policy.late_cost_percent);
+            cost_factor += fraction(self.policy.late_cost_percent);
         }
         if !worker.pace.is_known {
-            times += fraction(self.policy.unknown_pace_cost_percent);
+            cost_factor += fraction(self.policy.unknown_pace_cost_percent);
         }
-        times
+        cost_factor
     }
 
-    /// Cost factor of work with time to spare: the use that other work could make of the worker. A
-    /// worker of unknown pace costs nothing for a task that will reveal it.
+    /// Cost factor of work with time to spare: what other work loses while the worker is occupied.
+    /// A worker of unknown pace costs nothing for a task that will reveal it.
     fn relaxed_cost_factor(&self, worker: &CandidateWorker, factor: f64) -> f64 {
         if self.samples_pace(worker) {
             return 0.0;
@@ -128,6 +131,7 @@
         fraction(self.policy.usual_pace_cost_percent) * factor / (own_factor * own_factor)
     }
 
+    /// Returns whether a task on the worker would reveal its pace, and no other run does so yet.
     fn samples_pace(&self, worker: &CandidateWorker) -> bool {
         !self.is_gang && !worker.pace.is_known && !worker.pace_pending
     }
--- a/crates/stairstall-core/src/batch/planner/placement/reservations.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/reservations.rs
@@ -11,11 +11,11 @@
 use crate::{RackId, Timestamp, WorkerId};
 
 /// How long a selection of workers for a gang stays valid. Runs take seconds, and searching 1,100
-/// workers takes 1 ms.
+/// workers for a new selection takes 1 ms.
 const SELECTION_LIFETIME: Duration = Duration::from_millis(100);
 
 /// How much earlier other workers must be free to replace the reserved ones. Otherwise the
-/// reservation would move with each report.
+/// reservation would change workers with each report.
 const MIN_IMPROVEMENT: Duration = Duration::from_millis(500);
 
 /// How long after its expected start a gang keeps its reservation although it can no longer be as
@@ -23,7 +23,7 @@
 /// would waste the capacity that was set aside.
 const RESERVATION_GRACE: Duration = Duration::from_secs(1);
 
-/// The workers on which a waiting gang is expected to start earliest, and when.
+/// The workers on which a waiting gang can start earliest, and when.
 #[derive(Debug, Clone)]
 pub(in crate::batch::planner) struct Reservation {
     found_at: Timestamp,
@@ -63,7 +63,9 @@
         }
         let is_fresh = known.is_some_and(|known| now.at - known.found_at < SELECTION_LIFETIME);
         if !is_fresh {
-            reserved.workers.retain(|_, holder| holder.gang != *key);
+            reserved
+                .workers
+                .retain(|_, reserving| reserving.gang != *key);
             let Some(found) = self.select_workers(candidate, step, reserved) else {
                 self.reservations.remove(key);
                 return;
@@ -98,14 +100,15 @@
         let mut reserved = ReservedWorkers::default();
         let keeps_reservations = self.policy.places.keeps_reservations;
         self.reservations.retain(|key, reservation| {
-            let candidate = candidates.iter().find(|one| one.key == *key);
+            let candidate = candidates.iter().find(|candidate| candidate.key == *key);
             let has_passed = now.at > reservation.backfill_until + RESERVATION_GRACE;
-            let holds = candidate
-                .is_some_and(|one| one.turn.timeliness <= reservation.timeliness || !has_passed);
-            if let Some(candidate) = candidate.filter(|_| holds && keeps_reservations) {
+            let is_kept = candidate.is_some_and(|candidate| {
+                candidate.turn.timeliness <= reservation.timeliness || !has_passed
+            });
+            if let Some(candidate) = candidate.filter(|_| is_kept && keeps_reservations) {
                 reserved.add(candidate, reservation);
             }
-            holds
+            is_kept
         });
         reserved
     }
@@ -116,7 +119,7 @@
     }
 
     /// Returns whether a step may use a worker: no gang of higher precedence has reserved it, or
-    /// the step's task is certain to end before that gang's expected start.
+    /// the step's task should end before that gang's earliest expected start.
     pub(super) fn may_use_worker(
         &self,
         candidate: &Candidate,
@@ -125,16 +128,17 @@
         reserved: &ReservedWorkers,
         now: Now,
     ) -> bool {
-        let Some(holder) = reserved.workers.get(id) else {
+        let Some(reserving) = reserved.workers.get(id) else {
             return true;
         };
-        if holder.yields_to(candidate) {
+        if reserving.yields_to(candidate) {
             return true;
         }
-        self.ends_by(holder.expected_start, candidate, step, id, now)
+        self.ends_by(reserving.backfill_until, candidate, step, id, now)
     }
 
-    /// Returns whether a task of a step is certain to end by a deadline on a worker.
+    /// Returns whether a task of a step should end by a deadline on a worker, judged by the 90th
+    /// percentile of its run time.
     fn ends_by(
         &self,
         deadline: Timestamp,
@@ -179,6 +183,8 @@
         }
     }
 
+    /// Returns the workers that the step may use and that are not reserved for another gang, by the
+    /// time until they are free.
     fn workers_by_free_time(
         &self,
         candidate: &Candidate,
@@ -211,28 +217,28 @@
 
 impl ReservedWorkers {
     fn add(&mut self, candidate: &Candidate, reservation: &Reservation) {
-        let holder = ReservingGang {
+        let reserving = ReservingGang {
             gang: candidate.key.clone(),
             rank: reservation.rank,
             usage_level: candidate.turn.usage_level,
-            expected_start: reservation.backfill_until,
+            backfill_until: reservation.backfill_until,
         };
         for id in &reservation.workers {
-            self.workers.insert(id.clone(), holder.clone());
+            self.workers.insert(id.clone(), reserving.clone());
         }
     }
 
     fn is_available_to(&self, id: &WorkerId, key: &GroupKey) -> bool {
         self.workers
             .get(id)
-            .is_none_or(|holder| holder.gang == *key)
+            .is_none_or(|reserving| reserving.gang == *key)
     }
 }
 
 impl ReservingGang {
-    /// Returns whether a step comes before the gang that holds the reservation: it is that gang,
-    /// has a higher rank, is the oldest aged step, or has the same rank and a customer with less
-    /// usage.
+    /// Returns whether a step comes before the gang that has the reservation: it is that gang, has
+    /// a rank that goes first, is the oldest aged step, or has the same rank and a customer with
+    /// less usage.
     fn yields_to(&self, candidate: &Candidate) -> bool {
         candidate.key == self.gang
             || candidate.rank < self.rank
@@ -251,6 +257,7 @@
     task_count: u32,
 }
 
+/// Returns the workers that are free earliest; all on one rack if the step requests that.
 fn earliest_selection(
     available: &[WorkerAvailability<'_>],
     step: &StepSpec,
--- a/crates/stairstall-core/src/batch/planner/placement/scope.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/scope.rs
@@ -1,4 +1,4 @@
-//! Search scopes: near a step's data first, farther away after a wait limit.
+//! Search scopes: workers near a step's data first, all workers after a wait limit.
 
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
             Duration::from_millis(self.estimate_ms(step))
         };
         let waited = now.at - ready_since;
-        let gives_up = waited >= wait_limit || !self.could_fit_near(&candidate.key, step, pass);
-        if prefers_near && gives_up {
+        let may_go_far = waited >= wait_limit || !self.could_fit_near(&candidate.key, step, pass);
+        if prefers_near && may_go_far {
             scopes.push(SearchScope {
                 near: false,
                 preempts: false,
--- a/crates/stairstall-core/src/batch/planner/pool.rs
+++ b/crates/stairstall-core/src/batch/planner/pool.rs
@@ -26,25 +26,28 @@
 /// A worker and the state of its current incarnation.
 #[derive(Debug, Clone)]
 pub(super) struct Worker {
+    /// Its latest directory entry.
     pub(super) listed: ListedWorker,
+    /// Whether the directory lists it.
     pub(super) is_listed: bool,
     /// State of its current incarnation.
     pub(super) incarnation_state: IncarnationState,
-    /// Fencing token of all calls that are meant for its current incarnation.
+    /// Fencing token of all requests that are meant for its current incarnation.
     pub(super) fencing_token: u64,
     /// Whether its availability zone is evacuated, so that nothing may start on it.
     pub(super) in_evacuated_zone: bool,
     pub(super) runs: BTreeMap<TaskKey, Run>,
     /// Whether it may have runs that are planned, being stopped or redundant.
     pub(super) has_unsettled: bool,
-    /// Resources of all runs, including planned ones.
+    /// Resources that all runs occupy, including planned ones.
     occupied: Resources,
+    /// Whether the worker answers; `false` while it is unresponsive.
     contact: bool,
     /// Whether a report was requested and the request has neither been answered nor failed.
     report_pending: bool,
     /// Until when runs may go on there, by the latest deadline that was ever sent to it.
     pub(super) lease_until: Option<Timestamp>,
-    /// The earliest time at which it leaves, as it announced.
+    /// The earliest time at which it leaves, according to its announcement.
     leaves_at: Option<Timestamp>,
     /// The task that was last placed here for its last attempt. Until that run has worked for a
     /// while, nothing else starts here.
@@ -102,11 +105,13 @@
         worker
     }
 
+    /// Records that the directory no longer lists the worker.
     pub(super) const fn unlist(&mut self, at: Timestamp) {
         self.is_listed = false;
         self.unlisted_at = Some(at);
     }
 
+    /// Records the worker's latest directory entry.
     pub(super) fn relist(&mut self, listed: ListedWorker, at: Timestamp) {
         self.is_listed = true;
         self.unlisted_at = None;
@@ -127,8 +132,9 @@
     /// just before the worker left. A worker also becomes unresponsive because of an unanswered
     /// order or because of other workers of its zone.
     pub(super) fn has_left(&self, at: Timestamp) -> bool {
-        let is_due = self.listed.draining && self.leaves_at.is_none_or(|leaves| leaves <= at);
-        is_due && !self.is_listed && !self.contact && !self.report_pending
+        let may_have_left =
+            self.listed.draining && self.leaves_at.is_none_or(|leaves| leaves <= at);
+        may_have_left && !self.is_listed && !self.contact && !self.report_pending
     }
 
     /// Returns whether the worker leaves as planned, so that its end is not a crash.
@@ -233,6 +239,7 @@
         self.is_listed && is_described && self.incarnation_state.fenced && self.contact && is_open
     }
 
+    /// Returns whether a run has recently failed or stalled there, or a start was refused.
     pub(super) fn is_suspect(&self, at: Timestamp) -> bool {
         self.incarnation_state
             .suspect_until
@@ -285,6 +292,7 @@
         self.report_pending = pending;
     }
 
+    /// Extends the time until which runs may go on there. An earlier time changes nothing.
     pub(super) fn extend_lease(&mut self, until: Timestamp) {
         self.lease_until = self.lease_until.max(Some(until));
     }
@@ -311,6 +319,9 @@
     }
 
     /// Returns the next report request to send, or `None` if the worker need not be polled.
+    ///
+    /// A request to a worker that is not fenced or is unresponsive only finds out which incarnation
+    /// answers: it renews no leases and acknowledges no run ends.
     pub(super) fn report_request(
         &self,
         acknowledged_end: u64,
--- a/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/incarnation.rs
@@ -18,7 +18,7 @@
     change: Option<(JobId, u64)>,
 }
 
-/// What is known of one incarnation of a worker. A new incarnation starts without it.
+/// What is known of one incarnation of a worker. Nothing of it applies to the next incarnation.
 ///
 /// If the number of the last run end were carried over, the first run ends of a new incarnation
 /// would be skipped.
@@ -42,7 +42,7 @@
     unstored_ends: VecDeque<UnstoredEnd>,
     /// Number of the highest run end that was acknowledged in a request that it has answered.
     acknowledged_end: u64,
-    /// Until when it gets no new runs because of a failure, a stall or a refusal there.
+    /// Until when it is suspect because of a failure, a stall or a refusal there.
     pub(in crate::batch::planner) suspect_until: Option<Timestamp>,
     /// When a run last succeeded there.
     pub(in crate::batch::planner) succeeded_at: Option<Timestamp>,
@@ -154,6 +154,7 @@
         is_fenced && !std::mem::replace(&mut self.fenced, true)
     }
 
+    /// Records the worker's clock value in an answer.
     pub(in crate::batch::planner) const fn read_clock(&mut self, clock_ms: u64, at: Timestamp) {
         self.last_answer_at = Some(at);
         self.clock = Some((clock_ms, at));
--- a/crates/stairstall-core/src/batch/planner/pool/run.rs
+++ b/crates/stairstall-core/src/batch/planner/pool/run.rs
@@ -24,7 +24,7 @@
 pub(in crate::batch::planner) enum CrashSuspicion {
     /// No worker was lost while it ran.
     None,
-    /// It may have crashed the workers that were lost.
+    /// It may have crashed workers that were lost while it ran.
     Some,
     /// The next crash makes it fail.
     LastAttempt,
@@ -33,12 +33,16 @@
 /// One run of a task on a worker.
 #[derive(Debug, Clone)]
 pub(in crate::batch::planner) struct Run {
+    /// Run number, which increases with each placement of tasks of the step.
     pub(in crate::batch::planner) number: u32,
+    /// Resources that it occupies on its worker.
     pub(in crate::batch::planner) resources: Resources,
     pub(in crate::batch::planner) state: RunState,
-    /// 0 for a guaranteed job, otherwise the queue's priority plus one. Lower ranks go first.
+    /// 0 for a guaranteed job, otherwise the queue's priority plus one. Lower numbers go first.
     pub(in crate::batch::planner) rank: u8,
+    /// Whether it belongs to a gang.
     pub(in crate::batch::planner) gang: bool,
+    /// Whether it writes checkpoints.
     pub(in crate::batch::planner) checkpoints: bool,
     /// Whether the step is long-running: it runs until its job is cancelled.
     pub(in crate::batch::planner) long_running: bool,
@@ -62,6 +66,7 @@
     /// Until when its start may still be carried out, by this incarnation of its worker or the
     /// next. `None` once that is ruled out, or if the worker gets a new ID on every restart.
     pub(in crate::batch::planner) late_start_until: Option<Timestamp>,
+    /// Its progress according to the worker's last report, in percent.
     pub(in crate::batch::planner) percent: u8,
     /// When `percent` last increased.
     pub(in crate::batch::planner) progressed_at: Timestamp,
@@ -95,6 +100,7 @@
 }
 
 impl Run {
+    /// Sets the state and when the run entered it.
     pub(in crate::batch::planner) fn set_state(&mut self, state: RunState, at: Timestamp) {
         self.state = state;
         self.since = at;
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -9,8 +9,12 @@
 use crate::batch::timeline::JobTimeline;
 use crate::batch::{AcceptedJob, GroupProgress, Progress};
 
+/// Stored mark of a task that is not done and has no failed runs. A digit stands for that number of
+/// failed runs.
 const OPEN: char = '-';
+/// Stored mark of a task that is done.
 const DONE: char = 'D';
+/// Stored instead of all marks if every task of the step is done.
 const ALL_DONE: &str = "*";
 
 /// The progress of one job, to be written to the store.
@@ -32,10 +36,10 @@
         !self.changed_jobs.is_empty()
     }
 
-    /// Removes and returns up to `max` progress writes that are due, urgent jobs first.
+    /// Removes and returns up to `max` pending progress writes, urgent jobs first.
     ///
     /// Jobs in `busy` are skipped, because an earlier write of theirs is still in progress. Their
-    /// writes stay due.
+    /// writes stay pending.
     pub fn take_writes(
         &mut self,
         max: usize,
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Handles a write that may not have been stored: it becomes due again.
+    /// Handles a write that may not have been stored: it is to be written again.
     pub fn progress_write_failed(&mut self, id: &JobId) {
         if self.jobs.contains_key(id) {
             self.changed_jobs.insert(id.clone());
@@ -115,6 +119,7 @@
         }
     }
 
+    /// Adds the occurrences of all jobs that have become eligible.
     pub(super) fn add_eligible_occurrences(&mut self, now: Now) {
         for job in self.jobs.values_mut() {
             if job.add_eligible_occurrences(now) {
@@ -237,9 +242,10 @@
     }
 }
 
-/// Largest number of failures that one character can express.
+/// Largest number of failures that a mark can express.
 const MAX_FAILURES_MARK: u32 = 9;
 
+/// Returns the mark that stands for a task in the stored progress.
 fn task_mark(task: &super::job::Task) -> char {
     match (task.done, task.failures) {
         (true, _) => DONE,
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -35,7 +35,7 @@
     }
 
     /// Moves the oldest aged step ahead of all work that is not urgent, and returns it. Does
-    /// nothing until the minimum interval since the last such step has passed.
+    /// nothing until the minimum interval since the last promoted step was placed has passed.
     fn promote_oldest_aged(
         &self,
         candidates: &mut [Candidate],
@@ -118,6 +118,8 @@
         guaranteed
     }
 
+    /// Updates the ranks of the runs of urgent jobs, which may have become guaranteed or ceased to
+    /// be.
     fn update_ranks(&mut self, guaranteed: &BTreeSet<JobId>) {
         for worker in self.workers.values_mut() {
             for (task, run) in &mut worker.runs {
@@ -132,6 +134,8 @@
         }
     }
 
+    /// Returns the steps that wait for placements, in scheduling order, and records since when
+    /// they have been ready.
     fn candidates(&mut self, guaranteed: &BTreeSet<JobId>, now: Now) -> Vec<Candidate> {
         let found = self.list_candidates(guaranteed, now);
         for candidate in &found {
--- a/crates/stairstall-core/src/batch/planner/resend.rs
+++ b/crates/stairstall-core/src/batch/planner/resend.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Reports a stopped run that has not ended. Other work waits for its resources, and nothing
-    /// else shows that they don't become free.
+    /// Records a decision for a stopped run that has not ended. Other work waits for its resources,
+    /// and nothing else shows that they don't become free.
     fn record_overdue_stop(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(run) = self.run_at(id, task) else {
             return;
@@ -83,9 +83,8 @@
         }
     }
 
-    /// Updates which workers have unsettled runs, and starts the wait of planned runs for their
-    /// resources only once their placements are stored: a slow store is no reason to place them
-    /// elsewhere.
+    /// Updates which workers have unsettled runs. Also restarts the wait of planned runs whose
+    /// placements are not stored yet: a slow store is no reason to place them elsewhere.
     fn update_unsettled_workers(&mut self, now: Now) {
         let jobs = &self.jobs;
         for worker in self.workers.values_mut().filter(|w| w.has_unsettled) {
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -84,7 +84,7 @@
     /// answers.
     ///
     /// A clock that has gone back belongs to a new incarnation. The worker is polled immediately
-    /// for its incarnation ID, and it may hold the run for the longest lease.
+    /// for its incarnation ID, and it may keep the run going for the longest lease.
     pub(super) fn check_answer_clock(&mut self, order: &Order, clock_ms: u64, now: Now) {
         let id = &order.worker;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -107,14 +107,14 @@
     /// worker can have crashed under them.
     ///
     /// These are the run whose start another incarnation refused and the runs started there after
-    /// it. When they were counted as crashes, four such starts within 45 ms failed a job under
-    /// which only one worker had crashed.
+    /// it. If they counted as crashes, they could fail a job under which only one worker has
+    /// crashed: in one case, four such starts within 45 ms did.
     pub(super) fn drop_unstarted_runs(&mut self, refused: &Order, now: Now) {
         let Some(worker) = self.workers.get(&refused.worker) else {
             return;
         };
-        // A refusal may be late. By then another run or try may be on its way to the next
-        // incarnation.
+        // A refusal may be late. By then, another run or another attempt to start this one may be
+        // on its way to the next incarnation.
         let is_refused =
             |run: &&Run| run.number == refused.run && run.fencing_token == refused.token;
         let Some(refused_run) = worker.runs.get(&refused.task).filter(is_refused) else {
@@ -138,7 +138,7 @@
         self.is_listed && self.was_started() && !self.may_start_again()
     }
 
-    /// Returns whether an unanswered start of the run may still be carried out.
+    /// Returns whether an earlier, unanswered start of the run may still be carried out.
     const fn may_start_again(&self) -> bool {
         self.start_attempts > 1
     }
--- a/crates/stairstall-core/src/batch/planner/run_ends.rs
+++ b/crates/stairstall-core/src/batch/planner/run_ends.rs
@@ -82,8 +82,8 @@
                 continue;
             }
             let why = format!("{}; its worker is no longer known", end.kind.as_str());
-            let heard = Decision::of_run(DecisionKind::End, &end.task, end.run, id, why);
-            self.decisions.push(heard);
+            let decision = Decision::of_run(DecisionKind::End, &end.task, end.run, id, why);
+            self.decisions.push(decision);
             if end.kind == RunEndKind::Done {
                 self.complete_task(&end.task, now);
             } else {
@@ -93,14 +93,15 @@
         }
     }
 
-    /// Returns the change that must be stored before a run end of the job may be acknowledged. An
-    /// end that changes nothing also waits for it, because it may stand for one that did, as with
-    /// another member of a gang.
+    /// Returns the change that must be stored before a run end of the job may be acknowledged. This
+    /// also holds for a run end that changed nothing itself, because the change that it reports may
+    /// already have been made by another one, such as that of another member of its gang.
     fn latest_change(&self, id: &JobId) -> Option<(JobId, u64)> {
         let job = self.jobs.get(id)?;
         Some((id.clone(), job.change_count))
     }
 
+    /// Records the checkpoint that a run end reports.
     fn update_checkpoint(&mut self, end: &RunEnd) {
         if end.checkpoint.is_none() {
             return;
@@ -149,6 +150,7 @@
         }
     }
 
+    /// Records that a run of a step failed so early that its worker is the likely cause.
     fn record_early_failure(&mut self, task: &TaskKey) {
         let key = &task.group;
         if let Some(group) = self.jobs.get_mut(&key.job).and_then(|j| j.group_mut(key)) {
@@ -213,9 +215,9 @@
         }
     }
 
-    /// Handles a run whose task is done by another run. A planned run is dropped. A sent one is
-    /// marked as redundant: members of a gang soon end by themselves, other runs are stopped a
-    /// little later.
+    /// Handles a run whose task is done by another run. A planned run is dropped. A run whose start
+    /// was sent is marked as redundant: members of a gang soon end by themselves, other runs are
+    /// stopped a little later.
     pub(super) fn mark_redundant(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -9,7 +9,7 @@
 };
 use crate::{RackId, Timestamp, WorkerId};
 
-/// Smallest pace that a worker may count as, as a fraction of the typical duration.
+/// Lower bound of the pace factor by which an observed duration is divided.
 const MIN_PACE: f64 = 1.0 / 16.0;
 
 /// The undisturbed work of a run, or of its whole gang, from which a run time is learned.
@@ -53,6 +53,7 @@
         })
     }
 
+    /// Returns the step's work with the caller's estimate.
     fn work_of(&self, key: &GroupKey) -> Option<EstimatedWork<'_>> {
         let estimate_ms = self.estimate_ms(self.step(key)?);
         self.estimated_work(key, Duration::from_millis(estimate_ms))
@@ -118,8 +119,8 @@
         })
     }
 
-    /// Returns what the progress of a run says about its whole duration. For a gang, only the first
-    /// member returns it.
+    /// Returns what the progress of a run says about its whole duration. For a gang, returns it for
+    /// the first member only.
     fn observe_run(&self, id: &WorkerId, task: &TaskKey, now: Now) -> Option<RunTimeObservation> {
         let run = self.run_at(id, task)?;
         let is_observable = run.state == RunState::Running && run.redundant_since.is_none();
--- a/crates/stairstall-core/src/batch/planner/start_outcomes.rs
+++ b/crates/stairstall-core/src/batch/planner/start_outcomes.rs
@@ -130,7 +130,8 @@
         } else if matches!(outcome, StartOutcome::Unknown | StartOutcome::NotSent) {
             self.retry_start(order, now);
         } else if outcome == StartOutcome::Refused(RefusalReason::OldRun) {
-            // The run has ended on this worker or its start is barred. The next report tells which.
+            // The run has ended on this worker, or the worker refuses to start it from now on. The
+            // next report tells which.
             self.record_answer(id, task, now.at);
         } else {
             self.stop_run(id, task, "an earlier attempt may have started it", now);
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -7,8 +7,8 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Sends the starts of planned runs whose resources are free. A gang's starts are sent all
-    /// together or not at all.
+    /// Issues the start orders of planned runs whose resources are free. A gang's starts are issued
+    /// all together or not at all.
     pub(super) fn send_starts(&mut self, now: Now) {
         if !self.has_fresh_evacuated_zones(now) || !self.jobs_are_current() {
             return;
@@ -25,7 +25,7 @@
                 self.send_gang_starts(&key, &members, now);
             } else {
                 for (id, task) in &members {
-                    if self.has_free_resources(id, &[task]) {
+                    if self.can_start_now(id, &[task]) {
                         self.send_start(id, task, now);
                     }
                 }
@@ -40,7 +40,7 @@
         };
         let all_fit = members
             .iter()
-            .all(|(id, _)| self.has_free_resources(id, &by_worker(id)));
+            .all(|(id, _)| self.can_start_now(id, &by_worker(id)));
         let is_whole = self
             .jobs
             .get(&key.job)
@@ -57,6 +57,7 @@
         self.jobs.get(&key.job)?.step(key)
     }
 
+    /// Returns the planned runs of a step.
     pub(super) fn planned_members(&self, key: &GroupKey) -> Vec<(WorkerId, TaskKey)> {
         let Some(group) = self.jobs.get(&key.job).and_then(|job| job.group(key)) else {
             return Vec::new();
@@ -72,7 +73,9 @@
         Some(self.run_at(id, task)?.state)
     }
 
-    fn has_free_resources(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
+    /// Returns whether runs can start on a worker now: their placements are stored, the worker
+    /// accepts starts, and the resources of all of them are free.
+    fn can_start_now(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
@@ -96,6 +99,7 @@
         needed <= stored
     }
 
+    /// Issues the start order of a run, with a new lease.
     pub(super) fn send_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let checkpoint = self.start_checkpoint(task);
         let Some(worker) = self.workers.get_mut(id) else {
--- a/crates/stairstall-core/src/batch/planner/stops.rs
+++ b/crates/stairstall-core/src/batch/planner/stops.rs
@@ -57,6 +57,7 @@
         })
     }
 
+    /// Issues a stop order for a run.
     pub(super) fn send_stop(&mut self, id: &WorkerId, task: &TaskKey, run: u32, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -1,4 +1,4 @@
-//! Moving runs to another worker that have stalled or are far slower than similar runs.
+//! Moving runs that have stalled, and stragglers, to other workers.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     /// Stops runs that make no progress, or far too little, so that they continue on another
     /// worker.
     pub(super) fn move_stalled_runs(&mut self, now: Now) {
-        // There is nothing new to check between two reports.
+        // Between two reports, nothing changes that is checked here.
         let interval = self.policy.pace.interval.max(self.report_wait() / 2);
         if self
             .last_stall_check_at
@@ -178,8 +178,8 @@
 impl Run {
     /// Returns the pace of the run.
     ///
-    /// How long the run may stall depends on the caller's estimate. A longer learned run time is
-    /// not used, because it would not reveal a dead worker any sooner.
+    /// How long the run may stall depends on the caller's estimate, not on the learned run time: a
+    /// longer one would only delay the detection of a dead worker.
     fn pace(&self, together_since: Option<Timestamp>, slowdown: f64, estimate_ms: u64) -> Pace {
         let (began, from) = self.began.unwrap_or((self.reported_at, self.percent));
         let since = together_since.unwrap_or(began).max(began);
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -51,8 +51,9 @@
         (self.worked_ms >= millis(policy.min_judged_work)).then(|| self.worked_ms * 100 / gained)
     }
 
-    /// Judges a run. `is_confirmed` says whether it is known to have been able to work, and `typical_ms`
-    /// how long the whole work takes similar runs.
+    /// Judges a run. `is_confirmed` says whether the run is known to have been able to work: for
+    /// a gang, whether all members run and one has made progress. `typical_ms` is how long similar
+    /// runs take for the whole work.
     pub(super) fn verdict(
         &self,
         is_confirmed: bool,
@@ -83,7 +84,8 @@
         millis(min_stall).max(self.expected_ms / divisor)
     }
 
-    /// Returns whether the run is far slower than similar runs and would end sooner if moved.
+    /// Returns whether the run is a straggler: far slower than similar runs, and done sooner on
+    /// another worker.
     fn is_slow(&self, typical_ms: u64, stop_max: Duration, policy: &PacePolicy) -> bool {
         let Some(duration_ms) = self.min_duration_ms(policy) else {
             return false;
--- a/crates/stairstall-core/src/batch/planner/timelines.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Marks every job as changed that has a run on a worker.
+    /// Marks every job that has a run on a worker as changed.
     pub(super) fn mark_timelines_changed_at(&mut self, id: &WorkerId) {
         let runs = self.workers.get(id).map(|worker| worker.runs.keys());
         let jobs = runs
@@ -82,6 +82,7 @@
         least_advanced
     }
 
+    /// Returns the least advanced phase among the open tasks of a step, or `None` if all are done.
     pub(super) fn phase_of_group(
         &self,
         key: &GroupKey,
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -19,23 +19,25 @@
 /// The part of the fleet that a running step uses.
 struct RunningShare {
     customer: Option<CustomerId>,
+    /// Dominant share: the largest of the step's shares of the fleet's processors, memory and
+    /// accelerators, in parts per million.
     share_ppm: u64,
     /// Expected remaining time.
     remaining: Duration,
 }
 
 impl Planner {
-    /// Returns the customers with the highest recent usage, at most `most` of them, and the usage
+    /// Returns the customers with the highest recent usage, at most `max` of them, and the usage
     /// that each would have if all had used equally much, in milliseconds of the whole fleet.
     #[must_use]
-    pub fn customer_usage(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
+    pub fn customer_usage(&self, max: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
         (
-            self.usage.top_customers(most, now.at),
+            self.usage.top_customers(max, now.at),
             self.usage.mean_used_ms(now.at),
         )
     }
 
-    /// Charges the running steps to their customers' usage.
+    /// Adds what the running steps use to their customers' usage.
     pub(super) fn charge_customers(&mut self, now: Now) {
         let workers = &self.workers;
         let fleet = || {
@@ -44,12 +46,13 @@
                 sum.plus(&worker.listed.capacity)
             })
         };
-        let Some(held) = self.usage.begin_charge_interval(fleet, now.at) else {
+        let Some(interval) = self.usage.begin_charge_interval(fleet, now.at) else {
             return;
         };
         for share in self.running_shares() {
             let customer = share.customer.as_ref();
-            self.usage.charge(customer, share.share_ppm, held, now.at);
+            self.usage
+                .charge(customer, share.share_ppm, interval, now.at);
             self.usage
                 .add_commitment(customer, share.share_ppm, share.remaining);
         }
@@ -79,6 +82,7 @@
         shares.collect()
     }
 
+    /// Returns whether a step's job was guaranteed when the ranks of runs were last set.
     pub(super) fn is_guaranteed(&self, key: &GroupKey) -> bool {
         let guaranteed = self.ranked_guaranteed_jobs.as_ref();
         guaranteed.is_some_and(|guaranteed| guaranteed.contains(&key.job))
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -11,7 +11,7 @@
 use crate::batch::{GroupKey, StepSpec};
 use crate::time::millis;
 
-/// Time within which a waiting guaranteed job is certain to be considered again.
+/// Longest time until a waiting guaranteed job is considered again.
 const RECHECK_INTERVAL: Duration = Planner::MAX_TICK_INTERVAL;
 
 /// Maximum number of times that the back-off of a repeatedly preempted gang doubles.
@@ -35,8 +35,8 @@
         Duration::from_millis(now.unix_ms.saturating_sub(accepted_unix_ms))
     }
 
-    /// Returns the rank up to which runs are exempt from preemption by work of `rank` that has
-    /// waited for `waited`.
+    /// Returns the number of the rank up to which runs are exempt from preemption by work of `rank`
+    /// that has waited for `waited`.
     ///
     /// Urgent work that is preempted by urgent work becomes late itself, so that one late job
     /// becomes two.
@@ -75,13 +75,13 @@
         };
         let policy = &self.policy.victims;
         let weight = step.reserved_resources().weight() * u64::from(step.count);
-        let again_ms = millis(policy.repeat_preemption_cost) * u64::from(group.preemptions);
+        let repeat_ms = millis(policy.repeat_preemption_cost) * u64::from(group.preemptions);
         let late_ms = if policy.counts_caused_lateness && self.would_become_late(key, job, now) {
             millis(self.run_time(key, step, now).typical)
         } else {
             0
         };
-        weight.saturating_mul(again_ms + late_ms) / 1000
+        weight.saturating_mul(repeat_ms + late_ms) / 1000
     }
 
     /// Returns whether a running gang would be in time, but late if it were restarted.
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether the preemptions of a choice are worthwhile: what they discard is at most
-    /// `max_lost_factor` times the work that they make way for. Each gang counts once and as a whole.
+    /// `max_lost_factor` times the work to be placed. Each gang counts once and as a whole.
     ///
     /// For a guaranteed job that can't wait any longer, preemption is always worthwhile.
     pub(super) fn is_preemption_worthwhile(
@@ -138,8 +138,8 @@
         lost <= work.saturating_mul(max_lost_factor.into())
     }
 
-    /// Returns whether a guaranteed job can't wait any longer for cheaper victims, because it has
-    /// to begin within its bound and to be in time.
+    /// Returns whether a guaranteed job can't wait any longer for cheaper victims: its wait limit
+    /// has expired, or the next check would be too late to meet its objective.
     fn must_start_now(&self, candidate: &Candidate, run_time: Duration, now: Now) -> bool {
         let waited = self.since_accepted(&candidate.key, now);
         let ends_ms = now.unix_ms + millis(self.bounds.stop_max + run_time);
@@ -161,9 +161,9 @@
         }
     }
 
-    /// Returns whether a preempted gang should wait before it starts again, because the capacity
-    /// that is free now may be taken from it as well. The back-off doubles with each preemption, up
-    /// to a limit.
+    /// Returns whether a preempted gang should wait before it starts again, because its next
+    /// run on the capacity that is free now may be preempted as well. The back-off doubles with
+    /// each preemption, up to a limit.
     pub(super) fn in_preemption_backoff(&self, key: &GroupKey, now: Now) -> bool {
         let job = self.jobs.get(&key.job);
         let group = job.and_then(|job| job.group(key));
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -36,8 +36,8 @@
         })
     }
 
-    /// Returns the first open step that is waiting, and what it waits for if that isn't free
-    /// capacity. Returns `None` if no step is waiting.
+    /// Returns the first open step that is waiting, and what it waits for. The reason is `None` if
+    /// it waits for free capacity. Returns `None` if no step is waiting.
     fn first_waiting_step(&self, job: &Job, now: Now) -> Option<(GroupKey, Option<WaitReason>)> {
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
             for (step, group) in groups.iter().enumerate() {
@@ -71,6 +71,7 @@
         is_later.then_some((next, Some(WaitReason::ScheduledTime)))
     }
 
+    /// Returns why a step with waiting tasks has no placement for them.
     fn capacity_wait_reason(&self, candidate: &Candidate, now: Now) -> WaitReason {
         if let Some(expected_start) = self.expected_start(&candidate.key) {
             return WaitReason::ReservedCapacity(expected_start - now.at);
