--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -2,10 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{
-    AcceptedJob, CallerState, Catalog, CustomerUsage, Decision, DecisionKind, GroupKey, JobSummary,
-    Outcome, Policy, Progress, RunTimes, UrgentDemand, WorkerPaces,
-};
+use super::{AcceptedJob, CallerState, Catalog, CustomerUsage, Decision, DecisionKind, GroupKey, JobSummary, Outcome, Policy, Progress, RunTimes, UrgentDemand, WorkerPaces};
 use crate::{JobId, Timestamp, WorkerId};
 
 mod adopt;
@@ -57,7 +54,7 @@
 use pool::Worker;
 pub use progress::ProgressWrite;
 
-/// Interval between checks of time-dependent state, such as leases and due occurrences.
+/// Interval between checks of time-dependent state, such as leases and scheduled occurrences.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Interval at which a new planner rechecks whether enough workers have reported for it to plan.
@@ -78,17 +75,19 @@
     catalog: Arc<Catalog>,
     jobs: BTreeMap<JobId, Job>,
     /// Latest time up to which jobs may have been submitted or cancelled without the planner being
-    /// told. `None` once the records of that time have been read.
+    /// notified. `None` once the job records stored by then have been read.
     jobs_stale_at: Option<Timestamp>,
     workers: BTreeMap<WorkerId, Worker>,
     run_index: runs::RunIndex,
+    /// Steps that have planned runs.
     planned: BTreeSet<GroupKey>,
     /// Workers reserved for waiting gangs.
     reservations: BTreeMap<GroupKey, placement::Reservation>,
     orders: Vec<Order>,
     advice_requests: Vec<AdviceRequest>,
     decisions: Vec<Decision>,
-    changed: BTreeSet<JobId>,
+    /// Jobs with changes that are not being written to the store yet.
+    changed_jobs: BTreeSet<JobId>,
     /// Jobs that have changed since their timelines were last updated.
     changed_timelines: BTreeSet<JobId>,
     summaries: Vec<JobSummary>,
@@ -100,6 +99,7 @@
     /// When a step was last moved to the front because of its age.
     last_aged_at: Option<Timestamp>,
     load: load::LoadTracker,
+    /// Whether an input requires a scheduling pass.
     replan: bool,
     /// When the time-dependent state was last checked.
     last_housekeeping_at: Option<Timestamp>,
@@ -111,8 +111,8 @@
     last_new_report_at: Option<Timestamp>,
     /// Workers to ask for a report immediately.
     workers_to_poll: Vec<WorkerId>,
-    /// Guaranteed jobs by which the ranks of runs were last set. `None` if a run was adopted or
-    /// restored since.
+    /// The guaranteed jobs when the ranks of runs were last set. `None` if a run was adopted or
+    /// restored since then.
     ranked_guaranteed_jobs: Option<BTreeSet<JobId>>,
     /// Incremented whenever the set of workers or a worker's address changes.
     worker_set_version: u64,
@@ -122,8 +122,9 @@
     last_pass_at: Option<Timestamp>,
     /// When to run the next scheduling pass even if nothing changes, because wait limits expire.
     replan_at: Option<Timestamp>,
-    /// Whether a planned start may have become sendable.
+    /// Whether the start of a planned run may have become possible since the last tick.
     starts_due: bool,
+    /// Whether the planner must give up its role.
     superseded: bool,
 }
 
@@ -155,7 +156,7 @@
             orders: Vec::new(),
             advice_requests: Vec::new(),
             decisions: Vec::new(),
-            changed: BTreeSet::new(),
+            changed_jobs: BTreeSet::new(),
             changed_timelines: BTreeSet::new(),
             summaries: Vec::new(),
             demand: UrgentDemand::default(),
@@ -297,7 +298,7 @@
             self.end_vanished_incarnations(now);
             self.expire_leases(now);
             self.check_unsettled_runs(now);
-            self.start_due_occurrences(now);
+            self.add_eligible_occurrences(now);
             self.charge_customers(now);
             self.learn_from_running(now);
             self.move_stalled_runs(now);
@@ -308,13 +309,13 @@
             self.last_pass_at = Some(now.at);
             self.replan_at = if self.has_enough_reports(now) {
                 let waits = self.plan(now);
-                waits.then(|| now.at + Self::IDLE_TICK)
+                waits.then(|| now.at + Self::MAX_TICK_INTERVAL)
             } else {
                 Some(now.at + REPORTS_CHECK_INTERVAL)
             };
         }
         self.starts_due = false;
-        self.emit_starts(now);
+        self.send_starts(now);
         self.update_timelines(now);
         std::mem::take(&mut self.orders)
     }
@@ -338,7 +339,7 @@
     }
 
     /// Returns the accepted job, or `None` if the job is not known. The customer in it is `None`
-    /// for a job that belongs to nobody.
+    /// for a job that belongs to no customer.
     #[must_use]
     pub fn accepted(&self, id: &JobId) -> Option<&AcceptedJob> {
         self.jobs.get(id).map(|job| job.accepted.as_ref())
@@ -399,7 +400,7 @@
         job.end(outcome, now);
         self.drop_forecast(id);
         self.changed_timelines.insert(id.clone());
-        self.changed.insert(id.clone());
+        self.changed_jobs.insert(id.clone());
         self.decisions.push(Decision::of_job(
             DecisionKind::Outcome,
             id,
@@ -414,7 +415,7 @@
         };
         for (worker, task) in running {
             if outcome == Outcome::Completed {
-                self.note_unwanted(&worker, &task, now);
+                self.mark_redundant(&worker, &task, now);
             } else {
                 self.stop_run(&worker, &task, reason, now);
             }
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -107,7 +107,7 @@
             // would lose its work, and the urgent work the time of the stop.
             return 1.0;
         }
-        let due_unix_ms = job.due_unix_ms(candidate.key.occurrence);
+        let due_unix_ms = job.eligible_unix_ms(candidate.key.occurrence);
         let latest_start = scheduling_key.start_by_unix_ms;
         let max_wait = Duration::from_millis(latest_start.saturating_sub(due_unix_ms));
         let remaining_wait = Duration::from_millis(latest_start.saturating_sub(now.unix_ms));
--- a/crates/stairstall-core/src/batch/planner/pass.rs
+++ b/crates/stairstall-core/src/batch/planner/pass.rs
@@ -11,29 +11,30 @@
 /// Workers reserved for waiting gangs.
 #[derive(Debug, Default)]
 pub(super) struct ReservedWorkers {
-    pub(super) workers: BTreeMap<WorkerId, ReservationHolder>,
+    pub(super) workers: BTreeMap<WorkerId, ReservingGang>,
 }
 
 /// The waiting gang that a worker is reserved for.
 #[derive(Debug, Clone)]
-pub(super) struct ReservationHolder {
+pub(super) struct ReservingGang {
     pub(super) gang: GroupKey,
     pub(super) rank: u8,
-    /// Usage of its customer, as computed in this pass.
-    pub(super) used: u64,
-    /// When the reserved capacity should be free.
-    pub(super) expected_start: Timestamp,
+    /// Usage level of its customer, as computed in this pass.
+    pub(super) usage_level: u64,
+    /// Time by which other work on the reserved capacity must end.
+    pub(super) backfill_until: Timestamp,
 }
 
 /// Facts about the fleet that stay valid until a run is preempted.
 ///
-/// Going through all workers for every waiting step takes 19 ms per run end with 1,100 workers and
-/// 5,000 waiting tasks. With this cache it takes 0.6 ms (`benches/planner`), because most of the
-/// steps are alike.
+/// With 1,100 workers and 5,000 waiting tasks, a pass that goes through all workers for every
+/// waiting step takes 19 ms per run end. With this cache it takes 0.6 ms (`benches/planner`),
+/// because most of the steps are alike.
 #[derive(Debug, Default)]
 pub(super) struct Pass {
     pub(super) reserved: ReservedWorkers,
     ceilings: HashMap<CeilingKey, Ceiling>,
+    /// Number of accelerators that neither a run nor a planned run uses, once computed.
     free_accelerators: Option<u32>,
     /// Accelerators to keep free for urgent work, once computed.
     pub(super) urgent_headroom: Option<f64>,
@@ -50,8 +51,8 @@
     Whole,
     /// The capacity that neither a run nor a planned run uses.
     Free,
-    /// The capacity that is free once all runs above this rank have been preempted.
-    Above(u8),
+    /// The capacity that is free once all runs that work of this rank may preempt have ended.
+    AfterPreemption(u8),
 }
 
 /// Everything that decides how many tasks of a step fit on a worker; the cache key of a
@@ -91,7 +92,7 @@
 }
 
 impl Pass {
-    /// Clears the facts that a preemption invalidates.
+    /// Discards the cached facts that a preemption invalidates.
     pub(super) fn invalidate_capacity(&mut self) {
         self.ceilings.clear();
         self.free_accelerators = None;
@@ -99,7 +100,7 @@
     }
 
     /// Records that tasks were placed, and how many free accelerators they use.
-    pub(super) fn note_placed(&mut self, tasks: usize, accelerators: u32) {
+    pub(super) fn record_placed(&mut self, tasks: usize, accelerators: u32) {
         if let Some(in_flight) = &mut self.starts_in_flight {
             *in_flight += tasks;
         }
@@ -135,6 +136,7 @@
         ceiling
     }
 
+    /// Counts how many tasks with this key fit on each worker, and adds them up.
     fn count_tasks(&self, ceiling_key: &CeilingKey, step: &StepSpec, near: bool) -> Ceiling {
         let limit = step.max_per_worker.unwrap_or(u32::MAX);
         let mut ceiling = Ceiling::default();
@@ -142,7 +144,7 @@
         let workers = self
             .workers
             .values()
-            .filter(|w| w.takes_tasks() && w.suits(step) && (!near || w.is_near(step)))
+            .filter(|w| w.takes_tasks() && w.has_required_label(step) && (!near || w.is_near(step)))
             .filter(|w| ceiling_key.service.as_ref() == Some(&w.listed.service));
         for worker in workers {
             let copies = ceiling_key
@@ -172,7 +174,7 @@
         match kind {
             CapacityKind::Whole => self.listed.capacity,
             CapacityKind::Free => self.free(),
-            CapacityKind::Above(rank) => self.free_for_rank(rank),
+            CapacityKind::AfterPreemption(rank) => self.free_for_rank(rank),
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/placement.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -63,11 +63,11 @@
                 with_preemption.unwrap_or(choice)
             });
             if let Some(choice) = choice {
-                let accelerators = step.needs.accelerators * as_u32(choice.places.len());
+                let accelerators = step.needs.accelerators * as_u32(choice.workers.len());
                 allowance = allowance.saturating_sub(accelerators);
-                let placed: Vec<u32> = waiting.drain(..choice.places.len()).collect();
+                let placed: Vec<u32> = waiting.drain(..choice.workers.len()).collect();
                 self.commit_placement(candidate, &step, &placed, &choice, scope, now);
-                pass.note_placed(choice.places.len(), accelerators);
+                pass.record_placed(choice.workers.len(), accelerators);
                 if !choice.victims.is_empty() {
                     pass.invalidate_capacity();
                 }
@@ -100,22 +100,22 @@
             preempts: true,
             ..scope
         };
-        let count = free.places.len();
+        let count = free.workers.len();
         if !self.may_fit(candidate, step, scope, count, pass, now) {
             return None;
         }
         let workers = self.candidate_workers(candidate, step, scope, pass, now);
         let workers = self.filter_by_ticket(&candidate.key, workers, count, now);
         let choice = search(step, count, scope, workers, Some(paces))?;
-        let is_better = choice.places.len() == count && choice.cost < free.cost;
+        let is_better = choice.workers.len() == count && choice.cost < free.cost;
         let is_in_time = paces.ends_in_time(choice.slowest_factor, self.bounds.stop_max);
         (is_better && is_in_time)
             .then_some(choice)
             .filter(|choice| self.is_preemption_worthwhile(candidate, step, choice, pass, now))
     }
 
-    /// Returns whether a search for workers can succeed: there must be capacity, or an adviser,
-    /// which is asked before there is capacity.
+    /// Returns whether a search for workers may succeed: there must be enough capacity, unless the
+    /// queue requires tickets. The adviser is asked for these even before there is capacity.
     fn may_fit(
         &self,
         candidate: &Candidate,
@@ -130,7 +130,7 @@
             return true;
         }
         let kind = if scope.preempts {
-            CapacityKind::Above(self.protected_rank_for(candidate, now))
+            CapacityKind::AfterPreemption(self.protected_rank_for(candidate, now))
         } else {
             CapacityKind::Free
         };
@@ -138,18 +138,22 @@
         count > 0 && ceiling.allows(step, as_u32(count), scope)
     }
 
-    /// Returns the rank up to which runs are protected from preemption by this step now.
+    /// Returns the number of the rank up to which runs are protected from preemption by this step
+    /// now.
     fn protected_rank_for(&self, candidate: &Candidate, now: Now) -> u8 {
         let since_accepted = self.since_accepted(&candidate.key, now);
         let waited = self.waiting_time(&candidate.key, now).max(since_accepted);
         self.protected_rank(candidate.rank, waited)
     }
 
+    /// Returns how long a step has been ready to start.
     pub(super) fn waiting_time(&self, key: &GroupKey, now: Now) -> Duration {
         let ready_since = self.group_of(key).and_then(|group| group.ready_since);
         ready_since.map_or(Duration::ZERO, |since| now.at - since)
     }
 
+    /// Returns the caller's estimate of a task's run time in milliseconds, or the minimum that the
+    /// policy sets if that is longer.
     pub(super) fn estimate_ms(&self, step: &StepSpec) -> u64 {
         step.estimate_ms
             .max(crate::time::millis(self.policy.places.min_run_time))
@@ -170,8 +174,8 @@
 
     /// Returns the factor by which a step's tasks take longer on a worker because of its rack.
     pub(super) fn slowdown(&self, step: &StepSpec, id: &WorkerId) -> u32 {
-        let is_anywhere = step.near_rack.is_none();
-        let near = is_anywhere || self.workers.get(id).is_none_or(|w| w.is_near(step));
+        let has_no_rack = step.near_rack.is_none();
+        let near = has_no_rack || self.workers.get(id).is_none_or(|w| w.is_near(step));
         if near { 1 } else { self.bounds.far_factor }
     }
 
@@ -209,7 +213,7 @@
         self.workers
             .iter()
             .filter(|(_, w)| scope.preempts || is_advised || needs.fits_in(&w.free()))
-            .filter(|(_, w)| w.takes_tasks() && w.suits(step))
+            .filter(|(_, w)| w.takes_tasks() && w.has_required_label(step))
             .filter(|(_, w)| service.as_ref() == Some(&w.listed.service))
             .filter(|(_, w)| w.can_colocate(step))
             .filter(|(_, w)| isolation.allows(w, now.at))
@@ -226,7 +230,7 @@
                 },
                 shortage: w.shortage(),
                 spread_left: free_task_slots(w, step, key),
-                penalty: costs.of(w, step, now.at),
+                penalty: costs.cost_on(w, step, now.at),
                 pace: if knows_paces {
                     self.pace_of(id, now)
                 } else {
@@ -258,7 +262,8 @@
         }
     }
 
-    /// Returns how long work waits for the most suitable workers after failures or crashes.
+    /// Returns how long work waits, after failures or crashes, for workers that meet the stricter
+    /// requirements, before it may start on any other.
     pub(super) const fn suspect_wait_limit(&self, urgent: bool) -> Duration {
         if urgent {
             self.policy.places.suspect_wait_urgent
@@ -271,6 +276,8 @@
         self.jobs.get(&key.job)?.group(key)
     }
 
+    /// Returns the service that a step's tasks run on. The newest configuration that has the job's
+    /// queue applies.
     pub(super) fn service_of(&self, key: &GroupKey) -> Option<crate::ServiceId> {
         let queue = &self.jobs.get(&key.job)?.accepted.queue;
         let newest = self.catalog.queue(&queue.name);
@@ -314,9 +321,9 @@
         let Some(placement_change) = self.jobs.get_mut(&key.job).map(Job::record_change) else {
             return;
         };
-        self.changed.insert(key.job.clone());
+        self.changed_jobs.insert(key.job.clone());
         self.mark_timeline_changed(&key.job);
-        for (index, id) in tasks.iter().zip(&choice.places) {
+        for (index, id) in tasks.iter().zip(&choice.workers) {
             let task = key.task(*index);
             let mut run = self.planned_run(candidate, step, id, number, now);
             run.placement_change = placement_change;
@@ -325,7 +332,7 @@
                 && let Some(group) = job.group_mut(key)
             {
                 let task = &mut group.tasks[*index as usize];
-                task.place = Some(id.clone());
+                task.worker = Some(id.clone());
                 task.run = number;
                 task.incarnation = run.incarnation;
                 task.start_confirmed = false;
@@ -374,20 +381,20 @@
     ) -> Run {
         Run {
             number,
-            room: step.reserved_resources(),
+            resources: step.reserved_resources(),
             state: RunState::Planned,
             rank: candidate.rank,
             gang: step.gang,
             checkpoints: step.checkpoints,
-            lasts: step.long_running,
-            serves: step.has_latency_target(),
-            fills: step.uses_spare_cpu,
+            long_running: step.long_running,
+            has_latency_target: step.has_latency_target(),
+            uses_spare_cpu: step.uses_spare_cpu,
             expected_ms: self.expected_ms(&candidate.key, step, id, now),
             since: now.at,
             ordered_at: now.at,
             answered_at: None,
-            stops: 0,
-            tries: 0,
+            unanswered_stops: 0,
+            start_attempts: 0,
             late_start_until: None,
             percent: 0,
             progressed_at: now.at,
@@ -397,7 +404,7 @@
             pace_sampled: None,
             resumes: false,
             start_confirmed: false,
-            fence: 0,
+            fencing_token: 0,
             incarnation: self.incarnation_of(id),
             is_listed: false,
             placement_change: 0,
@@ -411,6 +418,7 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
+/// Returns how many more tasks of a step may be placed on a worker under the step's limit.
 fn free_task_slots(worker: &Worker, step: &StepSpec, key: &GroupKey) -> u32 {
     let Some(limit) = step.max_per_worker else {
         return u32::MAX;
@@ -424,11 +432,11 @@
     /// has made `min_progress_percent`, otherwise from the estimate.
     pub(super) fn remaining_ms(&self, min_progress_percent: u8) -> u64 {
         let left = u64::from(100_u8.saturating_sub(self.percent));
-        let shown = self.began.and_then(|(began, from)| {
+        let projected_ms = self.began.and_then(|(began, from)| {
             let gained = self.percent.saturating_sub(from);
             let worked_ms = crate::time::millis(self.reported_at - began);
             (gained >= min_progress_percent).then(|| worked_ms * left / u64::from(gained))
         });
-        shown.unwrap_or(self.expected_ms * left / 100)
+        projected_ms.unwrap_or(self.expected_ms * left / 100)
     }
 }
--- a/crates/stairstall-core/src/batch/planner/placement/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::super::candidate_worker::{self, CandidateWorker, SearchScope};
+use super::super::candidate_worker::{CandidateWorker, SearchScope, self};
 use super::cost::PaceCosts;
 use crate::batch::{Resources, StepSpec, TaskKey};
 use crate::{RackId, WorkerId};
@@ -10,16 +10,17 @@
 /// The workers chosen for tasks, and the runs that have to be preempted for them.
 #[derive(Debug, Clone, Default)]
 pub(in crate::batch::planner) struct PlacementChoice {
+    /// Sum of the placement costs and the costs of the preemptions, in core-milliseconds.
     pub(in crate::batch::planner) cost: u64,
     /// How many of the chosen workers are in another zone than the job's caller.
     pub(in crate::batch::planner) in_other_zones: usize,
-    pub(in crate::batch::planner) places: Vec<WorkerId>,
+    pub(in crate::batch::planner) workers: Vec<WorkerId>,
     pub(in crate::batch::planner) victims: Vec<(WorkerId, TaskKey)>,
     /// Pace factor of the slowest chosen worker.
     pub(in crate::batch::planner) slowest_factor: f64,
 }
 
-/// Ratio of pace factors from which on two workers count as differently fast.
+/// Ratio of pace factors from which two workers are in different pace groups.
 const PACE_GROUP_RATIO: f64 = 1.25;
 /// Maximum number of worker sets, grouped by pace, that are tried for a gang.
 const MAX_PACE_SETS: usize = 4;
@@ -63,7 +64,7 @@
     }
     let mut workers = workers;
     for worker in &mut workers {
-        worker.penalty += paces.of(worker, worker.pace.factor);
+        worker.penalty += paces.cost_on(worker, worker.pace.factor);
     }
     choose(workers, needs, count, false, Some(paces))
 }
@@ -86,7 +87,7 @@
             return None;
         }
         for worker in &mut set {
-            worker.penalty += paces.of(worker, slowest);
+            worker.penalty += paces.cost_on(worker, slowest);
         }
         choose(set, needs, count, true, None)
     });
@@ -136,7 +137,7 @@
     fitting.fold(0_u32, u32::saturating_add) >= limit
 }
 
-/// Returns how many of `count` tasks an accelerator allowance covers; for a gang all or none.
+/// Returns how many of `count` tasks fit into an accelerator allowance; for a gang all or none.
 pub(super) fn allowed_count(step: &StepSpec, count: usize, allowance: u32) -> usize {
     let limit = allowance.checked_div(step.needs.accelerators);
     let limit = limit.map_or(count, |limit| limit as usize);
@@ -146,12 +147,12 @@
     count.min(limit)
 }
 
-/// The cost of placing one more task on a worker.
-struct Offer {
+/// A way to place one more task on a worker.
+struct PlacementOption {
     /// Sort key, cheapest first: cost, whether the zone differs from the caller's, then the
     /// accelerators and CPU that stay free.
-    rank: (u64, bool, u32, u32),
-    /// Cost of the preempted runs.
+    sort_key: (u64, bool, u32, u32),
+    /// Cost of preempting the victims, in core-milliseconds.
     cost: u64,
     victims: Vec<TaskKey>,
 }
@@ -160,20 +161,21 @@
     /// Marks that a task placed on the worker will reveal its pace, and updates the penalty.
     fn mark_pace_pending(&mut self, paces: &PaceCosts) {
         let factor = self.pace.factor;
-        let before = paces.of(self, factor);
+        let before = paces.cost_on(self, factor);
         self.pace_pending = true;
-        self.penalty = self.penalty.saturating_sub(before) + paces.of(self, factor);
+        self.penalty = self.penalty.saturating_sub(before) + paces.cost_on(self, factor);
     }
 
-    fn offer(&self, needs: &Resources) -> Option<Offer> {
+    /// Returns how a task can be placed on the worker, or `None` if it does not fit.
+    fn placement_option(&self, needs: &Resources) -> Option<PlacementOption> {
         if self.spread_left == 0 {
             return None;
         }
         let required = needs.saturating_add(&self.shortage);
         let (cost, victims) = self.victims.select(&required, &self.free)?;
         let left = self.free.saturating_sub(needs);
-        Some(Offer {
-            rank: (
+        Some(PlacementOption {
+            sort_key: (
                 cost + self.penalty,
                 self.in_other_zone,
                 left.accelerators,
@@ -187,7 +189,7 @@
 
 /// Chooses a worker for each of `count` tasks, cheapest first.
 ///
-/// Only the offers of workers that a choice has changed are computed again.
+/// After each choice, only the options of the workers that it changed are computed again.
 ///
 /// With `paces`, a worker of unknown pace is preferred only for its first task, which already
 /// reveals the pace.
@@ -198,22 +200,26 @@
     all_or_none: bool,
     paces: Option<&PaceCosts>,
 ) -> Option<PlacementChoice> {
-    let mut offers: Vec<Option<Offer>> = workers.iter().map(|worker| worker.offer(needs)).collect();
+    let mut options: Vec<Option<PlacementOption>> = workers
+        .iter()
+        .map(|worker| worker.placement_option(needs))
+        .collect();
     let mut choice = PlacementChoice::default();
     for _ in 0..count {
-        let ranks = offers.iter().enumerate();
-        let ranks = ranks.filter_map(|(index, offer)| Some((offer.as_ref()?.rank, index)));
-        let Some((_, index)) = ranks.min() else {
+        let sort_keys = options.iter().enumerate();
+        let sort_keys =
+            sort_keys.filter_map(|(index, option)| Some((option.as_ref()?.sort_key, index)));
+        let Some((_, index)) = sort_keys.min() else {
             break;
         };
-        let Some(offer) = offers[index].take() else {
+        let Some(option) = options[index].take() else {
             break;
         };
-        choice.cost += offer.cost + workers[index].penalty;
+        choice.cost += option.cost + workers[index].penalty;
         choice.in_other_zones += usize::from(workers[index].in_other_zone);
-        for victim in offer.victims {
+        for victim in option.victims {
             for changed in candidate_worker::preempt(&mut workers, index, &victim) {
-                offers[changed] = workers[changed].offer(needs);
+                options[changed] = workers[changed].placement_option(needs);
             }
             choice.victims.push((workers[index].worker.clone(), victim));
         }
@@ -221,16 +227,16 @@
         worker.free = worker.free.saturating_sub(needs);
         worker.spread_left -= 1;
         choice.slowest_factor = choice.slowest_factor.max(worker.pace.factor);
-        choice.places.push(worker.worker.clone());
+        choice.workers.push(worker.worker.clone());
         if let Some(paces) = paces {
             worker.mark_pace_pending(paces);
         }
-        offers[index] = worker.offer(needs);
+        options[index] = worker.placement_option(needs);
     }
     let enough = if all_or_none {
-        choice.places.len() == count
+        choice.workers.len() == count
     } else {
-        !choice.places.is_empty()
+        !choice.workers.is_empty()
     };
     enough.then_some(choice)
 }
--- a/crates/stairstall-core/src/batch/planner/restarts.rs
+++ b/crates/stairstall-core/src/batch/planner/restarts.rs
@@ -23,14 +23,14 @@
         incarnation: Option<Incarnation>,
         now: Now,
     ) {
-        let fence = self.next_fencing_token();
+        let fencing_token = self.next_fencing_token();
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         worker.incarnation_state = worker
             .incarnation_state
             .successor(incarnation, worker.is_leaving());
-        worker.fence = fence;
+        worker.fencing_token = fencing_token;
         worker.set_contact(false);
         self.paces.record_restart(id, now.at);
         if worker.is_busy() {
@@ -84,13 +84,13 @@
     /// answers.
     ///
     /// A clock that has gone back belongs to a new incarnation. The worker is polled immediately
-    /// for its incarnation ID, and it may hold the run for the longest lease.
+    /// for its incarnation ID, and it may keep the run going for the longest lease.
     pub(super) fn check_answer_clock(&mut self, order: &Order, clock_ms: u64, now: Now) {
         let id = &order.worker;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if order.token != worker.fence {
+        if order.token != worker.fencing_token {
             // This is the clock of an earlier incarnation. A deadline computed from it would be far
             // ahead.
             return;
@@ -107,21 +107,24 @@
     /// worker can have crashed under them.
     ///
     /// These are the run whose start another incarnation refused and the runs started there after
-    /// it. When they were counted as crashes, four such starts within 45 ms failed a job under
-    /// which only one worker had crashed.
+    /// it. If they counted as crashes, they could fail a job under which only one worker has
+    /// crashed: in one case, four such starts within 45 ms did.
     pub(super) fn drop_unstarted_runs(&mut self, refused: &Order, now: Now) {
         let Some(worker) = self.workers.get(&refused.worker) else {
             return;
         };
-        // A refusal may be late. By then another run or try may be on its way to the next
-        // incarnation.
-        let is_refused = |run: &&Run| run.number == refused.run && run.fence == refused.token;
+        // A refusal may be late. By then, another run or another attempt to start this one may be
+        // on its way to the next incarnation.
+        let is_refused =
+            |run: &&Run| run.number == refused.run && run.fencing_token == refused.token;
         let Some(refused_run) = worker.runs.get(&refused.task).filter(is_refused) else {
             return;
         };
         let sent_at = refused_run.ordered_at;
-        let is_first_try = |run: &Run| run.state == RunState::Starting && run.tries <= 1;
-        let unstarted = worker.tasks_where(|run| is_first_try(run) && run.ordered_at >= sent_at);
+        let is_first_attempt =
+            |run: &Run| run.state == RunState::Starting && run.start_attempts <= 1;
+        let unstarted =
+            worker.tasks_where(|run| is_first_attempt(run) && run.ordered_at >= sent_at);
         for task in unstarted {
             let why = "its worker's incarnation had already ended";
             self.end_unreported_run(&refused.worker, &task, RunEndKind::Stopped, why, now);
@@ -135,8 +138,8 @@
         self.is_listed && self.was_started() && !self.may_start_again()
     }
 
-    /// Returns whether an unanswered start of the run may still be carried out.
+    /// Returns whether an earlier, unanswered start of the run may still be carried out.
     const fn may_start_again(&self) -> bool {
-        self.tries > 1
+        self.start_attempts > 1
     }
 }
--- a/crates/stairstall-core/src/batch/planner/starts.rs
+++ b/crates/stairstall-core/src/batch/planner/starts.rs
@@ -7,9 +7,9 @@
 use crate::time::millis;
 
 impl Planner {
-    /// Sends the starts of planned runs whose resources are free. A gang's starts are sent all
-    /// together or not at all.
-    pub(super) fn emit_starts(&mut self, now: Now) {
+    /// Issues the start orders of planned runs whose resources are free. A gang's starts are issued
+    /// all together or not at all.
+    pub(super) fn send_starts(&mut self, now: Now) {
         if !self.has_fresh_evacuated_zones(now) || !self.jobs_are_current() {
             return;
         }
@@ -22,25 +22,25 @@
             }
             let is_gang = self.step(&key).is_some_and(|step| step.gang);
             if is_gang {
-                self.emit_gang(&key, &members, now);
+                self.send_gang_starts(&key, &members, now);
             } else {
                 for (id, task) in &members {
-                    if self.has_free_resources(id, &[task]) {
-                        self.emit_start(id, task, now);
+                    if self.can_start_now(id, &[task]) {
+                        self.send_start(id, task, now);
                     }
                 }
             }
         }
     }
 
-    fn emit_gang(&mut self, key: &GroupKey, members: &[(WorkerId, TaskKey)], now: Now) {
+    fn send_gang_starts(&mut self, key: &GroupKey, members: &[(WorkerId, TaskKey)], now: Now) {
         let by_worker = |id: &WorkerId| -> Vec<&TaskKey> {
             let here = members.iter().filter(|(other, _)| other == id);
             here.map(|(_, task)| task).collect()
         };
         let all_fit = members
             .iter()
-            .all(|(id, _)| self.has_free_resources(id, &by_worker(id)));
+            .all(|(id, _)| self.can_start_now(id, &by_worker(id)));
         let is_whole = self
             .jobs
             .get(&key.job)
@@ -48,7 +48,7 @@
             .is_some_and(|group| group.tasks.len() == members.len());
         if all_fit && is_whole {
             for (id, task) in members {
-                self.emit_start(id, task, now);
+                self.send_start(id, task, now);
             }
         }
     }
@@ -57,13 +57,14 @@
         self.jobs.get(&key.job)?.step(key)
     }
 
+    /// Returns the planned runs of a step.
     pub(super) fn planned_members(&self, key: &GroupKey) -> Vec<(WorkerId, TaskKey)> {
         let Some(group) = self.jobs.get(&key.job).and_then(|job| job.group(key)) else {
             return Vec::new();
         };
         (0..)
             .zip(&group.tasks)
-            .filter_map(|(index, task)| Some((task.place.clone()?, key.task(index))))
+            .filter_map(|(index, task)| Some((task.worker.clone()?, key.task(index))))
             .filter(|(id, task)| self.run_state(id, task) == Some(RunState::Planned))
             .collect()
     }
@@ -72,7 +73,9 @@
         Some(self.run_at(id, task)?.state)
     }
 
-    fn has_free_resources(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
+    /// Returns whether runs can start on a worker now: their placements are stored, the worker
+    /// accepts starts, and the resources of all of them are free.
+    fn can_start_now(&self, id: &WorkerId, tasks: &[&TaskKey]) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
@@ -83,7 +86,7 @@
             .iter()
             .filter_map(|task| worker.runs.get(*task))
             .fold(crate::batch::Resources::default(), |sum, run| {
-                sum.saturating_add(&run.room)
+                sum.saturating_add(&run.resources)
             });
         let takes_starts = worker.is_in_contact() && !worker.in_evacuated_zone;
         is_stored && takes_starts && needed.fits_in(&worker.free_now())
@@ -96,7 +99,8 @@
         needed <= stored
     }
 
-    pub(super) fn emit_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
+    /// Issues the start order of a run, with a new lease.
+    pub(super) fn send_start(&mut self, id: &WorkerId, task: &TaskKey, now: Now) {
         let checkpoint = self.start_checkpoint(task);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -118,11 +122,11 @@
         run.resumes = checkpoint.is_some();
         run.set_state(RunState::Starting, now.at);
         run.ordered_at = now.at;
-        run.tries += 1;
+        run.start_attempts += 1;
         run.incarnation = worker.incarnation_state.incarnation;
-        run.fence = worker.fence;
+        run.fencing_token = worker.fencing_token;
         run.late_start_until = late_start_until;
-        let (number, tries, token) = (run.number, run.tries, run.fence);
+        let (number, attempts, token) = (run.number, run.start_attempts, run.fencing_token);
         worker.extend_lease(now.at + Self::max_lease_duration(lease));
         let Some(job) = self.jobs.get(&task.group.job) else {
             return;
@@ -148,7 +152,7 @@
             task,
             number,
             id,
-            format!("try {tries}, waited {waited} ms for its resources"),
+            format!("try {attempts}, waited {waited} ms for its resources"),
         ));
     }
 
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -1,4 +1,4 @@
-//! Moving runs to another worker that have stalled or are far slower than similar runs.
+//! Moving runs that have stalled, and stragglers, to other workers.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     /// Stops runs that make no progress, or far too little, so that they continue on another
     /// worker.
     pub(super) fn move_stalled_runs(&mut self, now: Now) {
-        // There is nothing new to check between two reports.
+        // Between two reports, nothing changes that is checked here.
         let interval = self.policy.pace.interval.max(self.report_wait() / 2);
         if self
             .last_stall_check_at
@@ -48,7 +48,7 @@
             }
             for (task, run) in &worker.runs {
                 let is_running = run.state == RunState::Running && run.began.is_some();
-                if is_running && !run.lasts && !run.restored {
+                if is_running && !run.long_running && !run.restored {
                     let members = by_group.entry(&task.group).or_default();
                     members.push((id, task, run));
                 }
@@ -88,20 +88,24 @@
             .collect();
         let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
         let any_progress = paces.iter().any(|pace| pace.gained > 0);
-        let is_sure = !step.gang || (is_complete && (any_progress || members.len() == 1));
+        let is_confirmed = !step.gang || (is_complete && (any_progress || members.len() == 1));
         members
             .iter()
             .zip(&paces)
             .filter_map(|((id, task, run), pace)| {
-                let why =
-                    match pace.verdict(is_sure, typical, self.bounds.stop_max, &self.policy.pace) {
-                        Verdict::Fine => return None,
-                        Verdict::Stalled => "it has stalled",
-                        Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
-                            return None;
-                        }
-                        Verdict::Slow => "it is far slower than the others",
-                    };
+                let why = match pace.verdict(
+                    is_confirmed,
+                    typical,
+                    self.bounds.stop_max,
+                    &self.policy.pace,
+                ) {
+                    Verdict::Fine => return None,
+                    Verdict::Stalled => "it has stalled",
+                    Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
+                        return None;
+                    }
+                    Verdict::Slow => "it is far slower than the others",
+                };
                 Some(RunToMove {
                     worker: (*id).clone(),
                     task: (*task).clone(),
@@ -174,8 +178,8 @@
 impl Run {
     /// Returns the pace of the run.
     ///
-    /// How long the run may stall depends on the caller's estimate. A longer learned run time is
-    /// not used, because it would not reveal a dead worker any sooner.
+    /// How long the run may stall depends on the caller's estimate, not on the learned run time: a
+    /// longer one would only delay the detection of a dead worker.
     fn pace(&self, together_since: Option<Timestamp>, slowdown: f64, estimate_ms: u64) -> Pace {
         let (began, from) = self.began.unwrap_or((self.reported_at, self.percent));
         let since = together_since.unwrap_or(began).max(began);
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -51,11 +51,12 @@
         (self.worked_ms >= millis(policy.min_judged_work)).then(|| self.worked_ms * 100 / gained)
     }
 
-    /// Judges a run. `is_sure` says whether it is known to have been able to work, and `typical_ms`
-    /// how long the whole work takes similar runs.
+    /// Judges a run. `is_confirmed` says whether the run is known to have been able to work: for
+    /// a gang, whether all members run and one has made progress. `typical_ms` is how long similar
+    /// runs take for the whole work.
     pub(super) fn verdict(
         &self,
-        is_sure: bool,
+        is_confirmed: bool,
         typical_ms: Option<u64>,
         stop_max: Duration,
         policy: &PacePolicy,
@@ -63,19 +64,19 @@
         if self.left == 0 {
             return Verdict::Fine;
         }
-        if self.stalled_ms >= self.stall_limit_ms(is_sure, policy) {
+        if self.stalled_ms >= self.stall_limit_ms(is_confirmed, policy) {
             return Verdict::Stalled;
         }
         match typical_ms {
-            Some(typical_ms) if is_sure && self.is_slow(typical_ms, stop_max, policy) => {
+            Some(typical_ms) if is_confirmed && self.is_slow(typical_ms, stop_max, policy) => {
                 Verdict::Slow
             }
             _ => Verdict::Fine,
         }
     }
 
-    fn stall_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
-        let (min_stall, divisor) = match (is_sure, self.gained) {
+    fn stall_limit_ms(&self, is_confirmed: bool, policy: &PacePolicy) -> u64 {
+        let (min_stall, divisor) = match (is_confirmed, self.gained) {
             (false, _) => (policy.unconfirmed_stall, policy.unconfirmed_stall_divisor),
             (true, 0) => (policy.stall_from_start, policy.stall_divisor),
             (true, _) => (policy.stall_later, policy.stall_divisor),
@@ -83,7 +84,8 @@
         millis(min_stall).max(self.expected_ms / divisor)
     }
 
-    /// Returns whether the run is far slower than similar runs and would end sooner if moved.
+    /// Returns whether the run is a straggler: far slower than similar runs, and done sooner on
+    /// another worker.
     fn is_slow(&self, typical_ms: u64, stop_max: Duration, policy: &PacePolicy) -> bool {
         let Some(duration_ms) = self.min_duration_ms(policy) else {
             return false;
--- a/crates/stairstall-core/src/batch/planner/timelines.rs
+++ b/crates/stairstall-core/src/batch/planner/timelines.rs
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Marks every job as changed that has a run on a worker.
+    /// Marks every job that has a run on a worker as changed.
     pub(super) fn mark_timelines_changed_at(&mut self, id: &WorkerId) {
         let runs = self.workers.get(id).map(|worker| worker.runs.keys());
         let jobs = runs
@@ -74,7 +74,7 @@
                     step,
                 };
                 if job.is_ready(occurrence, step as usize) {
-                    let phase = self.span_of_group(&key, group, job);
+                    let phase = self.phase_of_group(&key, group, job);
                     least_advanced = [least_advanced, phase].into_iter().flatten().min();
                 }
             }
@@ -82,7 +82,8 @@
         least_advanced
     }
 
-    pub(super) fn span_of_group(
+    /// Returns the least advanced phase among the open tasks of a step, or `None` if all are done.
+    pub(super) fn phase_of_group(
         &self,
         key: &GroupKey,
         group: &TaskGroup,
@@ -92,7 +93,7 @@
             return Some(JobPhase::WaitingForCapacity);
         }
         let open = (0..).zip(&group.tasks).filter(|(_, task)| !task.done);
-        let phases = open.map(|(index, task)| match &task.place {
+        let phases = open.map(|(index, task)| match &task.worker {
             None => JobPhase::WaitingForCapacity,
             Some(worker) => self.phase_of_run(worker, &key.task(index), job),
         });
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -7,10 +7,7 @@
 use super::job::Job;
 use super::{Now, Planner};
 use crate::CustomerId;
-use crate::batch::{
-    CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec,
-    Timeliness,
-};
+use crate::batch::{CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec, Timeliness};
 use crate::time::millis;
 
 /// Weight of every customer: beyond the guaranteed shares, all customers are equal.
@@ -19,23 +16,25 @@
 /// The part of the fleet that a running step uses.
 struct RunningShare {
     customer: Option<CustomerId>,
+    /// Dominant share: the largest of the step's shares of the fleet's processors, memory and
+    /// accelerators, in parts per million.
     share_ppm: u64,
     /// Expected remaining time.
     remaining: Duration,
 }
 
 impl Planner {
-    /// Returns the customers with the highest recent usage, at most `most` of them, and the usage
+    /// Returns the customers with the highest recent usage, at most `max` of them, and the usage
     /// that each would have if all had used equally much, in milliseconds of the whole fleet.
     #[must_use]
-    pub fn customer_usage(&self, most: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
+    pub fn customer_usage(&self, max: usize, now: Now) -> (Vec<CustomerUsageTotal>, u64) {
         (
-            self.usage.top_customers(most, now.at),
+            self.usage.top_customers(max, now.at),
             self.usage.mean_used_ms(now.at),
         )
     }
 
-    /// Charges the running steps to their customers' usage.
+    /// Adds what the running steps use to their customers' usage.
     pub(super) fn charge_customers(&mut self, now: Now) {
         let workers = &self.workers;
         let fleet = || {
@@ -44,12 +43,13 @@
                 sum.plus(&worker.listed.capacity)
             })
         };
-        let Some(held) = self.usage.begin_charge_interval(fleet, now.at) else {
+        let Some(interval) = self.usage.begin_charge_interval(fleet, now.at) else {
             return;
         };
         for share in self.running_shares() {
             let customer = share.customer.as_ref();
-            self.usage.charge(customer, share.share_ppm, held, now.at);
+            self.usage
+                .charge(customer, share.share_ppm, interval, now.at);
             self.usage
                 .add_commitment(customer, share.share_ppm, share.remaining);
         }
@@ -79,6 +79,7 @@
         shares.collect()
     }
 
+    /// Returns whether a step's job was guaranteed when the ranks of runs were last set.
     pub(super) fn is_guaranteed(&self, key: &GroupKey) -> bool {
         let guaranteed = self.ranked_guaranteed_jobs.as_ref();
         guaranteed.is_some_and(|guaranteed| guaranteed.contains(&key.job))
@@ -109,7 +110,13 @@
     }
 
     /// Returns the scheduling key of a step among others of its rank, without its customer's usage.
-    pub(super) fn turn_of(&self, rank: u8, key: &GroupKey, job: &Job, now: Now) -> SchedulingKey {
+    pub(super) fn scheduling_key_of(
+        &self,
+        rank: u8,
+        key: &GroupKey,
+        job: &Job,
+        now: Now,
+    ) -> SchedulingKey {
         // A job that was rejected before goes ahead of later work of its rank and customer.
         let requested_before_ms = job.accepted.requested_before_ms();
         if rank <= URGENT_RANK {
@@ -151,7 +158,7 @@
         let total_ms = critical_paths.iter().max().copied().unwrap_or(0);
         let from_here_ms = critical_paths.get(key.step as usize).copied().unwrap_or(0);
         let objective = CompletionObjective {
-            eligible_unix_ms: job.due_unix_ms(key.occurrence),
+            eligible_unix_ms: job.eligible_unix_ms(key.occurrence),
             span_ms: job.objective_span_ms(total_ms),
         };
         let saved_ms = self.saved_ms(key, job, now);
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -21,7 +21,7 @@
             job.accepted.queue.priority.saturating_add(1)
         };
         let customer = job.accepted.customer.as_ref();
-        let scheduling_key = self.turn_of(rank, &key, job, now);
+        let scheduling_key = self.scheduling_key_of(rank, &key, job, now);
         let reason = reason.unwrap_or_else(|| {
             let key = key.clone();
             self.capacity_wait_reason(
@@ -43,8 +43,8 @@
         })
     }
 
-    /// Returns the first open step that is waiting, and what it waits for if that isn't free
-    /// capacity. Returns `None` if no step is waiting.
+    /// Returns the first open step that is waiting, and what it waits for. The reason is `None` if
+    /// it waits for free capacity. Returns `None` if no step is waiting.
     fn first_waiting_step(&self, job: &Job, now: Now) -> Option<(GroupKey, Option<WaitReason>)> {
         for (occurrence, groups) in (0..).zip(&job.occurrences) {
             for (step, group) in groups.iter().enumerate() {
@@ -72,10 +72,13 @@
             occurrence: u32::try_from(job.occurrences.len()).unwrap_or(u32::MAX),
             step: 0,
         };
-        let is_later = job.next_due_unix_ms().is_some_and(|due| due > now.unix_ms);
+        let is_later = job
+            .next_eligible_unix_ms()
+            .is_some_and(|due| due > now.unix_ms);
         is_later.then_some((next, Some(WaitReason::ScheduledTime)))
     }
 
+    /// Returns why a step with waiting tasks has no placement for them.
     fn capacity_wait_reason(&self, candidate: &Candidate, now: Now) -> WaitReason {
         if let Some(expected_start) = self.expected_start(&candidate.key) {
             return WaitReason::ReservedCapacity(expected_start - now.at);
