--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -28,7 +28,7 @@
         }
         /// The job has too many tasks.
         TooManyTasks(count: u64) {
-            display("a job has at most {MAX_TASKS} tasks in all occurrences, this one has {count}")
+            display("a job has at most {MAX_TASKS} tasks over all its times, this one has {count}")
         }
         /// A step depends on itself or on a later one.
         InvalidDependency(step: usize, on: u32) {
@@ -36,7 +36,7 @@
         }
         /// A schedule has no occurrences, or several without an interval.
         InvalidSchedule {
-            display("a schedule has one or more occurrences, and an interval above 0 if several")
+            display("a schedule has one or more times, and an interval over 0 where more than one")
         }
     }
 }
