--- a/crates/stairstall-core/src/batch/admission.rs
+++ b/crates/stairstall-core/src/batch/admission.rs
@@ -1,7 +1,7 @@
 //! Decides whether a job is accepted, or refused at once because waiting would be in vain.
 //!
-//! Refusals answer two kinds of load: more work than there is capacity for, for longer than results
-//! are of use; and jobs that no worker can ever run.
+//! A job is refused if no worker can ever run it, or if there is so much other work that it would
+//! start too late for its result to be of use.
 
 use std::time::Duration;
 
@@ -109,9 +109,9 @@
 fn is_steady(job: &AcceptedJob, summary: &LoadSummary, policy: &AdmissionPolicy) -> bool {
     let kinds = summary.workers.iter();
     let kinds = kinds.filter(|kind| kind.service == job.queue.service);
-    let is_steady = |ms| Duration::from_millis(ms) >= policy.impossible_min_observed;
-    let shortest = kinds.map(|kind| kind.steady_ms).min();
-    shortest.is_some_and(is_steady)
+    let is_long_enough = |ms| Duration::from_millis(ms) >= policy.impossible_min_observed;
+    let shortest_ms = kinds.map(|kind| kind.steady_ms).min();
+    shortest_ms.is_some_and(is_long_enough)
 }
 
 /// Returns why a step can never run, or none where it can.
@@ -163,7 +163,8 @@
     let margin = policy.margin.max(late_bound * policy.margin_percent / 100);
     first_steps(job).find_map(|(step, path)| {
         let typical = load.summary.typical_run_time(&job.queue.name, path);
-        // If the work alone takes longer than that, submitting it again later would not help.
+        // If the work takes longer than its late bound by itself, its start is not what makes it
+        // late, and submitting it again later would not help.
         let latest_start = late_bound.checked_sub(typical)?;
         let forecast = load
             .summary
--- a/crates/stairstall-core/src/batch/catalog.rs
+++ b/crates/stairstall-core/src/batch/catalog.rs
@@ -1,3 +1,5 @@
+//! Routes, queues and customers, as configured by the operators.
+
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
@@ -15,11 +17,12 @@
     pub priority: u8,
     /// Number of failed runs of a task, or of a gang, at which its job fails.
     pub attempts: u32,
-    /// Objective as a multiple of the work.
+    /// Factor by which the critical path of a job is multiplied to get its objective, before
+    /// `target_ms` is added.
     pub stretch: f64,
-    /// Time added to the objective, in milliseconds.
+    /// Constant part of the objective, in milliseconds.
     pub target_ms: u64,
-    /// How long an adviser's ticket is valid, in milliseconds, where starts need one.
+    /// How long an adviser's ticket is valid, in milliseconds; none where starts need no ticket.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket_valid_ms: Option<u64>,
 }
@@ -50,7 +53,7 @@
     pub guaranteed: u32,
 }
 
-/// Who may use a route with a given key.
+/// Whom a call on a route belongs to, given its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
     /// The call belongs to this customer.
@@ -94,7 +97,7 @@
             .find(|queue| queue.name == name)
     }
 
-    /// Returns who may use `route` with `key`.
+    /// Returns whom a call on `route` with `key` belongs to.
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         let owner = key.and_then(|key| self.customers.iter().find(|c| c.keys.contains(key)));
--- a/crates/stairstall-core/src/batch/decision.rs
+++ b/crates/stairstall-core/src/batch/decision.rs
@@ -1,3 +1,5 @@
+//! Decisions of the planner, as they are logged and explained.
+
 use std::time::Duration;
 
 use super::TaskKey;
@@ -69,7 +71,7 @@
 }
 
 impl Decision {
-    /// Creates a decision that concerns nothing yet.
+    /// Creates a decision without a job, task, run, worker or zone.
     fn new(kind: DecisionKind, why: impl Into<String>) -> Self {
         Self {
             kind,
--- a/crates/stairstall-core/src/batch/demand.rs
+++ b/crates/stairstall-core/src/batch/demand.rs
@@ -26,7 +26,7 @@
     pub hold_time: Option<Duration>,
 }
 
-/// The time for which headroom is kept, and how long demand has been observed.
+/// The time span that headroom is kept for, and how long demand has been observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DemandHorizon {
     /// Headroom is kept for what arrives within this time.
@@ -61,7 +61,7 @@
     hold_time: Option<Duration>,
 }
 
-/// Jobs that arrived within a time, and the headroom for as many, in accelerator-seconds.
+/// Number of jobs that arrived within a time, and the headroom for as many, in accelerator-seconds.
 #[derive(Debug, Clone, Copy, Default)]
 struct Totals {
     jobs: f64,
@@ -181,10 +181,12 @@
     }
 }
 
-/// Returns by how many standard deviations a random count exceeds the expected one, which was
-/// measured over another time, of which the time of the count is `fraction`. The square root of a
-/// Poisson count has a standard deviation of one half whatever its mean, and small counts are not
-/// skewed.
+/// Returns by how many standard deviations a random count exceeds the expected one.
+///
+/// The expected count was measured over another period and scaled to the period of the count;
+/// `fraction` is the length of the latter relative to the former. The counts are compared by their
+/// square roots: that of a Poisson count has a standard deviation of one half whatever its mean,
+/// and small counts are not skewed.
 fn deviations(count: f64, expected: f64, fraction: f64) -> f64 {
     let root = |count: f64| (count + 0.375).sqrt();
     (root(count) - root(expected)) * 2.0 / (1.0 + fraction).sqrt()
--- a/crates/stairstall-core/src/batch/explanation.rs
+++ b/crates/stairstall-core/src/batch/explanation.rs
@@ -1,4 +1,4 @@
-//! Explanation of where a job stands, for operators and callers.
+//! Explanation of the state of a job, for operators and callers.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::time::millis;
 use crate::{CustomerId, JobId, ZoneId};
 
-/// Where a job stands and what it waits for, as known to the planner.
+/// State of a job and what it waits for, as known to the planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobExplanation {
     /// Id of the job.
@@ -39,7 +39,7 @@
     pub steps: Vec<StepExplanation>,
 }
 
-/// What a job waits for, and what decides its place in the scheduling order.
+/// What a job waits for, and what decides its position in the scheduling order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitExplanation {
     /// What the job waits for, as text.
@@ -75,7 +75,7 @@
     }
 }
 
-/// Where one step of a job stands.
+/// State of one step of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepExplanation {
     /// Occurrence of a scheduled job, from 0; 0 for other jobs.
--- a/crates/stairstall-core/src/batch/load/fleet.rs
+++ b/crates/stairstall-core/src/batch/load/fleet.rs
@@ -25,7 +25,7 @@
     grown_at: Timestamp,
 }
 
-/// Workers that are present or were so recently.
+/// Numbers of workers that are present or were so recently.
 ///
 /// A worker that leaves, crashes or is moved usually comes back, so work that only it can run does
 /// not become impossible in the meantime.
--- a/crates/stairstall-core/src/batch/load/forecast.rs
+++ b/crates/stairstall-core/src/batch/load/forecast.rs
@@ -10,9 +10,9 @@
     WaitingWork,
 };
 
-/// Part of its typical time that work takes at least, in percent. It applies to all work together:
-/// for single tasks, the callers' estimates are off by half.
-const LEAST_PERCENT: u64 = 50;
+/// Minimum run time of work, in percent of its typical run time. It holds for the total of all work
+/// only: for single tasks, the callers' estimates are off by half.
+const MIN_RUN_TIME_PERCENT: u64 = 50;
 
 impl LoadSummary {
     /// Returns when the work would start; `None` if all workers together are too few for it.
@@ -94,7 +94,7 @@
             },
         );
         let last_start_ms = remaining.millis_in(capacity).saturating_sub(longest_ms);
-        freed_ms.max(last_start_ms) * LEAST_PERCENT / 100
+        freed_ms.max(last_start_ms) * MIN_RUN_TIME_PERCENT / 100
     }
 
     /// Returns whether waiting work certainly starts first: it has a better priority and can use
@@ -106,6 +106,8 @@
         needed: &ResourceTotal,
     ) -> bool {
         let is_gang = request.gang_size > 1;
+        // A gang that fits into the headroom may start first, as gangs whose latest start is near
+        // may use it.
         let overtakes = is_gang && needed.accelerators <= u64::from(self.urgent_accelerators);
         waiting.is_unconstrained
             && waiting.priority < request.priority
@@ -156,8 +158,9 @@
         freed_ms.max(queued_ms + running.millis_in(&usable))
     }
 
-    /// Returns how long the work of the same rank takes that should start first. Customers take
-    /// turns, so each of them gets as much as the customer of the new work has waiting.
+    /// Returns how long the work of the same rank takes that is expected to start first. Capacity
+    /// is shared fairly between customers, so each of them is assumed to get as much as the
+    /// customer of the new work has waiting.
     fn own_rank_ms(&self, request: &ResourceRequest<'_>, usable: &ResourceTotal) -> u64 {
         let all = self.waiting_for_service(request);
         let all = all.filter(|waiting| waiting.priority == request.priority);
--- a/crates/stairstall-core/src/batch/load/work.rs
+++ b/crates/stairstall-core/src/batch/load/work.rs
@@ -1,7 +1,7 @@
 //! Summaries of running and of waiting work.
 //!
-//! Every daemon is sent dozens of these, so they are serialized compactly, as lists of their
-//! fields.
+//! A load summary contains dozens of them and is sent to every daemon, so they are serialized
+//! compactly, as lists of their fields.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/stairstall-core/src/batch/peers.rs
+++ b/crates/stairstall-core/src/batch/peers.rs
@@ -23,7 +23,8 @@
     pub zone: ZoneId,
     /// Where the daemon serves calls of other daemons, as `IP:PORT`.
     pub rpc: String,
-    /// How much the VM's CPU and link fall short of planning for many workers, in percent.
+    /// How far the VM's CPU or link falls short of what planning for many workers needs, in
+    /// percent.
     #[serde(rename = "weakness")]
     pub capacity_shortfall_percent: u32,
 }
@@ -32,7 +33,7 @@
 #[derive(Debug, Clone)]
 struct Peer {
     address: PeerAddress,
-    /// When the peer was last heard of, from itself or from the planner.
+    /// When the peer was last heard of, from itself or through an introduction by the planner.
     introduced_at: Timestamp,
     /// When it last answered.
     answered_at: Option<Timestamp>,
@@ -133,13 +134,13 @@
         }
     }
 
-    /// Returns peers to introduce to `asker`: one of each zone per round, other zones before its
-    /// own. `offset` selects the first peer of each zone, so that not all daemons learn of the same
-    /// ones.
+    /// Returns peers to introduce to `recipient`: one of each zone per round, other zones before
+    /// its own. `offset` selects the first peer of each zone, so that not all daemons learn of the
+    /// same ones.
     #[must_use]
     pub fn peers_to_introduce(
         &self,
-        asker: &PeerAddress,
+        recipient: &PeerAddress,
         offset: usize,
         at: Timestamp,
     ) -> Vec<PeerAddress> {
@@ -147,8 +148,8 @@
         let mut by_zone: BTreeMap<(bool, &ZoneId), Vec<&Peer>> = BTreeMap::new();
         for peer in self.peers.values() {
             let is_recent = at - peer.introduced_at <= forget_after;
-            if is_recent && peer.address.rpc != asker.rpc {
-                let is_same_zone = peer.address.zone == asker.zone;
+            if is_recent && peer.address.rpc != recipient.rpc {
+                let is_same_zone = peer.address.zone == recipient.zone;
                 let of_zone = by_zone
                     .entry((is_same_zone, &peer.address.zone))
                     .or_default();
@@ -218,12 +219,13 @@
         peer.is_none_or(|peer| !peer.has_failed)
     }
 
-    /// Tells whether a daemon that the store does not serve can take no work although others can:
-    /// no peer that the store serves answers, and neither does any peer of another zone.
+    /// Tells whether a daemon that the store does not serve is cut off, so that it can accept no
+    /// work although others can: no peer that the store serves answers, and neither does any peer
+    /// of another zone.
     ///
-    /// A peer that was not probed yet is no evidence, only one that failed to answer is. While
-    /// peers of other zones answer that the store serves nobody, callers gain nothing by going
-    /// there.
+    /// Only a peer that failed to answer counts, not one that was not probed yet. While peers of
+    /// other zones answer that the store does not serve them either, callers gain nothing by being
+    /// sent there.
     #[must_use]
     pub fn is_cut_off(&self, at: Timestamp) -> bool {
         let is_other_zone = |peer: &&Peer| peer.address.zone != self.zone;
--- a/crates/stairstall-core/src/batch/policy.rs
+++ b/crates/stairstall-core/src/batch/policy.rs
@@ -1,6 +1,6 @@
 //! Thresholds, weights and time limits of the planner and of the daemon that runs it.
 //!
-//! The defaults are those of the product. An experiment changes one of them with
+//! The defaults are the values used in production. An experiment changes one of them with
 //! `--policy GROUP.FIELD=VALUE` and compares the results, see docs/EXPERIMENTS.md. GROUP and FIELD
 //! are the serialized names, which differ from the Rust names where a field has a `rename`
 //! attribute. Values that a guarantee depends on, such as the maximum drift of a worker's clock,
@@ -55,7 +55,7 @@
 pub struct Policy {
     /// Placement of tasks on workers.
     pub places: PlacePolicy,
-    /// Preemption: which runs are stopped for which.
+    /// Preemption: which runs are stopped in favour of which.
     pub victims: VictimPolicy,
     /// Accelerators kept free for urgent work.
     pub headroom: HeadroomPolicy,
--- a/crates/stairstall-core/src/batch/policy/daemon.rs
+++ b/crates/stairstall-core/src/batch/policy/daemon.rs
@@ -9,10 +9,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AcceptancePolicy {
-    /// Time limit for settling a write whose answer was lost, while the store serves other calls.
+    /// Time limit for finding out whether a write whose answer was lost has taken effect, while the
+    /// store serves other calls.
     #[serde(with = "super::millis")]
     pub settle_limit: Duration,
-    /// Time limit for settling a write whose answer was lost, while the store serves no calls.
+    /// Time limit for finding out whether a write whose answer was lost has taken effect, while the
+    /// store serves no calls.
     #[serde(with = "super::millis")]
     pub outage_settle_limit: Duration,
     /// Pause between two attempts of a write.
@@ -57,8 +59,8 @@
     /// with `silent_after`, an unresponsive store is noticed well within a second.
     #[serde(with = "super::millis")]
     pub ping_after: Duration,
-    /// How long a ping may be unanswered before the store counts as unavailable. Longer than a
-    /// store needs that is sixty times slower than usual.
+    /// How long a ping may be unanswered before the store counts as unavailable. A store that is
+    /// sixty times slower than usual still answers within this time.
     #[serde(with = "super::millis")]
     pub silent_after: Duration,
     /// Interval between probes of peers while the store does not serve this daemon.
@@ -116,7 +118,8 @@
     /// Longest random delay before a daemon tries to acquire the role, so that not all try at once.
     #[serde(rename = "spread", with = "super::millis")]
     pub max_jitter: Duration,
-    /// Additional delay of a VM that is too weak to plan for many workers.
+    /// Additional delay of a daemon on a VM that is too weak to plan for many workers, multiplied
+    /// by the VM's capacity shortfall.
     #[serde(with = "super::millis")]
     pub weak_delay: Duration,
     /// CPU, in percent of a core, from which a VM counts as strong.
@@ -160,8 +163,8 @@
     /// Maximum number of jobs in one write. The store accepts 32 entries: two per job and one for
     /// the planner role.
     pub jobs_per_write: u16,
-    /// How long the link may need for all writes in flight. Well below the time after which a start
-    /// counts as unanswered.
+    /// Maximum time that the link needs to transfer all writes in flight. Well below the time after
+    /// which a start counts as unanswered.
     #[serde(with = "super::millis")]
     pub link_window: Duration,
 }
--- a/crates/stairstall-core/src/batch/policy/health.rs
+++ b/crates/stairstall-core/src/batch/policy/health.rs
@@ -14,7 +14,7 @@
     /// Number of jobs that must fail in succession on a worker before it is suspect.
     pub failed_jobs: u16,
     /// How long a worker stays suspect after failures, unless a run succeeds there. Worker faults
-    /// on the first sites last about as long.
+    /// seen in operation last about as long.
     #[serde(with = "super::millis")]
     pub suspect_after_failure: Duration,
     /// How long a worker stays suspect after it reported itself unhealthy.
@@ -34,11 +34,12 @@
     #[serde(rename = "heard_lately", with = "super::millis")]
     pub recent_contact: Duration,
     /// Number of crashes of workers running a task at which the task is given up. Two crashes may
-    /// be chance: in incidents on the first sites, each crash affects a seventh of the fleet.
+    /// be a coincidence: in incidents seen in operation, each crash affects a seventh of the fleet.
     pub max_crashes: u32,
     /// Number of crashes of workers at which a task is given up, including workers that had not
-    /// answered its start. It stops work that crashes its workers before they can answer, while a
-    /// start that was sent after a crash leaves four more attempts.
+    /// answered its start. This stops work that crashes its workers before they can answer. A start
+    /// that was sent to a worker which had already crashed counts too, but leaves four more
+    /// attempts.
     pub max_losses: u32,
     /// The loss of a worker is attributed to runs that began within this time before its last
     /// answer, rather than to runs that had worked for longer.
--- a/crates/stairstall-core/src/batch/policy/load.rs
+++ b/crates/stairstall-core/src/batch/policy/load.rs
@@ -27,7 +27,8 @@
     #[serde(rename = "widens_over", with = "super::millis")]
     pub forgotten_after: Duration,
     /// Run time, in percent of the typical one, from which a worker is so slow that urgent work
-    /// ends late there. A worker that is faster by the same factor makes others seem that slow.
+    /// ends late there. A worker that is faster by the same factor counts likewise, since the
+    /// others are that slow in comparison.
     pub late_pace_percent: u16,
     /// Share of known workers, in percent, that must differ in pace before placement considers it.
     #[serde(rename = "uneven_percent")]
@@ -140,7 +141,7 @@
     /// Interval between scans of the current runs.
     #[serde(rename = "look_interval", with = "super::millis")]
     pub scan_interval: Duration,
-    /// Share of its work, in percent, from which a run's own pace predicts its total run time.
+    /// Share of its work, in percent, from which a run's own progress predicts its total run time.
     pub shown_percent: u8,
 }
 
@@ -183,7 +184,8 @@
 pub struct TurnPolicy {
     /// Whether jobs that can still be in time come before those that can't.
     pub by_timeliness: bool,
-    /// A result is of use for this many times the span of its objective.
+    /// Late bound: a result is of use for this many times the span of its objective, the time from
+    /// when the work becomes eligible to its objective.
     pub late_bound: u32,
     /// Whether customers with less usage come first.
     #[serde(rename = "is_fair")]
@@ -199,9 +201,9 @@
     pub usage_interval: Duration,
     /// Maximum number of customers whose usage is tracked.
     pub max_customers: u32,
-    /// A job is aged after this many times the span of its objective; 0 disables ageing.
+    /// A job is aged after this many times the span of its objective; 0 disables aging.
     pub aged_after: u32,
-    /// Interval at which the oldest aged job comes first.
+    /// Interval at which the oldest aged job comes before all other work that is not urgent.
     #[serde(rename = "aged_gap", with = "super::millis")]
     pub aged_interval: Duration,
 }
@@ -213,8 +215,8 @@
     ///
     /// Returns the first inconsistency.
     pub(super) fn check(&self) -> Result<(), PolicyError> {
-        let is_ageing = self.aged_after > 0;
-        let aged_after = if is_ageing { self.aged_after } else { u32::MAX };
+        let is_aging = self.aged_after > 0;
+        let aged_after = if is_aging { self.aged_after } else { u32::MAX };
         ordered(
             self.late_bound,
             aged_after,
@@ -268,7 +270,8 @@
     /// How long absent workers and their labels still count as present.
     #[serde(rename = "remembers_workers_for", with = "super::millis")]
     pub worker_retention: Duration,
-    /// A result is of no use after this many times the span of its objective.
+    /// A result is of no use after this many times the span of its objective, the time from
+    /// acceptance to its objective.
     pub late_objectives: u32,
     /// Jobs whose result is of use for longer than this are never too late: forecasts don't reach
     /// that far, and no caller waits on a connection for them.
@@ -302,7 +305,7 @@
     #[serde(rename = "mark_lease", with = "super::millis")]
     pub max_mark_lifetime: Duration,
     /// Shortest lifetime of the mark that records a refusal in the store. Longer than
-    /// `max_retry_after`, and than a write may be delayed.
+    /// `max_retry_after`, and longer than a write may be delayed.
     #[serde(rename = "mark_lasts", with = "super::millis")]
     pub min_mark_lifetime: Duration,
     /// How long after its start a call may replace the mark of a refusal by the accepted job. Its
@@ -312,11 +315,11 @@
 }
 
 impl AdmissionPolicy {
-    /// Checks that its values go together.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
-    /// Names the first value that doesn't.
+    /// Returns the first inconsistency.
     pub(super) fn check(&self) -> Result<(), PolicyError> {
         ordered(
             self.min_retry_after,
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -11,8 +11,8 @@
     /// Shortest assumed run time of a task. Estimates may be zero.
     #[serde(rename = "min_expected", with = "super::millis")]
     pub min_run_time: Duration,
-    /// How long urgent work waits for free capacity near its data before it is placed elsewhere. A
-    /// third of the work of most urgent jobs on the first sites.
+    /// How long urgent work waits for free capacity near its data before it is placed elsewhere.
+    /// This is a third of the work of most urgent jobs seen in operation.
     #[serde(rename = "near_patience_urgent", with = "super::millis")]
     pub locality_wait_urgent: Duration,
     /// How long other work waits for a worker that is not suspect.
@@ -72,7 +72,7 @@
     }
 }
 
-/// Preemption: which runs are stopped for which.
+/// Preemption: which runs are stopped in favour of which.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct VictimPolicy {
@@ -251,15 +251,15 @@
     pub reports_percent: u32,
     /// Share of the CPU for reports, in percent. Starts may use as much again.
     pub processor_percent: u32,
-    /// Assumed CPU time of a call to a worker, in microseconds. All daemons together take 50 s for
-    /// 125,000 reports and 44,000 starts including all other work.
+    /// Assumed CPU time of a call to a worker, in microseconds. All daemons together use 50 s of
+    /// CPU time for 125,000 reports and 44,000 starts, including all other work.
     pub message_us: u32,
     /// Assumed bytes of a call on the link in addition to its body: headers and packets.
     pub message_bytes: u32,
     /// Assumed bytes of a start order on the link.
     pub start_bytes: u32,
-    /// How long the link may need for all starts in flight. Well below the time after which a start
-    /// counts as unanswered.
+    /// Maximum time that the link needs to transfer all starts in flight. Well below the time after
+    /// which a start counts as unanswered.
     #[serde(with = "super::millis")]
     pub start_window: Duration,
     /// Time between two planning passes over the waiting work, in microseconds per worker. A pass
@@ -305,7 +305,7 @@
     /// How long a run whose task is already done may take to end by itself.
     #[serde(rename = "unwanted_patience", with = "super::millis")]
     pub unwanted_grace: Duration,
-    /// How much longer than a stop takes a planned run waits for its resources.
+    /// How long a planned run waits for its resources in addition to the time that a stop takes.
     #[serde(with = "super::millis")]
     pub planned_margin: Duration,
     /// How long after it was sent an unanswered start order may still be carried out.
@@ -333,9 +333,9 @@
     /// Share of its work, in percent, from which a run stays on a leaving worker to the end.
     pub nearly_done: u8,
     /// Time that must be left on the worker after a run's expected end, at most the time of a stop.
-    /// A run that ends needs no stop, and the notice may hardly be longer than one. 0.1 s instead
-    /// of 0.9 s, the time of a stop, earns 0.009 ± 0.003 more of the amount due in a day (20
-    /// simulated days with each).
+    /// A run that ends needs no stop, and the notice of leaving may hardly be longer than a stop
+    /// takes. In simulations of 20 days each, 0.1 s instead of 0.9 s, the time of a stop, raised
+    /// the earned fraction of the payment due per day by 0.009 ± 0.003.
     #[serde(with = "super::millis")]
     pub end_margin: Duration,
     /// How much longer than the worker's remaining time a nearly done run may need. Workers leave a
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -1,9 +1,11 @@
+//! Records of jobs in the store: what was accepted, and how far it has progressed.
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::timeline::StoredTimeline;
 use serde::{Deserialize, Serialize};
 
+use super::timeline::StoredTimeline;
 use super::{BatchSpec, GroupKey, Incarnation, Queue};
 use crate::claim::Mark;
 use crate::{CustomerId, JobId, WorkerId, ZoneId};
@@ -33,7 +35,8 @@
 }
 
 impl AcceptedJob {
-    /// Maximum time from the first request to the acceptance that is trusted; clocks may step.
+    /// Maximum time from the first request to the acceptance, in milliseconds. A longer one is
+    /// capped, because it may come from a step of a clock.
     const MAX_REQUESTED_BEFORE_MS: u64 = 600_000;
 
     /// Returns when the job was first requested, in milliseconds since the Unix epoch.
@@ -74,9 +77,9 @@
     /// Returns the record that remains once the job's end is stored: its owner and its writer, but
     /// not what it ran.
     ///
-    /// Every planner reads all jobs when it takes over. Including what they ran, 200 ended jobs
-    /// take 1.6 s over a link of 2 Mbit/s, longer than the planner's lease, whose renewals are
-    /// queued behind them.
+    /// Every planner reads all jobs when it takes over. If 200 ended jobs included what they ran,
+    /// reading them over a link of 2 Mbit/s would take 1.6 s. That is longer than the lease of the
+    /// planner role, whose renewals are queued behind them.
     #[must_use]
     pub fn trimmed(&self) -> Self {
         Self {
--- a/crates/stairstall-core/src/batch/resources.rs
+++ b/crates/stairstall-core/src/batch/resources.rs
@@ -1,6 +1,8 @@
+//! Quantities of CPU, memory and accelerators.
+
 use serde::{Deserialize, Serialize};
 
-/// Weight of an accelerator, in CPU cores, where lost work is compared.
+/// Weight of an accelerator, in CPU cores, when the lost work of different runs is compared.
 const CORES_PER_ACCELERATOR: u64 = 8;
 const MILLIS_PER_CORE: u64 = 1000;
 
--- a/crates/stairstall-core/src/batch/run_time.rs
+++ b/crates/stairstall-core/src/batch/run_time.rs
@@ -14,7 +14,7 @@
 pub use stored::StoredRatios;
 pub(in crate::batch) use stored::differ_significantly;
 
-/// Fraction of the work that takes no longer than its typical time.
+/// Fraction of the work that takes no longer than its typical time, which is the median.
 const TYPICAL_FRACTION: f64 = 0.5;
 /// Fraction of the work that takes no longer than its 90th percentile.
 const P90_FRACTION: f64 = 0.9;
@@ -99,7 +99,7 @@
 struct LearnedRatios {
     typical: f64,
     p90: f64,
-    /// Time until which the evidence suffices if there is no more.
+    /// Time until which the evidence suffices if no more is added.
     until: Timestamp,
 }
 
@@ -121,7 +121,7 @@
         self.add(work, at, |ended| ended.add_complete(ratio));
     }
 
-    /// Records the progress of work that was stopped for another reason than its own pace.
+    /// Records the progress of work that was stopped for a reason other than its own pace.
     pub fn record_stopped(
         &mut self,
         work: &EstimatedWork<'_>,
@@ -202,7 +202,7 @@
             })
             .filter(|(_, _, evidence)| evidence.learned_at(at).is_some())
             .map(|(name, customer, evidence)| {
-                let ended = evidence.ended_by(at, half_life);
+                let ended = evidence.ended_aged_to(at, half_life);
                 let stored = StoredRatios::new(name, customer, &ended);
                 (ended.complete_weight(), stored)
             })
@@ -357,7 +357,7 @@
     }
 
     /// Returns the evidence of ended work, aged to a later time.
-    fn ended_by(&self, at: Timestamp, half_life: Duration) -> RatioHistogram {
+    fn ended_aged_to(&self, at: Timestamp, half_life: Duration) -> RatioHistogram {
         let mut ended = self.ended;
         ended.scale(decay(at - self.at, half_life));
         ended
@@ -365,7 +365,7 @@
 
     /// Ages the evidence of ended work to a later time.
     fn age(&mut self, at: Timestamp, half_life: Duration) {
-        self.ended = self.ended_by(at, half_life);
+        self.ended = self.ended_aged_to(at, half_life);
         self.at = self.at.max(at);
     }
 
@@ -374,7 +374,8 @@
         self.age(at, policy.half_life);
         let weight = f64::from(self.ended.complete_weight() + self.running.complete_weight());
         let enough = f64::from(known_from.max(1));
-        // Learned ratios stay valid for one more half-life, as they would come and go otherwise.
+        // Ratios that were learned once need only half as much evidence, so that they do not appear
+        // and disappear at the threshold.
         let least = enough / 2.0;
         let threshold = if self.learned.is_some() {
             least
--- a/crates/stairstall-core/src/batch/scheduling.rs
+++ b/crates/stairstall-core/src/batch/scheduling.rs
@@ -70,8 +70,7 @@
     }
 }
 
-/// Time at which work becomes eligible, and the time after that by which its result should be
-/// there.
+/// When work becomes eligible, and how long after that its result should be there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CompletionObjective {
     /// When the work may first start, in milliseconds since the Unix epoch.
@@ -109,24 +108,24 @@
         self.eligible_unix_ms.saturating_add(wait_ms)
     }
 
-    /// Returns the scheduling key of work that takes another `left_ms` and would start at
+    /// Returns the scheduling key of work that takes another `remaining_ms` and would start at
     /// `at_unix_ms`.
     #[must_use]
     pub const fn scheduling_key(
         &self,
-        left_ms: u64,
+        remaining_ms: u64,
         at_unix_ms: u64,
         policy: &TurnPolicy,
     ) -> SchedulingKey {
         let objective_unix_ms = self.objective_unix_ms();
         let late_bound_unix_ms = self.late_bound_unix_ms(policy);
-        let end_unix_ms = at_unix_ms.saturating_add(left_ms);
+        let end_unix_ms = at_unix_ms.saturating_add(remaining_ms);
         let (timeliness, start_by_unix_ms) =
             if !policy.by_timeliness || end_unix_ms <= objective_unix_ms {
-                let latest_start = objective_unix_ms.saturating_sub(left_ms);
+                let latest_start = objective_unix_ms.saturating_sub(remaining_ms);
                 (Timeliness::InTime, latest_start)
             } else if end_unix_ms <= late_bound_unix_ms {
-                let latest_start = late_bound_unix_ms.saturating_sub(left_ms);
+                let latest_start = late_bound_unix_ms.saturating_sub(remaining_ms);
                 (Timeliness::Late, latest_start)
             } else {
                 (Timeliness::Overdue, self.eligible_unix_ms)
--- a/crates/stairstall-core/src/batch/scheduling/usage.rs
+++ b/crates/stairstall-core/src/batch/scheduling/usage.rs
@@ -1,4 +1,7 @@
 //! Recent resource usage of each customer, for fair sharing between customers.
+//!
+//! Usage is counted in milliseconds of the whole fleet: holding a tenth of the fleet for 1 s counts
+//! as 100 ms.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -90,8 +93,8 @@
     }
 
     /// Begins a new charge interval and clears all commitments. Returns the time since the previous
-    /// one, to be charged to all running work, or `None` if it is too early or fair sharing is
-    /// switched off.
+    /// one began, to be charged to all running work. Returns `None` and changes nothing if it is
+    /// too early or fair sharing is switched off.
     pub fn begin_charge_interval(
         &mut self,
         fleet: impl FnOnce() -> FleetCapacity,
@@ -246,8 +249,8 @@
 
 impl Account {
     fn decayed_ms(&self, half_life: Duration, at: Timestamp) -> f64 {
-        let halvings = (at - self.at).as_secs_f64() / half_life.as_secs_f64().max(0.001);
-        self.used_ms * (-halvings).exp2()
+        let half_lives = (at - self.at).as_secs_f64() / half_life.as_secs_f64().max(0.001);
+        self.used_ms * (-half_lives).exp2()
     }
 }
 
--- a/crates/stairstall-core/src/batch/scheduling/waiting.rs
+++ b/crates/stairstall-core/src/batch/scheduling/waiting.rs
@@ -48,7 +48,7 @@
     pub customer_usage: Duration,
     /// Mean usage of all customers, as time of the whole fleet.
     pub mean_usage: Duration,
-    /// For how long it has been eligible to start.
+    /// For how long the job has been eligible to start.
     pub eligible_for: Duration,
     /// What the job waits for.
     pub reason: WaitReason,
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -1,3 +1,5 @@
+//! Specification of a job: its steps, their dependencies and its schedule.
+
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
--- a/crates/stairstall-core/src/batch/task.rs
+++ b/crates/stairstall-core/src/batch/task.rs
@@ -1,3 +1,5 @@
+//! Keys that identify tasks and their groups.
+
 use std::fmt;
 
 use crate::JobId;
--- a/crates/stairstall-core/src/batch/timeline.rs
+++ b/crates/stairstall-core/src/batch/timeline.rs
@@ -118,7 +118,7 @@
 
 impl Setbacks {
     /// Counts one setback.
-    pub fn note(&mut self, setback: Setback) {
+    pub fn record(&mut self, setback: Setback) {
         *self.0.entry(setback).or_default() += 1;
     }
 
@@ -187,6 +187,7 @@
 }
 
 impl JobTimeline {
+    /// Adds time spent in a phase; without a setback in it, running time also counts as work.
     pub(super) fn add_time(&mut self, phase: JobPhase, spent: Duration) {
         *self.phases.entry(phase).or_default() += spent;
         let had_setback = std::mem::take(&mut self.has_setback_in_phase);
@@ -197,7 +198,7 @@
 
     /// Counts a setback; work done so far has to be repeated.
     pub(super) fn record_setback(&mut self, setback: Setback) {
-        self.setbacks.note(setback);
+        self.setbacks.record(setback);
         self.work = Duration::ZERO;
         self.has_setback_in_phase = self.current.is_some();
     }
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Marks the summary of the job as reported; returns whether it was not reported before.
+    /// Marks the summary of the job as reported. Returns true if it was not reported before.
     pub(super) const fn mark_reported(&mut self) -> bool {
         !std::mem::replace(&mut self.is_reported, true)
     }
--- a/crates/stairstall-core/src/batch/worker.rs
+++ b/crates/stairstall-core/src/batch/worker.rs
@@ -1,3 +1,5 @@
+//! Workers, their reports and their answers to orders.
+
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -61,7 +63,7 @@
     LeaseExpired,
     /// Another member of the run's gang ended.
     GangBroken,
-    /// The other members of the run's gang did not arrive in time.
+    /// The other members of the run's gang did not join in time.
     GangIncomplete,
 }
 
--- a/crates/stairstall-core/src/batch/worker_pace.rs
+++ b/crates/stairstall-core/src/batch/worker_pace.rs
@@ -185,9 +185,9 @@
         }
     }
 
-    /// Returns the members of a gang that its time is evidence for: those that can't be as slow as
-    /// estimated, and a single member of unknown pace if the gang was slow and all others are
-    /// faster.
+    /// Returns the members of a gang whose pace its time is evidence for: those that can't be as
+    /// slow as estimated, and a single member of unknown pace if the gang was slow and all others
+    /// are faster.
     fn members_to_update<'a>(
         &self,
         members: &[&'a WorkerId],
--- a/crates/stairstall-core/src/batch/worker_pace/estimate.rs
+++ b/crates/stairstall-core/src/batch/worker_pace/estimate.rs
@@ -8,8 +8,8 @@
 /// Variance of the logarithm of a worker's pace without evidence; paces from half to twice the
 /// typical one are common.
 pub(super) const UNKNOWN_VARIANCE: f64 = 0.25;
-/// Logarithm of the deviation, about four times, above which a sample is an outlier that says more
-/// about its task than about its worker.
+/// Deviation, as a natural logarithm, above which a sample is an outlier that says more about its
+/// task than about its worker; about a factor of four.
 const OUTLIER_FROM: f64 = 1.4;
 /// Number of standard deviations above which a sample contradicts the estimate.
 const CONTRADICTS_FROM: f64 = 2.0;
--- a/crates/stairstall-core/tests/batch/story.rs
+++ b/crates/stairstall-core/tests/batch/story.rs
@@ -105,9 +105,9 @@
 fn setbacks_are_written_in_one_word() {
     let mut setbacks = Setbacks::default();
     assert_eq!(setbacks.to_string(), "none");
-    setbacks.note(Setback::Preempted);
-    setbacks.note(Setback::Failed);
-    setbacks.note(Setback::Preempted);
+    setbacks.record(Setback::Preempted);
+    setbacks.record(Setback::Failed);
+    setbacks.record(Setback::Preempted);
     assert_eq!(setbacks.to_string(), "failed:1,gave-way:2");
 }
 
