--- a/crates/stairstall-core/src/batch.rs
+++ b/crates/stairstall-core/src/batch.rs
@@ -46,9 +46,9 @@
 };
 pub use policy::{
     AcceptancePolicy, AdmissionPolicy, AdvicePolicy, FlowPolicy, HeadroomPolicy, HealthPolicy,
-    LeavingPolicy, LinkPolicy, OrderPolicy, PacePolicy, PlacePolicy, Policy, PolicyError,
-    ReachPolicy, ReportPolicy, RolePolicy, RunTimePolicy, TakeoverPolicy, TurnPolicy, VictimPolicy,
-    WorkerPacePolicy, WritePolicy,
+    LeavingPolicy, LinkPolicy, OrderPolicy, PeerPolicy, PlacementPolicy, Policy, PolicyError,
+    ReportPolicy, RolePolicy, RunPacePolicy, RunTimePolicy, SchedulingPolicy, TakeoverPolicy,
+    VictimPolicy, WorkerPacePolicy, WritePolicy,
 };
 pub use record::{
     AcceptedJob, CallerState, GroupProgress, Outcome, Progress, RunPlacement, SilentWorker,
--- a/crates/stairstall-core/src/batch/peers.rs
+++ b/crates/stairstall-core/src/batch/peers.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ReachPolicy;
+use super::PeerPolicy;
 use crate::{Timestamp, VmId, ZoneId};
 
 /// Maximum number of peers introduced to a daemon at a time.
@@ -50,7 +50,7 @@
 /// store serves them, and relays work to those that have just confirmed it.
 #[derive(Debug, Clone)]
 pub struct PeerTable {
-    policy: ReachPolicy,
+    policy: PeerPolicy,
     zone: ZoneId,
     peers: BTreeMap<String, Peer>,
 }
@@ -58,7 +58,7 @@
 impl PeerTable {
     /// Creates an empty peer table for a daemon in `zone`.
     #[must_use]
-    pub const fn new(zone: ZoneId, policy: ReachPolicy) -> Self {
+    pub const fn new(zone: ZoneId, policy: PeerPolicy) -> Self {
         Self {
             policy,
             zone,
--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -193,7 +193,7 @@
         self.policy = policy;
         self.paces = WorkerPaces::new(policy.worker_pace);
         self.run_times = RunTimes::new(policy.run_times);
-        self.usage = CustomerUsage::new(policy.turns);
+        self.usage = CustomerUsage::new(policy.scheduling);
         self
     }
 
--- a/crates/stairstall-core/src/batch/planner/adopt.rs
+++ b/crates/stairstall-core/src/batch/planner/adopt.rs
@@ -64,7 +64,7 @@
     /// that report.
     pub(super) fn restore_runs(&mut self, job: &JobId, progress: &Progress, now: Now) {
         for (key, group) in progress.unfinished_groups(job) {
-            for (index, placement) in &group.places {
+            for (index, placement) in &group.placements {
                 let task = key.task(*index);
                 let is_done = self.task(&task).is_some_and(|task| task.done);
                 if !is_done {
--- a/crates/stairstall-core/src/batch/planner/draining.rs
+++ b/crates/stairstall-core/src/batch/planner/draining.rs
@@ -40,7 +40,7 @@
     /// Returns the expected remaining time of a run in milliseconds. A gang ends with its slowest
     /// member.
     fn remaining_run_ms(&self, task: &TaskKey, run: &Run) -> u64 {
-        let min_progress_percent = self.policy.places.min_progress_percent;
+        let min_progress_percent = self.policy.placement.min_progress_percent;
         if !run.gang {
             return run.remaining_ms(min_progress_percent);
         }
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -106,8 +106,8 @@
             // If urgent work preempts the gang a moment later, both lose.
             return 1.0;
         }
-        let due_unix_ms = job.due_unix_ms(candidate.key.occurrence);
-        let latest_start = scheduling_key.start_by_unix_ms;
+        let due_unix_ms = job.eligible_unix_ms(candidate.key.occurrence);
+        let latest_start = scheduling_key.latest_start_unix_ms;
         let whole = Duration::from_millis(latest_start.saturating_sub(due_unix_ms));
         let left = Duration::from_millis(latest_start.saturating_sub(now.unix_ms));
         if whole.is_zero() {
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -192,21 +192,26 @@
     }
 
     /// Returns when the next occurrence becomes eligible, in milliseconds since the Unix epoch.
-    pub(super) fn next_due_unix_ms(&self) -> Option<u64> {
+    pub(super) fn next_eligible_unix_ms(&self) -> Option<u64> {
         if self.outcome.is_some()
             || self.occurrences.len() >= self.accepted.spec.occurrences() as usize
         {
             return None;
         }
         let next = u32::try_from(self.occurrences.len()).unwrap_or(u32::MAX);
-        self.accepted.spec.schedule.map(|s| s.due_unix_ms(next))
+        self.accepted
+            .spec
+            .schedule
+            .map(|s| s.eligible_unix_ms(next))
     }
 
     /// Adds the occurrences that are eligible now. Returns whether there were any.
     pub(super) fn add_due_occurrences(&mut self, now: Now) -> bool {
         let before = self.occurrences.len();
         while self.occurrences.len() < self.accepted.spec.occurrences() as usize {
-            let is_eligible = self.next_due_unix_ms().is_none_or(|due| due <= now.unix_ms);
+            let is_eligible = self
+                .next_eligible_unix_ms()
+                .is_none_or(|due| due <= now.unix_ms);
             if !is_eligible || self.outcome.is_some() {
                 break;
             }
@@ -289,10 +294,10 @@
     }
 
     /// Returns when an occurrence becomes eligible, in milliseconds since the Unix epoch.
-    pub(super) fn due_unix_ms(&self, occurrence: u32) -> u64 {
+    pub(super) fn eligible_unix_ms(&self, occurrence: u32) -> u64 {
         let schedule = self.accepted.spec.schedule;
         schedule.map_or(self.accepted.accepted_unix_ms, |schedule| {
-            schedule.due_unix_ms(occurrence)
+            schedule.eligible_unix_ms(occurrence)
         })
     }
 
@@ -300,7 +305,7 @@
     /// since the Unix epoch.
     pub(super) fn objective_unix_ms(&self, occurrence: u32) -> u64 {
         let span_ms = self.objective_span_ms(self.accepted.spec.critical_path_ms());
-        self.due_unix_ms(occurrence).saturating_add(span_ms)
+        self.eligible_unix_ms(occurrence).saturating_add(span_ms)
     }
 
     /// Returns the time from eligibility to the objective, in milliseconds, for a job with this
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -198,7 +198,7 @@
         let (typical, slowdown) = self.typical_at(key, observed.worker, now)?;
         let total = observed
             .run
-            .projected_total(self.policy.pace.min_judged_work);
+            .projected_total(self.policy.run_pace.min_judged_work);
         Some(RunProgress {
             worker: observed.worker,
             projected_total: total.map(|total| total / slowdown.max(1)),
--- a/crates/stairstall-core/src/batch/planner/placement.rs
+++ b/crates/stairstall-core/src/batch/planner/placement.rs
@@ -74,7 +74,7 @@
             }
         }
         let waited = now.at - ready_since;
-        if step.gang && !waiting.is_empty() && waited >= self.policy.places.reserve_after {
+        if step.gang && !waiting.is_empty() && waited >= self.policy.placement.reserve_after {
             self.reserve_workers(candidate, &step, &mut pass.reserved, now);
         }
     }
@@ -152,7 +152,7 @@
 
     pub(super) fn estimate_ms(&self, step: &StepSpec) -> u64 {
         step.estimate_ms
-            .max(crate::time::millis(self.policy.places.min_run_time))
+            .max(crate::time::millis(self.policy.placement.min_run_time))
     }
 
     /// Returns the expected run time of a task on a worker, in milliseconds.
@@ -190,7 +190,7 @@
         let job = self.jobs.get(&key.job);
         let caller_zone = job
             .and_then(|job| job.accepted.zone.clone())
-            .filter(|_| self.policy.places.prefers_callers_zone);
+            .filter(|_| self.policy.placement.prefers_callers_zone);
         let protected_rank = self.protected_rank_for(candidate, now);
         let needs = step.reserved_resources();
         let is_advised = self.ticket_validity(key).is_some();
@@ -261,9 +261,9 @@
     /// Returns how long work waits for the most suitable workers after failures or crashes.
     pub(super) const fn suspect_wait_limit(&self, urgent: bool) -> Duration {
         if urgent {
-            self.policy.places.suspect_wait_urgent
+            self.policy.placement.suspect_wait_urgent
         } else {
-            self.policy.places.suspect_wait
+            self.policy.placement.suspect_wait
         }
     }
 
--- a/crates/stairstall-core/src/batch/planner/placement/cost.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/cost.rs
@@ -6,7 +6,7 @@
 use super::super::candidate_worker::CandidateWorker;
 use super::super::pool::{CrashSuspicion, Worker};
 use super::super::{Now, Planner};
-use crate::batch::{GroupKey, PlacePolicy, StepSpec, WorkerPacePolicy};
+use crate::batch::{GroupKey, PlacementPolicy, StepSpec, WorkerPacePolicy};
 use crate::time::millis;
 use crate::{JobId, Timestamp, WorkerId};
 
@@ -21,7 +21,7 @@
     /// The job, if workers were lost under a task of the step.
     suspect_job: Option<&'a JobId>,
     far_factor: u32,
-    policy: &'a PlacePolicy,
+    policy: &'a PlacementPolicy,
 }
 
 impl PlacementCosts<'_> {
@@ -125,7 +125,7 @@
             return 0.0;
         }
         let own_factor = worker.pace.factor;
-        fraction(self.policy.usual_pace_cost_percent) * factor / (own_factor * own_factor)
+        fraction(self.policy.typical_pace_cost_percent) * factor / (own_factor * own_factor)
     }
 
     fn samples_pace(&self, worker: &CandidateWorker) -> bool {
@@ -159,9 +159,9 @@
             return None;
         }
         let job = self.jobs.get(&key.job)?;
-        let eligible_ms = job.due_unix_ms(key.occurrence);
+        let eligible_ms = job.eligible_unix_ms(key.occurrence);
         let objective_ms = job.objective_unix_ms(key.occurrence);
-        let late_bound = u64::from(self.policy.turns.late_bound);
+        let late_bound = u64::from(self.policy.scheduling.late_bound);
         let late_bound_ms = eligible_ms + late_bound * objective_ms.saturating_sub(eligible_ms);
         let run_time = self.run_time(key, step, now);
         let is_urgent = candidate.rank <= URGENT_RANK;
@@ -208,7 +208,7 @@
                 .any(|t| t.is_waiting() && !t.losses.is_empty())
                 .then_some(&key.job),
             far_factor: self.bounds.far_factor,
-            policy: &self.policy.places,
+            policy: &self.policy.placement,
         }
     }
 }
--- a/crates/stairstall-core/src/batch/planner/placement/reservations.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/reservations.rs
@@ -55,7 +55,7 @@
     ) {
         let key = &candidate.key;
         let known = self.reservations.get(key);
-        let limit = usize::from(self.policy.places.max_reservations);
+        let limit = usize::from(self.policy.placement.max_reservations);
         // A gang that is already late is not worth the work that the reserved capacity could do.
         let is_in_time = candidate.turn.timeliness == Timeliness::InTime;
         if known.is_none() && (!is_in_time || self.reservations.len() >= limit) {
@@ -96,7 +96,7 @@
         now: Now,
     ) -> ReservedWorkers {
         let mut reserved = ReservedWorkers::default();
-        let keeps_reservations = self.policy.places.keeps_reservations;
+        let keeps_reservations = self.policy.placement.keeps_reservations;
         self.reservations.retain(|key, reservation| {
             let candidate = candidates.iter().find(|one| one.key == *key);
             let has_passed = now.at > reservation.backfill_until + RESERVATION_GRACE;
@@ -143,7 +143,7 @@
         id: &WorkerId,
         now: Now,
     ) -> bool {
-        if !self.policy.places.backfills || step.long_running {
+        if !self.policy.placement.backfills || step.long_running {
             return false;
         }
         let p90_ms = crate::time::millis(self.run_time(&candidate.key, step, now).p90);
@@ -186,7 +186,7 @@
         reserved: &ReservedWorkers,
     ) -> Vec<WorkerAvailability<'_>> {
         let service = self.service_of(&candidate.key);
-        let min_progress_percent = self.policy.places.min_progress_percent;
+        let min_progress_percent = self.policy.placement.min_progress_percent;
         let resources = step.reserved_resources();
         let mut available: Vec<WorkerAvailability<'_>> = self
             .workers
--- a/crates/stairstall-core/src/batch/planner/placement/scope.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/scope.rs
@@ -34,11 +34,11 @@
         let prefers_near = step.near_rack.is_some() || (step.gang && step.same_rack);
         let wait_limit = if candidate.rank == GUARANTEED_RANK {
             self.policy
-                .places
+                .placement
                 .locality_wait_urgent
                 .max(self.guaranteed_wait_limit())
         } else if urgent {
-            self.policy.places.locality_wait_urgent
+            self.policy.placement.locality_wait_urgent
         } else {
             Duration::from_millis(self.estimate_ms(step))
         };
--- a/crates/stairstall-core/src/batch/planner/progress.rs
+++ b/crates/stairstall-core/src/batch/planner/progress.rs
@@ -141,7 +141,7 @@
             occurrences: occurrences
                 .map(|groups| groups.iter().map(TaskGroup::progress).collect())
                 .collect(),
-            story: self.outcome.is_none().then(|| self.timeline.to_stored(now)),
+            timeline: self.outcome.is_none().then(|| self.timeline.to_stored(now)),
         }
     }
 
@@ -150,9 +150,9 @@
         self.ended_unix_ms = progress.ended_unix_ms;
         self.ended_at = progress.outcome.map(|_| now.at);
         self.has_started = progress.begun;
-        if let Some(stored) = &progress.story {
+        if let Some(stored) = &progress.timeline {
             let mut groups = progress.occurrences.iter().flatten();
-            let has_placements = groups.any(|group| !group.places.is_empty());
+            let has_placements = groups.any(|group| !group.placements.is_empty());
             self.timeline = JobTimeline::restore(stored, has_placements, now);
         }
         while self.occurrences.len() < progress.occurrences.len() {
@@ -184,7 +184,7 @@
                 .map(|(index, task)| (index, task.last_failed_run))
                 .collect(),
             last_run: self.last_run,
-            places: (0..)
+            placements: (0..)
                 .zip(&self.tasks)
                 .filter_map(|(index, task)| Some((index, task.stored_placement()?)))
                 .collect(),
@@ -211,7 +211,7 @@
             task.done = mark == DONE;
             task.failures = mark.to_digit(10).unwrap_or(0);
         }
-        for (index, placement) in &stored.places {
+        for (index, placement) in &stored.placements {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.place = Some(placement.worker.clone());
                 task.run = placement.run;
--- a/crates/stairstall-core/src/batch/planner/queue.rs
+++ b/crates/stairstall-core/src/batch/planner/queue.rs
@@ -42,7 +42,7 @@
         pass: &mut Pass,
         now: Now,
     ) -> Option<GroupKey> {
-        let policy = &self.policy.turns;
+        let policy = &self.policy.scheduling;
         let interval = policy.aged_interval;
         if self.last_aged_at.is_some_and(|at| now.at - at < interval) {
             return None;
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -131,7 +131,7 @@
             return None;
         }
         let work = self.undisturbed_work(id, task, run, now)?;
-        Some(work.observation(self.policy.run_times.shown_percent))
+        Some(work.observation(self.policy.run_times.min_progress_percent))
     }
 
     /// Returns the undisturbed work of a run, or `None` if anything disturbed the run or its gang.
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -26,7 +26,7 @@
     /// worker.
     pub(super) fn move_stalled_runs(&mut self, now: Now) {
         // There is nothing new to check between two reports.
-        let interval = self.policy.pace.interval.max(self.report_wait() / 2);
+        let interval = self.policy.run_pace.interval.max(self.report_wait() / 2);
         if self
             .last_stall_check_at
             .is_some_and(|at| now.at - at < interval)
@@ -86,22 +86,26 @@
                 run.pace(since, slowdown, self.estimate_ms(step))
             })
             .collect();
-        let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
+        let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.run_pace);
         let any_progress = paces.iter().any(|pace| pace.gained > 0);
         let is_sure = !step.gang || (is_complete && (any_progress || members.len() == 1));
         members
             .iter()
             .zip(&paces)
             .filter_map(|((id, task, run), pace)| {
-                let why =
-                    match pace.verdict(is_sure, typical, self.bounds.stop_max, &self.policy.pace) {
-                        Verdict::Fine => return None,
-                        Verdict::Stalled => "it has stalled",
-                        Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
-                            return None;
-                        }
-                        Verdict::Slow => "it is far slower than the others",
-                    };
+                let why = match pace.verdict(
+                    is_sure,
+                    typical,
+                    self.bounds.stop_max,
+                    &self.policy.run_pace,
+                ) {
+                    Verdict::Fine => return None,
+                    Verdict::Stalled => "it has stalled",
+                    Verdict::Slow if self.is_slow_anywhere(group, id, task, now) => {
+                        return None;
+                    }
+                    Verdict::Slow => "it is far slower than the others",
+                };
                 Some(RunToMove {
                     worker: (*id).clone(),
                     task: (*task).clone(),
@@ -149,7 +153,7 @@
     /// Counts a move of a task, or of its gang once per run. Returns whether the move is allowed.
     fn may_move(&mut self, task: &TaskKey, run: u32) -> bool {
         let key = &task.group;
-        let max_moves = self.policy.pace.max_moves;
+        let max_moves = self.policy.run_pace.max_moves;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return false;
         };
--- a/crates/stairstall-core/src/batch/planner/stuck/pace.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck/pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::batch::PacePolicy;
+use crate::batch::RunPacePolicy;
 use crate::time::millis;
 
 /// The progress of a run according to its worker's last report.
@@ -38,7 +38,7 @@
 impl Pace {
     /// Returns how long the whole work would take at this pace on the rack of its data, in
     /// milliseconds.
-    fn duration_ms(&self, policy: &PacePolicy) -> Option<u64> {
+    fn duration_ms(&self, policy: &RunPacePolicy) -> Option<u64> {
         let is_judged = self.worked_ms >= millis(policy.min_judged_work) && self.gained > 0;
         is_judged
             .then(|| without_slowdown(self.worked_ms * 100 / u64::from(self.gained), self.slowdown))
@@ -46,7 +46,7 @@
 
     /// Returns a lower bound on how long the whole work takes on this worker, in milliseconds. It
     /// allows for the percentage being rounded down to a whole number.
-    fn min_duration_ms(&self, policy: &PacePolicy) -> Option<u64> {
+    fn min_duration_ms(&self, policy: &RunPacePolicy) -> Option<u64> {
         let gained = u64::from(self.gained) + 1;
         (self.worked_ms >= millis(policy.min_judged_work)).then(|| self.worked_ms * 100 / gained)
     }
@@ -58,7 +58,7 @@
         is_sure: bool,
         typical_ms: Option<u64>,
         stop_max: Duration,
-        policy: &PacePolicy,
+        policy: &RunPacePolicy,
     ) -> Verdict {
         if self.left == 0 {
             return Verdict::Fine;
@@ -74,7 +74,7 @@
         }
     }
 
-    fn stall_limit_ms(&self, is_sure: bool, policy: &PacePolicy) -> u64 {
+    fn stall_limit_ms(&self, is_sure: bool, policy: &RunPacePolicy) -> u64 {
         let (min_stall, divisor) = match (is_sure, self.gained) {
             (false, _) => (policy.unconfirmed_stall, policy.unconfirmed_stall_divisor),
             (true, 0) => (policy.stall_from_start, policy.stall_divisor),
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether the run is far slower than similar runs and would end sooner if moved.
-    fn is_slow(&self, typical_ms: u64, stop_max: Duration, policy: &PacePolicy) -> bool {
+    fn is_slow(&self, typical_ms: u64, stop_max: Duration, policy: &RunPacePolicy) -> bool {
         let Some(duration_ms) = self.min_duration_ms(policy) else {
             return false;
         };
@@ -127,7 +127,7 @@
 pub(super) fn typical_duration_ms(
     paces: &[Pace],
     done_ms: &[u64],
-    policy: &PacePolicy,
+    policy: &RunPacePolicy,
 ) -> Option<u64> {
     let mut durations: Vec<u64> = paces
         .iter()
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -50,7 +50,11 @@
     /// Returns the time until the next tick is due if there is no input before.
     #[must_use]
     pub fn next_tick(&self, now: Now) -> Duration {
-        let due = self.jobs.values().filter_map(Job::next_due_unix_ms).min();
+        let due = self
+            .jobs
+            .values()
+            .filter_map(Job::next_eligible_unix_ms)
+            .min();
         let due = due.map(|due| Duration::from_millis(due.saturating_sub(now.unix_ms)));
         let replan = self.replan_at.map(|at| at - now.at);
         due.into_iter()
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -65,7 +65,7 @@
             let first = runs.first();
             let run = first.and_then(|(index, id)| self.run_at(id, &key.task(*index)));
             let remaining_ms = run.map_or(0, |run| {
-                run.remaining_ms(self.policy.places.min_progress_percent)
+                run.remaining_ms(self.policy.placement.min_progress_percent)
             });
             Some(RunningShare {
                 customer: job.accepted.customer.clone(),
@@ -118,7 +118,7 @@
                 .saturating_sub(requested_before_ms);
             return SchedulingKey {
                 objective_unix_ms,
-                start_by_unix_ms: objective_unix_ms,
+                latest_start_unix_ms: objective_unix_ms,
                 ..SchedulingKey::default()
             };
         }
@@ -128,8 +128,8 @@
         if job.step(key).is_some_and(|step| step.long_running) {
             scheduling_key.timeliness = Timeliness::InTime;
         }
-        scheduling_key.start_by_unix_ms = scheduling_key
-            .start_by_unix_ms
+        scheduling_key.latest_start_unix_ms = scheduling_key
+            .latest_start_unix_ms
             .saturating_sub(requested_before_ms);
         scheduling_key
     }
@@ -151,7 +151,7 @@
         let total_ms = critical_paths.iter().max().copied().unwrap_or(0);
         let from_here_ms = critical_paths.get(key.step as usize).copied().unwrap_or(0);
         let objective = CompletionObjective {
-            eligible_unix_ms: job.due_unix_ms(key.occurrence),
+            eligible_unix_ms: job.eligible_unix_ms(key.occurrence),
             span_ms: job.objective_span_ms(total_ms),
         };
         let saved_ms = self.saved_ms(key, job, now);
--- a/crates/stairstall-core/src/batch/planner/victims.rs
+++ b/crates/stairstall-core/src/batch/planner/victims.rs
@@ -91,7 +91,7 @@
         let runs = self.run_index.of_group(key);
         let run = runs.first().and_then(|(id, task)| self.run_at(id, task));
         let remaining_ms = run.map_or(restart_ms, |run| {
-            run.remaining_ms(self.policy.places.min_progress_percent)
+            run.remaining_ms(self.policy.placement.min_progress_percent)
         });
         now.unix_ms + remaining_ms <= objective_unix_ms
             && now.unix_ms + restart_ms > objective_unix_ms
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -65,7 +65,9 @@
             occurrence: u32::try_from(job.occurrences.len()).unwrap_or(u32::MAX),
             step: 0,
         };
-        let is_later = job.next_due_unix_ms().is_some_and(|due| due > now.unix_ms);
+        let is_later = job
+            .next_eligible_unix_ms()
+            .is_some_and(|due| due > now.unix_ms);
         is_later.then_some((next, Some(WaitReason::ScheduledTime)))
     }
 
@@ -82,7 +84,7 @@
             && self.free_accelerators(&mut pass) >= accelerators
             && self.accelerator_allowance(candidate, &mut pass, now) < accelerators;
         if is_reserved {
-            WaitReason::UrgentReserve
+            WaitReason::Headroom
         } else {
             WaitReason::Capacity
         }
--- a/crates/stairstall-core/src/batch/policy.rs
+++ b/crates/stairstall-core/src/batch/policy.rs
@@ -26,12 +26,12 @@
 mod planner;
 
 use check::{ordered, positive};
-pub use daemon::{AcceptancePolicy, LinkPolicy, ReachPolicy, RolePolicy, WritePolicy};
+pub use daemon::{AcceptancePolicy, LinkPolicy, PeerPolicy, RolePolicy, WritePolicy};
 pub use health::HealthPolicy;
-pub use load::{AdmissionPolicy, RunTimePolicy, TurnPolicy, WorkerPacePolicy};
+pub use load::{AdmissionPolicy, RunTimePolicy, SchedulingPolicy, WorkerPacePolicy};
 pub use planner::{
-    AdvicePolicy, FlowPolicy, HeadroomPolicy, LeavingPolicy, OrderPolicy, PacePolicy, PlacePolicy,
-    ReportPolicy, TakeoverPolicy, VictimPolicy,
+    AdvicePolicy, FlowPolicy, HeadroomPolicy, LeavingPolicy, OrderPolicy, PlacementPolicy,
+    ReportPolicy, RunPacePolicy, TakeoverPolicy, VictimPolicy,
 };
 
 quick_error! {
@@ -54,7 +54,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
     /// Placement of tasks on workers.
-    pub places: PlacePolicy,
+    #[serde(rename = "places")]
+    pub placement: PlacementPolicy,
     /// Preemption: which runs are stopped in favour of which.
     pub victims: VictimPolicy,
     /// Accelerators kept free for urgent work.
@@ -62,7 +63,8 @@
     /// How failures, missing answers and crashes count against workers and tasks.
     pub health: HealthPolicy,
     /// Detection of stalled runs and stragglers.
-    pub pace: PacePolicy,
+    #[serde(rename = "pace")]
+    pub run_pace: RunPacePolicy,
     /// How often workers report.
     pub reports: ReportPolicy,
     /// Share of the planner's VM that messages to and from workers may use.
@@ -80,13 +82,15 @@
     /// Learning run times.
     pub run_times: RunTimePolicy,
     /// Scheduling order within a rank.
-    pub turns: TurnPolicy,
+    #[serde(rename = "turns")]
+    pub scheduling: SchedulingPolicy,
     /// Which jobs are refused on submission.
     pub admission: AdmissionPolicy,
     /// Storing submitted jobs and refusals.
     pub acceptance: AcceptancePolicy,
     /// Detection of an unavailable store, and relaying work to peers.
-    pub reach: ReachPolicy,
+    #[serde(rename = "reach")]
+    pub peers: PeerPolicy,
     /// Acquiring and handing over the planner role.
     pub role: RolePolicy,
     /// Writes of job progress to the store.
@@ -114,7 +118,7 @@
         )?;
         self.worker_pace.check()?;
         self.run_times.check()?;
-        self.turns.check()?;
+        self.scheduling.check()?;
         self.admission.check()?;
         ordered(
             self.headroom.recent,
@@ -125,15 +129,15 @@
         positive(self.flow.message_us, "flow.message_us")?;
         positive(self.flow.message_bytes, "flow.message_bytes")?;
         positive(self.flow.start_bytes, "flow.start_bytes")?;
-        positive(self.reach.introductions_per_s, "reach.introductions_per_s")?;
+        positive(self.peers.introductions_per_s, "reach.introductions_per_s")?;
         positive(self.health.max_crashes, "health.max_crashes")?;
         positive(self.health.max_losses, "health.max_losses")?;
-        positive(self.pace.stall_divisor, "pace.still_divisor")?;
+        positive(self.run_pace.stall_divisor, "pace.still_divisor")?;
         positive(
-            self.pace.unconfirmed_stall_divisor,
+            self.run_pace.unconfirmed_stall_divisor,
             "pace.unsure_still_divisor",
         )?;
-        positive(self.pace.gain_divisor, "pace.gain_divisor")?;
+        positive(self.run_pace.gain_divisor, "pace.gain_divisor")?;
         positive(self.role.renewals_per_lease, "role.renewals_per_lease")?;
         positive(self.writing.max_in_flight, "writing.max_under_way")?;
         positive(self.writing.jobs_per_write, "writing.jobs_per_write")
--- a/crates/stairstall-core/src/batch/policy/daemon.rs
+++ b/crates/stairstall-core/src/batch/policy/daemon.rs
@@ -49,9 +49,10 @@
 /// Detection of an unavailable store, and relaying work to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ReachPolicy {
+pub struct PeerPolicy {
     /// Whether a daemon that is cut off reports itself as not ready.
-    pub says_cut_off: bool,
+    #[serde(rename = "says_cut_off")]
+    pub unready_when_cut_off: bool,
     /// Whether work may be relayed to peers that the store serves, rather than to the planner only.
     #[serde(rename = "asks_peers")]
     pub probes_peers: bool,
@@ -92,10 +93,10 @@
     pub forget_after_intervals: u16,
 }
 
-impl Default for ReachPolicy {
+impl Default for PeerPolicy {
     fn default() -> Self {
         Self {
-            says_cut_off: true,
+            unready_when_cut_off: true,
             probes_peers: true,
             ping_after: Duration::from_millis(250),
             silent_after: Duration::from_millis(350),
--- a/crates/stairstall-core/src/batch/policy/load.rs
+++ b/crates/stairstall-core/src/batch/policy/load.rs
@@ -42,7 +42,7 @@
     pub unknown_pace_cost_percent: u16,
     /// Cost of a worker of typical pace for work that has slack, in percent of the work.
     #[serde(rename = "spare_percent")]
-    pub usual_pace_cost_percent: u16,
+    pub typical_pace_cost_percent: u16,
     /// Work has slack if the time to its objective is at least this many percent of its expected
     /// run time.
     #[serde(rename = "margin_percent")]
@@ -106,7 +106,7 @@
             heterogeneous_percent: 10,
             small_fleet_workers: 40,
             unknown_pace_cost_percent: 20,
-            usual_pace_cost_percent: 25,
+            typical_pace_cost_percent: 25,
             slack_percent: 120,
             late_cost_percent: 100,
             min_progress_percent: 15,
@@ -142,7 +142,8 @@
     #[serde(rename = "look_interval", with = "super::millis")]
     pub scan_interval: Duration,
     /// Share of its work, in percent, from which a run's own progress predicts its total run time.
-    pub shown_percent: u8,
+    #[serde(rename = "shown_percent")]
+    pub min_progress_percent: u8,
 }
 
 impl RunTimePolicy {
@@ -173,7 +174,7 @@
             max_sample_weight: 200,
             half_life: Duration::from_secs(6 * 3_600),
             scan_interval: Duration::from_secs(1),
-            shown_percent: 10,
+            min_progress_percent: 10,
         }
     }
 }
@@ -181,7 +182,7 @@
 /// Scheduling order within a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct TurnPolicy {
+pub struct SchedulingPolicy {
     /// Whether jobs that can still be in time come before those that can't.
     pub by_timeliness: bool,
     /// Late bound: a result is of use for this many times the span of its objective, the time from
@@ -208,7 +209,7 @@
     pub aged_interval: Duration,
 }
 
-impl TurnPolicy {
+impl SchedulingPolicy {
     /// Checks that the values are consistent.
     ///
     /// # Errors
@@ -229,7 +230,7 @@
     }
 }
 
-impl Default for TurnPolicy {
+impl Default for SchedulingPolicy {
     fn default() -> Self {
         Self {
             by_timeliness: true,
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -7,7 +7,7 @@
 /// Placement of tasks on workers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct PlacePolicy {
+pub struct PlacementPolicy {
     /// Shortest assumed run time of a task. Estimates may be zero.
     #[serde(rename = "min_expected", with = "super::millis")]
     pub min_run_time: Duration,
@@ -51,7 +51,7 @@
     pub prefers_callers_zone: bool,
 }
 
-impl Default for PlacePolicy {
+impl Default for PlacementPolicy {
     fn default() -> Self {
         Self {
             min_run_time: Duration::from_millis(200),
@@ -167,7 +167,7 @@
 /// Detection of stalled runs and stragglers, which are moved to other workers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct PacePolicy {
+pub struct RunPacePolicy {
     /// Shortest interval between two scans of the runs.
     #[serde(with = "super::millis")]
     pub interval: Duration,
@@ -199,7 +199,7 @@
     pub gain_divisor: u64,
 }
 
-impl Default for PacePolicy {
+impl Default for RunPacePolicy {
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(100),
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -30,8 +30,12 @@
     pub zone: Option<ZoneId>,
     /// When the caller first requested the job, in milliseconds since the Unix epoch, where it was
     /// refused before.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub first_asked_unix_ms: Option<u64>,
+    #[serde(
+        rename = "first_asked_unix_ms",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub first_requested_unix_ms: Option<u64>,
 }
 
 impl AcceptedJob {
@@ -44,7 +48,7 @@
     pub fn first_requested_unix_ms(&self) -> u64 {
         let accepted = self.accepted_unix_ms;
         let oldest = accepted.saturating_sub(Self::MAX_REQUESTED_BEFORE_MS);
-        let requested = self.first_asked_unix_ms.unwrap_or(accepted);
+        let requested = self.first_requested_unix_ms.unwrap_or(accepted);
         requested.clamp(oldest, accepted)
     }
 
@@ -138,8 +142,8 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pub last_run: u32,
     /// Placement of each current run, by index of the task; written before the run is started.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub places: BTreeMap<u32, RunPlacement>,
+    #[serde(rename = "places", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub placements: BTreeMap<u32, RunPlacement>,
     /// Workers lost under unfinished tasks, by index of the task; written before the task is
     /// started again.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
@@ -269,8 +273,8 @@
     #[serde(default)]
     pub occurrences: Vec<Vec<GroupProgress>>,
     /// Timeline of the job up to this write; none once the job has ended.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub story: Option<StoredTimeline>,
+    #[serde(rename = "story", default, skip_serializing_if = "Option::is_none")]
+    pub timeline: Option<StoredTimeline>,
 }
 
 impl Progress {
--- a/crates/stairstall-core/src/batch/scheduling.rs
+++ b/crates/stairstall-core/src/batch/scheduling.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{GroupKey, TurnPolicy};
+use super::{GroupKey, SchedulingPolicy};
 
 mod usage;
 mod waiting;
@@ -46,7 +46,7 @@
     /// compared.
     pub usage_level: u64,
     /// Latest start at which the step keeps its timeliness, in milliseconds since the Unix epoch.
-    pub start_by_unix_ms: u64,
+    pub latest_start_unix_ms: u64,
     /// Objective of the step, in milliseconds since the Unix epoch.
     pub objective_unix_ms: u64,
 }
@@ -58,7 +58,7 @@
         Self {
             timeliness: Timeliness::InTime,
             usage_level: 0,
-            start_by_unix_ms: 0,
+            latest_start_unix_ms: 0,
             objective_unix_ms: 0,
         }
     }
@@ -66,7 +66,7 @@
     /// Returns whether this is the key of the oldest aged step.
     #[must_use]
     pub const fn is_aged(&self) -> bool {
-        self.start_by_unix_ms == 0
+        self.latest_start_unix_ms == 0
     }
 }
 
@@ -89,14 +89,14 @@
     /// Returns the latest time at which a result is still of use, in milliseconds since the Unix
     /// epoch.
     #[must_use]
-    pub const fn late_bound_unix_ms(&self, policy: &TurnPolicy) -> u64 {
+    pub const fn late_bound_unix_ms(&self, policy: &SchedulingPolicy) -> u64 {
         self.after_spans(policy.late_bound)
     }
 
     /// Returns the time from which the work counts as aged, in milliseconds since the Unix epoch;
     /// `None` if aging is switched off.
     #[must_use]
-    pub const fn aged_unix_ms(&self, policy: &TurnPolicy) -> Option<u64> {
+    pub const fn aged_unix_ms(&self, policy: &SchedulingPolicy) -> Option<u64> {
         if policy.aged_after == 0 {
             return None;
         }
@@ -115,12 +115,12 @@
         &self,
         remaining_ms: u64,
         at_unix_ms: u64,
-        policy: &TurnPolicy,
+        policy: &SchedulingPolicy,
     ) -> SchedulingKey {
         let objective_unix_ms = self.objective_unix_ms();
         let late_bound_unix_ms = self.late_bound_unix_ms(policy);
         let end_unix_ms = at_unix_ms.saturating_add(remaining_ms);
-        let (timeliness, start_by_unix_ms) =
+        let (timeliness, latest_start_unix_ms) =
             if !policy.by_timeliness || end_unix_ms <= objective_unix_ms {
                 let latest_start = objective_unix_ms.saturating_sub(remaining_ms);
                 (Timeliness::InTime, latest_start)
@@ -133,7 +133,7 @@
         SchedulingKey {
             timeliness,
             usage_level: 0,
-            start_by_unix_ms,
+            latest_start_unix_ms,
             objective_unix_ms,
         }
     }
--- a/crates/stairstall-core/src/batch/scheduling/usage.rs
+++ b/crates/stairstall-core/src/batch/scheduling/usage.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::admission::virtual_cost;
-use crate::batch::{Resources, TurnPolicy};
+use crate::batch::{Resources, SchedulingPolicy};
 use crate::{CustomerId, Timestamp};
 
 /// The whole fleet, in millionths.
@@ -76,7 +76,7 @@
 /// account.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerUsage {
-    policy: TurnPolicy,
+    policy: SchedulingPolicy,
     fleet: FleetCapacity,
     accounts: BTreeMap<Option<CustomerId>, Account>,
     charged_at: Option<Timestamp>,
@@ -85,7 +85,7 @@
 impl CustomerUsage {
     /// Creates an instance without accounts.
     #[must_use]
-    pub fn new(policy: TurnPolicy) -> Self {
+    pub fn new(policy: SchedulingPolicy) -> Self {
         Self {
             policy,
             ..Self::default()
@@ -221,7 +221,7 @@
 
     /// Returns the policy in use.
     #[must_use]
-    pub const fn policy(&self) -> &TurnPolicy {
+    pub const fn policy(&self) -> &SchedulingPolicy {
         &self.policy
     }
 
--- a/crates/stairstall-core/src/batch/scheduling/waiting.rs
+++ b/crates/stairstall-core/src/batch/scheduling/waiting.rs
@@ -16,7 +16,7 @@
     /// Capacity reserved for it, which should be free after this time.
     ReservedCapacity(Duration),
     /// Capacity that is free but kept as headroom for urgent work.
-    UrgentReserve,
+    Headroom,
     /// Its start: it has placements, but runs are still being stopped there or the record is still
     /// being stored.
     PendingStart,
@@ -31,7 +31,7 @@
             Self::EarlierStep => "an earlier step",
             Self::Capacity => "room, behind others",
             Self::ReservedCapacity(_) => "room that is kept for it",
-            Self::UrgentReserve => "room that is kept for urgent work",
+            Self::Headroom => "room that is kept for urgent work",
             Self::PendingStart => "its start",
         }
     }
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -136,7 +136,7 @@
 impl Schedule {
     /// Returns when an occurrence may start, in milliseconds since the Unix epoch.
     #[must_use]
-    pub const fn due_unix_ms(&self, occurrence: u32) -> u64 {
+    pub const fn eligible_unix_ms(&self, occurrence: u32) -> u64 {
         self.first_unix_ms
             .saturating_add(self.interval_ms.saturating_mul(occurrence as u64))
     }
--- a/crates/stairstall-core/tests/batch/harness/fixtures.rs
+++ b/crates/stairstall-core/tests/batch/harness/fixtures.rs
@@ -63,7 +63,7 @@
         },
         mark: Mark::new("vm-1".parse().expect("an id"), 1, 1),
         zone: None,
-        first_asked_unix_ms: None,
+        first_requested_unix_ms: None,
     }
 }
 
--- a/crates/stairstall-core/tests/batch/reach.rs
+++ b/crates/stairstall-core/tests/batch/reach.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stairstall_core::batch::{PeerAddress, PeerTable, Policy, ReachPolicy};
+use stairstall_core::batch::{PeerAddress, PeerPolicy, PeerTable, Policy};
 use stairstall_core::{Timestamp, VmId, ZoneId};
 
 fn zone(name: &str) -> ZoneId {
@@ -22,8 +22,8 @@
     Timestamp::from_millis(at)
 }
 
-fn policy() -> ReachPolicy {
-    Policy::default().reach
+fn policy() -> PeerPolicy {
+    Policy::default().peers
 }
 
 fn known() -> PeerTable {
--- a/crates/stairstall-core/tests/batch/turns.rs
+++ b/crates/stairstall-core/tests/batch/turns.rs
@@ -24,23 +24,23 @@
 /// A policy under which neither timeliness nor use decides, nothing ages and no date is kept.
 fn without_turns() -> Policy {
     let mut policy = Policy::default();
-    policy.turns.by_timeliness = false;
-    policy.turns.fair_share = false;
-    policy.turns.aged_after = 0;
-    policy.places.keeps_reservations = false;
-    policy.places.backfills = false;
+    policy.scheduling.by_timeliness = false;
+    policy.scheduling.fair_share = false;
+    policy.scheduling.aged_after = 0;
+    policy.placement.keeps_reservations = false;
+    policy.placement.backfills = false;
     policy
 }
 
 fn only_fair() -> Policy {
     let mut policy = without_turns();
-    policy.turns.fair_share = true;
+    policy.scheduling.fair_share = true;
     policy
 }
 
 fn only_timely() -> Policy {
     let mut policy = without_turns();
-    policy.turns.by_timeliness = true;
+    policy.scheduling.by_timeliness = true;
     policy
 }
 
@@ -438,7 +438,7 @@
     let began_ms = began_ms.expect("it is done");
     assert!(began_ms <= 4_500, "{began_ms} ms");
     let mut never = Policy::default();
-    never.places.max_reservations = 0;
+    never.placement.max_reservations = 0;
     let began_ms = wide_among_small(&never);
     assert!(
         began_ms.is_none_or(|began_ms| began_ms > 4_500),
@@ -470,7 +470,7 @@
     assert_eq!(starts(&policy, 2_000), 1, "it ends before the date");
     assert_eq!(starts(&policy, 9_000), 0, "it would delay the gang");
     let mut whole = policy;
-    whole.places.backfills = false;
+    whole.placement.backfills = false;
     assert_eq!(starts(&whole, 2_000), 0);
 }
 
--- a/crates/stairstall-core/tests/load.rs
+++ b/crates/stairstall-core/tests/load.rs
@@ -480,7 +480,7 @@
     let newcomer = submit(&mut fleet, "a-newcomer", 1, step(8, 1));
     let mut back = job("b-back", 1, vec![step(8, 1)]);
     back.accepted_unix_ms = newcomer.accepted_unix_ms + 100;
-    back.first_asked_unix_ms = Some(newcomer.accepted_unix_ms - 5_000);
+    back.first_requested_unix_ms = Some(newcomer.accepted_unix_ms - 5_000);
     fleet.submit(back);
     fleet.given.clear();
     pass(&mut fleet, SPAN_MS + 1_000);
@@ -500,7 +500,7 @@
         (accepted + 4_000, 0),
         (0, 600_000),
     ] {
-        job.first_asked_unix_ms = Some(first);
+        job.first_requested_unix_ms = Some(first);
         assert_eq!(job.requested_before_ms(), before_ms);
     }
     // A record that was written before there was such a time.
@@ -549,7 +549,7 @@
     assert_eq!(serde_json::from_str::<LoadSummary>(&text).unwrap(), summary);
     // With daemons that each ask once in so long, as `HeldLoad` does.
     let policy = AdmissionPolicy::default();
-    let reach = stairstall_core::batch::ReachPolicy::default();
+    let reach = stairstall_core::batch::PeerPolicy::default();
     for daemons in [30, 100, 300_u32] {
         let pause = Duration::from_secs(daemons.into()) / u32::from(reach.introductions_per_s);
         let every = pause
--- a/crates/stairstall-core/tests/turns.rs
+++ b/crates/stairstall-core/tests/turns.rs
@@ -5,7 +5,8 @@
 
 use quickcheck::{Gen, QuickCheck};
 use stairstall_core::batch::{
-    CompletionObjective, CustomerUsage, FleetCapacity, Policy, Resources, Timeliness, TurnPolicy,
+    CompletionObjective, CustomerUsage, FleetCapacity, Policy, Resources, SchedulingPolicy,
+    Timeliness,
 };
 use stairstall_core::{CustomerId, Timestamp};
 
@@ -24,7 +25,7 @@
 }
 
 /// An account of a fleet of 100 workers.
-fn usage(policy: TurnPolicy) -> CustomerUsage {
+fn usage(policy: SchedulingPolicy) -> CustomerUsage {
     let mut usage = CustomerUsage::new(policy);
     usage.begin_charge_interval(fleet, Timestamp::default());
     usage
@@ -32,16 +33,16 @@
 
 #[test]
 fn work_is_in_time_then_late_then_overdue() {
-    let policy = TurnPolicy::default();
+    let policy = SchedulingPolicy::default();
     let wanted = CompletionObjective {
         eligible_unix_ms: 10_000,
         span_ms: 4_000,
     };
     let turn_at = |at_unix_ms| wanted.scheduling_key(1_000, at_unix_ms, &policy);
     assert_eq!(turn_at(13_000).timeliness, Timeliness::InTime);
-    assert_eq!(turn_at(13_000).start_by_unix_ms, 13_000);
+    assert_eq!(turn_at(13_000).latest_start_unix_ms, 13_000);
     assert_eq!(turn_at(13_001).timeliness, Timeliness::Late);
-    assert_eq!(turn_at(13_001).start_by_unix_ms, 21_000);
+    assert_eq!(turn_at(13_001).latest_start_unix_ms, 21_000);
     assert_eq!(turn_at(21_000).timeliness, Timeliness::Late);
     assert_eq!(turn_at(21_001).timeliness, Timeliness::Overdue);
     assert_eq!(wanted.aged_unix_ms(&policy), Some(34_000));
@@ -49,7 +50,7 @@
 
 #[test]
 fn what_can_be_in_time_comes_before_what_is_late_and_that_before_what_nobody_waits_for() {
-    let policy = TurnPolicy::default();
+    let policy = SchedulingPolicy::default();
     let at_unix_ms = 100_000;
     let turn_of = |due_unix_ms| {
         let wanted = CompletionObjective {
@@ -61,7 +62,7 @@
     let (overdue, late, in_time) = (turn_of(60_000), turn_of(80_000), turn_of(99_000));
     assert!(in_time < late);
     assert!(late < overdue);
-    let unsorted = TurnPolicy {
+    let unsorted = SchedulingPolicy {
         by_timeliness: false,
         ..policy
     };
@@ -83,7 +84,7 @@
 
 #[test]
 fn use_counts_half_after_its_half_life_and_is_forgotten_in_the_end() {
-    let mut usage = usage(TurnPolicy::default());
+    let mut usage = usage(SchedulingPolicy::default());
     let acme = customer(1);
     let second = Duration::from_secs(1);
     usage.charge(Some(&acme), 500_000, second, Timestamp::default());
@@ -97,7 +98,7 @@
 
 #[test]
 fn work_that_has_just_started_counts_at_once() {
-    let mut usage = usage(TurnPolicy::default());
+    let mut usage = usage(SchedulingPolicy::default());
     let acme = customer(1);
     usage.add_commitment(Some(&acme), 100_000, Duration::from_secs(10));
     assert_eq!(usage.used_ms(Some(&acme), Timestamp::default()), 1_000);
@@ -108,7 +109,7 @@
 
 #[test]
 fn a_small_difference_of_use_changes_no_order() {
-    let usage = usage(TurnPolicy::default());
+    let usage = usage(SchedulingPolicy::default());
     assert_eq!(
         usage.usage_level(1_010, 0, 1),
         usage.usage_level(1_090, 0, 1)
@@ -122,9 +123,9 @@
 
 #[test]
 fn the_number_of_accounts_is_bounded_and_the_least_used_goes_first() {
-    let mut usage = usage(TurnPolicy {
+    let mut usage = usage(SchedulingPolicy {
         max_customers: 10,
-        ..TurnPolicy::default()
+        ..SchedulingPolicy::default()
     });
     let at = Timestamp::default();
     for number in 0..100 {
@@ -141,29 +142,29 @@
 fn policies_of_turns_are_checked() {
     let check = |turns| {
         let policy = Policy {
-            turns,
+            scheduling: turns,
             ..Policy::default()
         };
         policy.check().is_ok()
     };
-    let policy = TurnPolicy::default();
+    let policy = SchedulingPolicy::default();
     assert!(check(policy));
-    let never_aged = TurnPolicy {
+    let never_aged = SchedulingPolicy {
         aged_after: 0,
         ..policy
     };
     assert!(check(never_aged));
-    let aged_too_soon = TurnPolicy {
+    let aged_too_soon = SchedulingPolicy {
         aged_after: 1,
         ..policy
     };
     assert!(!check(aged_too_soon));
-    let no_step = TurnPolicy {
+    let no_step = SchedulingPolicy {
         usage_step: Duration::ZERO,
         ..policy
     };
     assert!(!check(no_step));
-    let nobody = TurnPolicy {
+    let nobody = SchedulingPolicy {
         max_customers: 0,
         ..policy
     };
@@ -184,7 +185,7 @@
     if sizes.len() < 2 {
         return true;
     }
-    let mut usage = usage(TurnPolicy::default());
+    let mut usage = usage(SchedulingPolicy::default());
     let mut running: Vec<(usize, u64)> = Vec::new();
     let mut had: BTreeMap<usize, u64> = BTreeMap::new();
     for tick in 1..=1_200_u64 {
--- a/crates/stairstalld/src/batch/accept.rs
+++ b/crates/stairstalld/src/batch/accept.rs
@@ -96,7 +96,7 @@
 /// that the store served recently. Without any, returns the planner, unless its last call failed.
 fn relays(node: &Node) -> Vec<String> {
     let planner = node.remote_planner().map(|planner| planner.rpc);
-    if !node.settings.policy.reach.probes_peers {
+    if !node.settings.policy.peers.probes_peers {
         return planner.into_iter().collect();
     }
     let peer_table = lock(&node.peer_table);
@@ -152,7 +152,7 @@
                         };
                     }
                     on_refusal = OnRefusal::Keep;
-                    job.first_asked_unix_ms = first_asked_unix_ms;
+                    job.first_requested_unix_ms = first_asked_unix_ms;
                     expected = revision;
                     continue;
                 }
--- a/crates/stairstalld/src/batch/caller_api.rs
+++ b/crates/stairstalld/src/batch/caller_api.rs
@@ -182,7 +182,7 @@
             spec,
             mark: self.node.next_mark(),
             zone: Some(self.node.settings.zone.clone()),
-            first_asked_unix_ms: None,
+            first_requested_unix_ms: None,
         };
         if let Admission::Refuse(refusal) = admission::decide(self.node, &job) {
             return self.refuse(job, &refusal).await;
--- a/crates/stairstalld/src/batch/encoding/tests.rs
+++ b/crates/stairstalld/src/batch/encoding/tests.rs
@@ -18,7 +18,7 @@
     };
     let group = GroupProgress {
         tasks: "-".repeat(tasks as usize),
-        places: (0..tasks).map(place).collect(),
+        placements: (0..tasks).map(place).collect(),
         ..GroupProgress::default()
     };
     Progress {
--- a/crates/stairstalld/src/batch/node.rs
+++ b/crates/stairstalld/src/batch/node.rs
@@ -101,13 +101,13 @@
             catalog_confirmed: AtomicBool::new(false),
             store_health: StoreHealth::new(
                 settings.policy.acceptance.silent_after,
-                settings.policy.reach.silent_after,
+                settings.policy.peers.silent_after,
             ),
             workers,
             dialect,
             adviser,
             peer_clients: PeerClients::new(settings.policy.acceptance.peer_timeout),
-            peer_table: Mutex::new(PeerTable::new(settings.zone.clone(), settings.policy.reach)),
+            peer_table: Mutex::new(PeerTable::new(settings.zone.clone(), settings.policy.peers)),
             load: LoadCache::new(&settings.policy.admission),
             refusals: Refusals::new(&settings.policy.admission),
             telemetry: Telemetry::new(),
@@ -178,7 +178,7 @@
 
     /// Returns whether callers should use this daemon.
     pub(crate) fn is_ready(&self) -> bool {
-        let is_cut_off = self.settings.policy.reach.says_cut_off && self.is_cut_off();
+        let is_cut_off = self.settings.policy.peers.unready_when_cut_off && self.is_cut_off();
         !self.is_leaving() && self.current_catalog().is_some() && !is_cut_off
     }
 
--- a/crates/stairstalld/src/batch/reachability.rs
+++ b/crates/stairstalld/src/batch/reachability.rs
@@ -19,7 +19,7 @@
 
 /// Pings the store whenever no other call has completed for a while.
 async fn ping_store(node: &Node) {
-    let policy = &node.settings.policy.reach;
+    let policy = &node.settings.policy.peers;
     loop {
         tokio::time::sleep(policy.ping_after / 2).await;
         let now = node.clock.now();
@@ -37,7 +37,7 @@
 
 /// Probes peers, while the store does not serve this daemon, whether it serves them.
 async fn probe_peers(node: &Node) {
-    let policy = &node.settings.policy.reach;
+    let policy = &node.settings.policy.peers;
     let mut was_cut_off = false;
     loop {
         tokio::time::sleep(policy.probe_interval).await;
@@ -60,7 +60,7 @@
 /// Asks one peer for a [`PeerUpdate`] and applies it. Returns how long to wait before the next
 /// call, or `None` if the peer did not answer.
 async fn request_update(node: &Node, rpc: &str) -> Option<Duration> {
-    let timeout = node.settings.policy.reach.probe_timeout;
+    let timeout = node.settings.policy.peers.probe_timeout;
     let version = node.current_catalog().map_or(0, |catalog| catalog.version);
     let client = node.peer_clients.client(rpc)?;
     let requested_at = node.clock.now();
@@ -89,7 +89,7 @@
 
 /// Announces this daemon to the planner, which answers with some other daemons.
 async fn announce(node: &Node) {
-    let mut interval = node.settings.policy.reach.min_introduction_interval;
+    let mut interval = node.settings.policy.peers.min_introduction_interval;
     loop {
         node.back_off(interval).await;
         let now = node.clock.now();
--- a/crates/stairstalld/src/batch/role/handover.rs
+++ b/crates/stairstalld/src/batch/role/handover.rs
@@ -80,7 +80,7 @@
         let Some(client) = node.peer_clients.client(&successor.rpc) else {
             continue;
         };
-        let timeout = node.settings.policy.reach.probe_timeout;
+        let timeout = node.settings.policy.peers.probe_timeout;
         let answer = tokio::time::timeout(timeout, client.offer(offer.clone())).await;
         let wants = matches!(answer, Ok(Ok(true)));
         log::info!(target: "role", token = tenure.token(), successor:% = successor.vm, wants;
