--- a/crates/stairstall-core/src/batch/admission.rs
+++ b/crates/stairstall-core/src/batch/admission.rs
@@ -104,7 +104,7 @@
     })
 }
 
-/// Tells whether the workers of a job's service are known, and no further ones have appeared
+/// Returns whether the workers of a job's service are known, and no further ones have appeared
 /// recently.
 fn is_steady(job: &AcceptedJob, summary: &LoadSummary, policy: &AdmissionPolicy) -> bool {
     let kinds = summary.workers.iter();
--- a/crates/stairstall-core/src/batch/load/work.rs
+++ b/crates/stairstall-core/src/batch/load/work.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct ResourceTotal {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory, in megabytes.
     pub memory_mb: u64,
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct ResourceTime {
-    /// Processor, in cores times milliseconds.
+    /// CPU, in cores times milliseconds.
     pub cpu: u64,
     /// Memory, in megabytes times seconds.
     pub memory: u64,
--- a/crates/stairstall-core/src/batch/peers.rs
+++ b/crates/stairstall-core/src/batch/peers.rs
@@ -212,14 +212,14 @@
         relays.map(|peer| peer.address.rpc.clone()).collect()
     }
 
-    /// Tells whether a peer may answer: it has not failed since its last answer or call.
+    /// Returns whether a peer may answer: it has not failed since its last answer or call.
     #[must_use]
     pub fn may_answer(&self, rpc: &str) -> bool {
         let peer = self.peers.get(rpc);
         peer.is_none_or(|peer| !peer.has_failed)
     }
 
-    /// Tells whether a daemon that the store does not serve is cut off, so that it can accept no
+    /// Returns whether a daemon that the store does not serve is cut off, so that it can accept no
     /// work although others can: no peer that the store serves answers, and neither does any peer
     /// of another zone.
     ///
@@ -239,7 +239,7 @@
     }
 }
 
-/// Tells whether a time is known and no longer ago than `span`.
+/// Returns whether a time is known and no longer ago than `span`.
 fn is_within(since: Option<Timestamp>, at: Timestamp, span: Duration) -> bool {
     since.is_some_and(|since| at - since <= span)
 }
--- a/crates/stairstall-core/src/batch/policy.rs
+++ b/crates/stairstall-core/src/batch/policy.rs
@@ -56,7 +56,7 @@
     /// Placement of tasks on workers.
     #[serde(rename = "places")]
     pub placement: PlacementPolicy,
-    /// Preemption: which runs are stopped in favour of which.
+    /// Preemption: which runs are stopped so that others can start.
     pub victims: VictimPolicy,
     /// Accelerators kept free for urgent work.
     pub headroom: HeadroomPolicy,
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Preemption: which runs are stopped in favour of which.
+/// Preemption: which runs are stopped so that others can start.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct VictimPolicy {
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Tells whether the record no longer contains what the job ran.
+    /// Returns whether the record no longer contains what the job ran.
     #[must_use]
     pub const fn is_trimmed(&self) -> bool {
         self.spec.steps.is_empty()
@@ -211,7 +211,7 @@
 }
 
 impl TaskLosses {
-    /// Tells whether no losses are known.
+    /// Returns whether no losses are known.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.crashes == 0 && self.unanswered == 0 && self.silent.is_empty()
--- a/crates/stairstall-core/src/batch/resources.rs
+++ b/crates/stairstall-core/src/batch/resources.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Tells whether these resources fit into `capacity`.
+    /// Returns whether these resources fit into `capacity`.
     #[must_use]
     pub const fn fits_in(&self, capacity: &Self) -> bool {
         self.cpu_millis <= capacity.cpu_millis
--- a/crates/stairstall-core/src/batch/scheduling/usage.rs
+++ b/crates/stairstall-core/src/batch/scheduling/usage.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the dominant share of `tasks` tasks, in millionths: the largest of their shares of
-    /// the fleet's processors, memory and accelerators.
+    /// the fleet's CPU, memory and accelerators.
     #[must_use]
     pub fn dominant_share_ppm(&self, per_task: &Resources, tasks: u64) -> u64 {
         let share = |needed: u32, available: u64| {
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -103,7 +103,7 @@
 }
 
 impl StepSpec {
-    /// Tells whether the tasks serve users.
+    /// Returns whether the tasks serve users.
     #[must_use]
     pub const fn has_latency_target(&self) -> bool {
         self.latency_target_ms > 0
