--- a/crates/stairstall-core/src/batch/planner/flow.rs
+++ b/crates/stairstall-core/src/batch/planner/flow.rs
@@ -50,8 +50,10 @@
     /// Returns how many reports per second this VM can take.
     fn reports_per_s(&self, policy: &FlowPolicy) -> u64 {
         let bytes = u64::from(policy.message_bytes) + u64::from(self.report_bytes);
-        let link_reports_per_s =
-            self.limits.link_bytes_per_s * u64::from(policy.reports_percent) / 100 / bytes;
+        let link_reports_per_s = self.limits.link_bytes_per_s
+            * u64::from(policy.reports_bandwidth_percent)
+            / 100
+            / bytes;
         link_reports_per_s.min(self.messages_per_s(policy)).max(1)
     }
 
@@ -64,7 +66,7 @@
 
     /// Returns how many messages per second fit into the share of the CPU that is meant for them.
     fn messages_per_s(&self, policy: &FlowPolicy) -> u64 {
-        let percent = u64::from(self.limits.cpu_percent) * u64::from(policy.processor_percent);
+        let percent = u64::from(self.limits.cpu_percent) * u64::from(policy.cpu_percent);
         let us_per_s = percent * 1_000_000 / 10_000;
         us_per_s / u64::from(policy.message_us)
     }
--- a/crates/stairstall-core/src/batch/policy/planner.rs
+++ b/crates/stairstall-core/src/batch/policy/planner.rs
@@ -248,9 +248,11 @@
 pub struct FlowPolicy {
     /// Share of the bandwidth for reports, in percent. The rest is for orders, the list of workers
     /// and callers.
-    pub reports_percent: u32,
-    /// Share of the CPU for reports, in percent. Starts may use as much again.
-    pub processor_percent: u32,
+    #[serde(rename = "reports_percent")]
+    pub reports_bandwidth_percent: u32,
+    /// Share of the CPU for reports, in percent. Starts may use the same share in addition.
+    #[serde(rename = "processor_percent")]
+    pub cpu_percent: u32,
     /// Assumed CPU time of a call to a worker, in microseconds. All daemons together use 50 s of
     /// CPU time for 125,000 reports and 44,000 starts, including all other work.
     pub message_us: u32,
@@ -279,8 +281,8 @@
 impl Default for FlowPolicy {
     fn default() -> Self {
         Self {
-            reports_percent: 35,
-            processor_percent: 25,
+            reports_bandwidth_percent: 35,
+            cpu_percent: 25,
             message_us: 100,
             message_bytes: 350,
             start_bytes: 1_000,
