--- a/crates/stairstall-core/src/batch/load/fleet.rs
+++ b/crates/stairstall-core/src/batch/load/fleet.rs
@@ -7,7 +7,8 @@
 use crate::batch::Resources;
 use crate::{ServiceId, Timestamp};
 
-/// Maximum number of worker kinds in the history. They are merged further in a summary only.
+/// Maximum number of worker kinds in the history; workers of further kinds are not counted. Kinds
+/// are merged further in a summary only.
 const MAX_KINDS: usize = 256;
 /// Maximum number of labels in the history. With more, no label is reported as missing.
 const MAX_KNOWN_LABELS: usize = 4 * MAX_LABELS;
@@ -86,8 +87,9 @@
             .retain(|_, last_seen| at - *last_seen <= retention);
     }
 
-    /// Returns the worker kinds, at most as many as a summary holds. If there are more, kinds of
-    /// the same service are merged, and their workers all count with the largest capacity.
+    /// Returns the worker kinds, at most as many as a summary holds unless there are more services.
+    /// If there are more kinds, those of the same service are merged, and their workers all count
+    /// with the largest capacity.
     #[must_use]
     pub fn kinds(&self, at: Timestamp) -> Vec<WorkerKind> {
         let mut kinds: Vec<WorkerKind> = Vec::new();
