--- a/crates/stairstall-core/src/batch/load/work.rs
+++ b/crates/stairstall-core/src/batch/load/work.rs
@@ -1,7 +1,7 @@
 //! Summaries of running and of waiting work.
 //!
-//! Every daemon is sent dozens of these, so they are serialized compactly, as lists of their
-//! fields.
+//! A load summary contains dozens of them and is sent to every daemon, so they are serialized
+//! compactly, as lists of their fields.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct ResourceTotal {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory, in megabytes.
     pub memory_mb: u64,
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "(u64, u64, u64)")]
 pub struct ResourceTime {
-    /// Processor, in cores times milliseconds.
+    /// CPU, in cores times milliseconds.
     pub cpu: u64,
     /// Memory, in megabytes times seconds.
     pub memory: u64,
--- a/crates/stairstall-core/src/batch/planner/headroom.rs
+++ b/crates/stairstall-core/src/batch/planner/headroom.rs
@@ -108,7 +108,7 @@
             return 1.0;
         }
         let due_unix_ms = job.eligible_unix_ms(candidate.key.occurrence);
-        let latest_start = scheduling_key.start_by_unix_ms;
+        let latest_start = scheduling_key.latest_start_unix_ms;
         let max_wait = Duration::from_millis(latest_start.saturating_sub(due_unix_ms));
         let remaining_wait = Duration::from_millis(latest_start.saturating_sub(now.unix_ms));
         if max_wait.is_zero() {
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -2,9 +2,7 @@
 use std::time::Duration;
 
 use crate::batch::timeline::{JobPhase, JobTimeline};
-use crate::batch::{
-    AcceptedJob, GroupKey, Incarnation, Outcome, RunPlacement, StepSpec, TaskKey, TaskLosses,
-};
+use crate::batch::{AcceptedJob, GroupKey, Incarnation, Outcome, RunPlacement, StepSpec, TaskKey, TaskLosses};
 use crate::{JobId, Timestamp, WorkerId};
 
 use super::Now;
@@ -202,7 +200,10 @@
             return None;
         }
         let next = u32::try_from(self.occurrences.len()).unwrap_or(u32::MAX);
-        self.accepted.spec.schedule.map(|s| s.due_unix_ms(next))
+        self.accepted
+            .spec
+            .schedule
+            .map(|s| s.eligible_unix_ms(next))
     }
 
     /// Adds the occurrences that are eligible now. Returns whether there were any.
@@ -299,7 +300,7 @@
     pub(super) fn eligible_unix_ms(&self, occurrence: u32) -> u64 {
         let schedule = self.accepted.spec.schedule;
         schedule.map_or(self.accepted.accepted_unix_ms, |schedule| {
-            schedule.due_unix_ms(occurrence)
+            schedule.eligible_unix_ms(occurrence)
         })
     }
 
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -4,9 +4,7 @@
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
-use crate::batch::{
-    EstimatedWork, GroupKey, RunTime, RunTimeObservation, RunTimes, StepSpec, TaskKey,
-};
+use crate::batch::{EstimatedWork, GroupKey, RunTime, RunTimeObservation, RunTimes, StepSpec, TaskKey};
 use crate::{RackId, Timestamp, WorkerId};
 
 /// Lower bound of the pace factor by which an observed duration is divided.
@@ -132,7 +130,7 @@
             return None;
         }
         let work = self.undisturbed_work(id, task, run, now)?;
-        Some(work.observation(self.policy.run_times.shown_percent))
+        Some(work.observation(self.policy.run_times.min_progress_percent))
     }
 
     /// Returns the undisturbed work of a run, or `None` if anything disturbed the run or its gang.
--- a/crates/stairstall-core/src/batch/planner/stuck.rs
+++ b/crates/stairstall-core/src/batch/planner/stuck.rs
@@ -26,7 +26,7 @@
     /// worker.
     pub(super) fn move_stalled_runs(&mut self, now: Now) {
         // Between two reports, nothing changes that is checked here.
-        let interval = self.policy.pace.interval.max(self.report_wait() / 2);
+        let interval = self.policy.run_pace.interval.max(self.report_wait() / 2);
         if self
             .last_stall_check_at
             .is_some_and(|at| now.at - at < interval)
@@ -86,7 +86,7 @@
                 run.pace(since, slowdown, self.estimate_ms(step))
             })
             .collect();
-        let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.pace);
+        let typical = pace::typical_duration_ms(&paces, &group.durations_ms, &self.policy.run_pace);
         let any_progress = paces.iter().any(|pace| pace.gained > 0);
         let is_confirmed = !step.gang || (is_complete && (any_progress || members.len() == 1));
         members
@@ -97,7 +97,7 @@
                     is_confirmed,
                     typical,
                     self.bounds.stop_max,
-                    &self.policy.pace,
+                    &self.policy.run_pace,
                 ) {
                     Verdict::Fine => return None,
                     Verdict::Stalled => "it has stalled",
@@ -153,7 +153,7 @@
     /// Counts a move of a task, or of its gang once per run. Returns whether the move is allowed.
     fn may_move(&mut self, task: &TaskKey, run: u32) -> bool {
         let key = &task.group;
-        let max_moves = self.policy.pace.max_moves;
+        let max_moves = self.policy.run_pace.max_moves;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return false;
         };
--- a/crates/stairstall-core/src/batch/planner/waiting.rs
+++ b/crates/stairstall-core/src/batch/planner/waiting.rs
@@ -92,7 +92,7 @@
             && self.free_accelerators(&mut pass) >= accelerators
             && self.accelerator_allowance(candidate, &mut pass, now) < accelerators;
         if is_reserved {
-            WaitReason::UrgentReserve
+            WaitReason::Headroom
         } else {
             WaitReason::Capacity
         }
--- a/crates/stairstall-core/src/batch/record.rs
+++ b/crates/stairstall-core/src/batch/record.rs
@@ -1,9 +1,11 @@
+//! Records of jobs in the store: what was accepted, and how far it has progressed.
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::timeline::StoredTimeline;
 use serde::{Deserialize, Serialize};
 
+use super::timeline::StoredTimeline;
 use super::{BatchSpec, GroupKey, Incarnation, Queue};
 use crate::claim::Mark;
 use crate::{CustomerId, JobId, WorkerId, ZoneId};
@@ -28,12 +30,17 @@
     pub zone: Option<ZoneId>,
     /// When the caller first requested the job, in milliseconds since the Unix epoch, where it was
     /// refused before.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub first_asked_unix_ms: Option<u64>,
+    #[serde(
+        rename = "first_asked_unix_ms",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub first_requested_unix_ms: Option<u64>,
 }
 
 impl AcceptedJob {
-    /// Maximum time from the first request to the acceptance that is trusted; clocks may step.
+    /// Maximum time from the first request to the acceptance, in milliseconds. A longer one is
+    /// capped, because it may come from a step of a clock.
     const MAX_REQUESTED_BEFORE_MS: u64 = 600_000;
 
     /// Returns when the job was first requested, in milliseconds since the Unix epoch.
@@ -41,7 +48,7 @@
     pub fn first_requested_unix_ms(&self) -> u64 {
         let accepted = self.accepted_unix_ms;
         let oldest = accepted.saturating_sub(Self::MAX_REQUESTED_BEFORE_MS);
-        let requested = self.first_asked_unix_ms.unwrap_or(accepted);
+        let requested = self.first_requested_unix_ms.unwrap_or(accepted);
         requested.clamp(oldest, accepted)
     }
 
@@ -74,9 +81,9 @@
     /// Returns the record that remains once the job's end is stored: its owner and its writer, but
     /// not what it ran.
     ///
-    /// Every planner reads all jobs when it takes over. Including what they ran, 200 ended jobs
-    /// take 1.6 s over a link of 2 Mbit/s, longer than the planner's lease, whose renewals are
-    /// queued behind them.
+    /// Every planner reads all jobs when it takes over. If 200 ended jobs included what they ran,
+    /// reading them over a link of 2 Mbit/s would take 1.6 s. That is longer than the lease of the
+    /// planner role, whose renewals are queued behind them.
     #[must_use]
     pub fn trimmed(&self) -> Self {
         Self {
@@ -85,7 +92,7 @@
         }
     }
 
-    /// Tells whether the record no longer contains what the job ran.
+    /// Returns whether the record no longer contains what the job ran.
     #[must_use]
     pub const fn is_trimmed(&self) -> bool {
         self.spec.steps.is_empty()
@@ -135,8 +142,8 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pub last_run: u32,
     /// Placement of each current run, by index of the task; written before the run is started.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub places: BTreeMap<u32, RunPlacement>,
+    #[serde(rename = "places", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub placements: BTreeMap<u32, RunPlacement>,
     /// Workers lost under unfinished tasks, by index of the task; written before the task is
     /// started again.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
@@ -204,7 +211,7 @@
 }
 
 impl TaskLosses {
-    /// Tells whether no losses are known.
+    /// Returns whether no losses are known.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.crashes == 0 && self.unanswered == 0 && self.silent.is_empty()
@@ -266,8 +273,8 @@
     #[serde(default)]
     pub occurrences: Vec<Vec<GroupProgress>>,
     /// Timeline of the job up to this write; none once the job has ended.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub story: Option<StoredTimeline>,
+    #[serde(rename = "story", default, skip_serializing_if = "Option::is_none")]
+    pub timeline: Option<StoredTimeline>,
 }
 
 impl Progress {
--- a/crates/stairstall-core/src/batch/resources.rs
+++ b/crates/stairstall-core/src/batch/resources.rs
@@ -1,6 +1,8 @@
+//! Quantities of CPU, memory and accelerators.
+
 use serde::{Deserialize, Serialize};
 
-/// Weight of an accelerator, in CPU cores, where lost work is compared.
+/// Weight of an accelerator, in CPU cores, when the lost work of different runs is compared.
 const CORES_PER_ACCELERATOR: u64 = 8;
 const MILLIS_PER_CORE: u64 = 1000;
 
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Tells whether these resources fit into `capacity`.
+    /// Returns whether these resources fit into `capacity`.
     #[must_use]
     pub const fn fits_in(&self, capacity: &Self) -> bool {
         self.cpu_millis <= capacity.cpu_millis
--- a/crates/stairstall-core/src/batch/scheduling/usage.rs
+++ b/crates/stairstall-core/src/batch/scheduling/usage.rs
@@ -1,10 +1,13 @@
 //! Recent resource usage of each customer, for fair sharing between customers.
+//!
+//! Usage is counted in milliseconds of the whole fleet: holding a tenth of the fleet for 1 s counts
+//! as 100 ms.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::admission::virtual_cost;
-use crate::batch::{Resources, TurnPolicy};
+use crate::batch::{Resources, SchedulingPolicy};
 use crate::{CustomerId, Timestamp};
 
 /// The whole fleet, in millionths.
@@ -34,7 +37,7 @@
     }
 
     /// Returns the dominant share of `tasks` tasks, in millionths: the largest of their shares of
-    /// the fleet's processors, memory and accelerators.
+    /// the fleet's CPU, memory and accelerators.
     #[must_use]
     pub fn dominant_share_ppm(&self, per_task: &Resources, tasks: u64) -> u64 {
         let share = |needed: u32, available: u64| {
@@ -73,7 +76,7 @@
 /// account.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerUsage {
-    policy: TurnPolicy,
+    policy: SchedulingPolicy,
     fleet: FleetCapacity,
     accounts: BTreeMap<Option<CustomerId>, Account>,
     charged_at: Option<Timestamp>,
@@ -82,7 +85,7 @@
 impl CustomerUsage {
     /// Creates an instance without accounts.
     #[must_use]
-    pub fn new(policy: TurnPolicy) -> Self {
+    pub fn new(policy: SchedulingPolicy) -> Self {
         Self {
             policy,
             ..Self::default()
@@ -90,8 +93,8 @@
     }
 
     /// Begins a new charge interval and clears all commitments. Returns the time since the previous
-    /// one, to be charged to all running work, or `None` if it is too early or fair sharing is
-    /// switched off.
+    /// one began, to be charged to all running work. Returns `None` and changes nothing if it is
+    /// too early or fair sharing is switched off.
     pub fn begin_charge_interval(
         &mut self,
         fleet: impl FnOnce() -> FleetCapacity,
@@ -218,7 +221,7 @@
 
     /// Returns the policy in use.
     #[must_use]
-    pub const fn policy(&self) -> &TurnPolicy {
+    pub const fn policy(&self) -> &SchedulingPolicy {
         &self.policy
     }
 
@@ -246,8 +249,8 @@
 
 impl Account {
     fn decayed_ms(&self, half_life: Duration, at: Timestamp) -> f64 {
-        let halvings = (at - self.at).as_secs_f64() / half_life.as_secs_f64().max(0.001);
-        self.used_ms * (-halvings).exp2()
+        let half_lives = (at - self.at).as_secs_f64() / half_life.as_secs_f64().max(0.001);
+        self.used_ms * (-half_lives).exp2()
     }
 }
 
--- a/crates/stairstall-core/src/batch/scheduling/waiting.rs
+++ b/crates/stairstall-core/src/batch/scheduling/waiting.rs
@@ -16,7 +16,7 @@
     /// Capacity reserved for it, which should be free after this time.
     ReservedCapacity(Duration),
     /// Capacity that is free but kept as headroom for urgent work.
-    UrgentReserve,
+    Headroom,
     /// Its start: it has placements, but runs are still being stopped there or the record is still
     /// being stored.
     PendingStart,
@@ -31,7 +31,7 @@
             Self::EarlierStep => "an earlier step",
             Self::Capacity => "room, behind others",
             Self::ReservedCapacity(_) => "room that is kept for it",
-            Self::UrgentReserve => "room that is kept for urgent work",
+            Self::Headroom => "room that is kept for urgent work",
             Self::PendingStart => "its start",
         }
     }
@@ -48,7 +48,7 @@
     pub customer_usage: Duration,
     /// Mean usage of all customers, as time of the whole fleet.
     pub mean_usage: Duration,
-    /// For how long it has been eligible to start.
+    /// For how long the job has been eligible to start.
     pub eligible_for: Duration,
     /// What the job waits for.
     pub reason: WaitReason,
--- a/crates/stairstall-core/src/batch/spec.rs
+++ b/crates/stairstall-core/src/batch/spec.rs
@@ -1,3 +1,5 @@
+//! Specification of a job: its steps, their dependencies and its schedule.
+
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
@@ -28,7 +30,7 @@
         }
         /// The job has too many tasks.
         TooManyTasks(count: u64) {
-            display("a job has at most {MAX_TASKS} tasks in all occurrences, this one has {count}")
+            display("a job has at most {MAX_TASKS} tasks over all its times, this one has {count}")
         }
         /// A step depends on itself or on a later one.
         InvalidDependency(step: usize, on: u32) {
@@ -36,7 +38,7 @@
         }
         /// A schedule has no occurrences, or several without an interval.
         InvalidSchedule {
-            display("a schedule has one or more occurrences, and an interval above 0 if several")
+            display("a schedule has one or more times, and an interval over 0 where more than one")
         }
     }
 }
@@ -101,7 +103,7 @@
 }
 
 impl StepSpec {
-    /// Tells whether the tasks serve users.
+    /// Returns whether the tasks serve users.
     #[must_use]
     pub const fn has_latency_target(&self) -> bool {
         self.latency_target_ms > 0
@@ -134,7 +136,7 @@
 impl Schedule {
     /// Returns when an occurrence may start, in milliseconds since the Unix epoch.
     #[must_use]
-    pub const fn due_unix_ms(&self, occurrence: u32) -> u64 {
+    pub const fn eligible_unix_ms(&self, occurrence: u32) -> u64 {
         self.first_unix_ms
             .saturating_add(self.interval_ms.saturating_mul(occurrence as u64))
     }
--- a/crates/stairstall-core/tests/batch/harness/fixtures.rs
+++ b/crates/stairstall-core/tests/batch/harness/fixtures.rs
@@ -3,10 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use stairstall_core::batch::{
-    AcceptedJob, BatchSpec, Bounds, Catalog, Customer, ListedWorker, Queue, Resources, Route,
-    StepSpec, TaskKey,
-};
+use stairstall_core::batch::{AcceptedJob, BatchSpec, Bounds, Catalog, Customer, ListedWorker, Queue, Resources, Route, StepSpec, TaskKey};
 use stairstall_core::claim::Mark;
 use stairstall_core::{CustomerId, JobId};
 
@@ -63,7 +60,7 @@
         },
         mark: Mark::new("vm-1".parse().expect("an id"), 1, 1),
         zone: None,
-        first_asked_unix_ms: None,
+        first_requested_unix_ms: None,
     }
 }
 
