--- a/crates/stairstalld/src/batch.rs
+++ b/crates/stairstalld/src/batch.rs
@@ -2,7 +2,8 @@
 //! with a shared store.
 //!
 //! Every daemon accepts jobs, writes them to the shared store and answers queries about them. One
-//! daemon at a time holds the planner role; it places the jobs on workers and runs them.
+//! daemon at a time holds the planner role; it chooses a worker for each task and sends it the
+//! orders to start and stop the task.
 //!
 //! - [`settings`]: settings from flags and environment variables, checked at start.
 //! - `caller_api`: the HTTP interface for callers; `admission`, `accept` and `queries` implement it.
--- a/crates/stairstalld/src/batch/accept.rs
+++ b/crates/stairstalld/src/batch/accept.rs
@@ -46,7 +46,7 @@
 pub(crate) enum OnRefusal {
     /// Overwrite it: the caller has submitted the job again.
     Replace,
-    /// Leave it: the caller may have been refused elsewhere after it sent this request.
+    /// Leave it: another daemon may have refused the caller after this request was sent.
     Keep,
 }
 
@@ -58,8 +58,8 @@
 
 /// Accepts a job; relays it to peers if the store does not serve this daemon.
 ///
-/// The name identifies the job however many daemons write it, so a peer can be tried even after a
-/// write that may have succeeded.
+/// The write is idempotent, since the name identifies the job. A peer can therefore be tried even
+/// after a write that may have succeeded.
 pub(crate) async fn accept(node: &Node, job: &mut AcceptedJob, called_at: Timestamp) -> Acceptance {
     let fail_fast = node.store_health.should_fail_fast(node.clock.now());
     let mut outcome = if fail_fast {
@@ -110,8 +110,9 @@
     relays
 }
 
-/// Writes a job to the store if its key is free or still holds the expected refusal record. If the
-/// customer has already stored a job under this name, replaces `job` by that one.
+/// Writes a job to the store if its key is free or, depending on `on_refusal`, holds a refusal
+/// record. If the customer has already stored a job under this name, replaces `job` by that one
+/// unless its record was shortened after it ended.
 pub(crate) async fn write_job(
     node: &Node,
     job: &mut AcceptedJob,
@@ -179,12 +180,15 @@
 /// Returns whether the caller that sent its request at `called_at` is certain to still wait for the
 /// answer.
 ///
-/// A caller that has given up may have been refused by another daemon since. A daemon that was
-/// delayed would take that new refusal for an older one and overwrite it.
+/// A caller that has given up on this request may have submitted the job again and been refused by
+/// another daemon. If this daemon was delayed, it would mistake that new refusal for an older one
+/// and overwrite it.
 fn caller_still_waits(node: &Node, called_at: Timestamp) -> bool {
     node.clock.now() - called_at <= node.settings.policy.admission.replaces_within
 }
 
+/// Returns whether a write that began at `started` has reached the time limit for finding out its
+/// outcome.
 fn is_settle_limit_over(node: &Node, started: Timestamp) -> bool {
     let policy = &node.settings.policy.acceptance;
     let now = node.clock.now();
--- a/crates/stairstalld/src/batch/admission.rs
+++ b/crates/stairstalld/src/batch/admission.rs
@@ -23,7 +23,7 @@
     Known,
     /// The name belongs to another customer's job.
     Foreign,
-    /// The store did not carry out the write.
+    /// The refusal is not stored and will not be.
     NotKept,
     /// It is not known what the job's key holds.
     Unsettled,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns a lease that keeps a refusal record for long enough, or `None` if the store grants none.
+/// Returns a lease that lasts long enough for a refusal record, or `None` if the store grants none.
 async fn refusal_lease(node: &Node) -> Option<LeaseId> {
     let _guard = node.refusals.grant_lock.lock().await;
     let requested_at = node.clock.now();
--- a/crates/stairstalld/src/batch/caller_api.rs
+++ b/crates/stairstalld/src/batch/caller_api.rs
@@ -80,6 +80,7 @@
     response
 }
 
+/// Returns the kind of a call as it is named in logs and metrics.
 fn call_kind(method: &Method) -> &'static str {
     match *method {
         Method::POST => "submit",
@@ -138,6 +139,8 @@
     Failure::unavailable("a newer configuration may be in force", STORE_RETRY_AFTER)
 }
 
+/// Returns the time within which a call must be answered: a fraction of the shorter of the caller's
+/// deadline and the route's timeout.
 fn time_limit(call: &Call<'_>, request: &Request) -> Duration {
     let requested = request
         .headers()
@@ -226,8 +229,8 @@
                 let retry_after = admission::log_refusal(self.node, &job, refusal);
                 Err(refusal_failure(refusal.reason).with_retry_after(retry_after))
             }
-            // The daemon that accepted it has notified the planner, or the planner's watch finds
-            // the job.
+            // The daemon that accepted the job has notified the planner, or the planner finds the
+            // job when it next polls the store.
             RefusalOutcome::Known => Ok(empty_response(StatusCode::OK)),
             RefusalOutcome::Foreign => Err(other_customers_job()),
             RefusalOutcome::NotKept => Err(Failure::unavailable(
--- a/crates/stairstalld/src/batch/catalog.rs
+++ b/crates/stairstalld/src/batch/catalog.rs
@@ -9,8 +9,8 @@
 
 use super::node::{LIST_TIMEOUT, Node};
 
-/// Longest time for one watch call. If a watch fails silently, a change is seen after this time at
-/// the latest.
+/// Longest time for one watch call. If a watch misses a change, the change is seen after this time
+/// at the latest.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay before a failed store call is retried.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
@@ -18,8 +18,8 @@
 /// Follows the configuration for as long as the daemon runs.
 ///
 /// After a read that timed out, the timeout is doubled: on a weak VM a configuration of 500 kB
-/// takes longer than the usual limit of a store call, and every further read with that limit would
-/// fail too. The first read keeps the short limit because the connection may be dead.
+/// takes longer than the store timeout, and every further read with that timeout would fail too.
+/// The first read has the short timeout because the connection may be dead.
 ///
 /// When the store recovers after a partition, the configuration is read again. A watch opened
 /// before the partition was seen to hang for up to 4.8 s, during which callers were refused by the
@@ -36,8 +36,8 @@
         node.catalog_confirmed.store(false, Ordering::Release);
         match followed {
             Some(Ok(())) => read_timeout = min_timeout,
-            // That other calls are answered does not show how long this read takes, so the timeout
-            // stays.
+            // The recovery was seen by other calls, which does not show how long this read takes,
+            // so the timeout stays as it is.
             None => {}
             Some(Err(fault)) => {
                 log::debug!(target: "config", why:% = fault; "reading the configuration again");
--- a/crates/stairstalld/src/batch/directory.rs
+++ b/crates/stairstalld/src/batch/directory.rs
@@ -1,4 +1,4 @@
-//! Keeps the planner's list of workers in step with the worker directory in the store.
+//! Keeps the planner's list of workers up to date with the worker directory in the store.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 use super::tenure::Tenure;
 
 /// Longest time for one watch call. If a watch misses a change, the change is seen after this time
-/// at the latest. A worker that announces in the store that it is leaving must get no new work 2 s
-/// later.
+/// at the latest. From 2 s after a worker has announced in the store that it is leaving, it must get
+/// no new work.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay between watch calls, which collects changes into batches: every heartbeat of a worker is a
 /// change.
 const BATCH_DELAY: Duration = Duration::from_millis(400);
 /// Number of changes in one response from which the next watch call follows without delay. The
 /// store returns a limited number of changes at a time; with 3,000 workers a planner that delayed
-/// each call would fall ever further behind.
+/// each call would fall further and further behind.
 const LARGE_BATCH: usize = 200;
 /// Delay before a failed store call is retried.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
--- a/crates/stairstalld/src/batch/encoding.rs
+++ b/crates/stairstalld/src/batch/encoding.rs
@@ -1,8 +1,8 @@
 //! Encodes values for the store: JSON, compressed with zlib if it is long.
 //!
 //! Progress is written at each change. For 80 running tasks it is 2 to 4 kB of JSON, and less than
-//! a third of that compressed. On a 2 Mbit/s link, orders and reports would queue behind the
-//! difference.
+//! a third of that compressed. Without compression, orders and reports would queue behind these
+//! writes on a 2 Mbit/s link.
 
 use std::io::{Read, Write};
 
--- a/crates/stairstalld/src/batch/encoding/tests.rs
+++ b/crates/stairstalld/src/batch/encoding/tests.rs
@@ -6,19 +6,19 @@
 
 /// Returns the progress of one step whose tasks are all running.
 fn progress(tasks: u32) -> Progress {
-    let place = |index: u32| {
+    let placement = |index: u32| {
         let worker = format!("i-{:010x}", u64::from(index % 12) * 0x9e37_79b9_7f4a);
-        let place = RunPlacement {
+        let placement = RunPlacement {
             worker: worker.parse().expect("a valid ID"),
             run: index + 1,
             incarnation: Some(Incarnation::from_unix_ms(1_800_000_000_000)),
             start_confirmed: true,
         };
-        (index, place)
+        (index, placement)
     };
     let group = GroupProgress {
         tasks: "-".repeat(tasks as usize),
-        places: (0..tasks).map(place).collect(),
+        places: (0..tasks).map(placement).collect(),
         ..GroupProgress::default()
     };
     Progress {
--- a/crates/stairstalld/src/batch/evacuated_zones.rs
+++ b/crates/stairstalld/src/batch/evacuated_zones.rs
@@ -10,10 +10,10 @@
 use super::node::Node;
 use super::tenure::Tenure;
 
-/// Number of polls within the bound for an evacuation to take effect; 5 polls make one second apart
-/// at the default bound of 5 s. Polling is used because a watch may receive nothing for a while and
-/// then find that its history has been compacted.
-const POLLS_PER_BOUND: u32 = 5;
+/// Number of polls within the time limit for an evacuation to take effect. At the default limit of
+/// 5 s this is one poll per second. The store is polled because a watch may receive nothing for a
+/// while and then fail because the history that it needs has been compacted.
+const POLLS_PER_LIMIT: u32 = 5;
 /// Delay before a failed store call is retried.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
@@ -43,7 +43,7 @@
 
 /// Polls for as long as the tenure lasts; [`load`] has done the first read.
 pub(crate) async fn follow(node: Arc<Node>, tenure: Arc<Tenure>) {
-    let interval = node.settings.bounds.evacuate / POLLS_PER_BOUND;
+    let interval = node.settings.bounds.evacuate / POLLS_PER_LIMIT;
     loop {
         tokio::time::sleep(interval).await;
         while let Err(fault) = load(&node, &tenure).await {
--- a/crates/stairstalld/src/batch/job_watch.rs
+++ b/crates/stairstalld/src/batch/job_watch.rs
@@ -1,4 +1,5 @@
-//! Feeds jobs and cancellations from the store to the planner, in case daemons did not notify it.
+//! Polls the store for jobs and cancellations and passes them to the planner, in case the daemons
+//! that accepted them did not notify it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,12 +18,12 @@
 
 /// Interval between polls of the store. Daemons usually notify the planner sooner.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Delay before a failed store call is retried. It is short because starts may wait for
-/// the answer.
+/// Delay before a failed poll is retried. It is short because starts wait for a poll after the
+/// lease was restored.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Delays before the first polls of a tenure. Until every daemon knows the new planner, it is not
-/// notified of jobs that they accept. Without these early polls, jobs accepted during the 0.1 s of
-/// a takeover became known 1.0 to 1.1 s later, half the run time of an urgent job.
+/// notified of jobs that they accept. Without these early polls, jobs accepted during a takeover,
+/// which lasts 0.1 s, became known 1.0 to 1.1 s later. This is half the run time of an urgent job.
 const INITIAL_DELAYS: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(100),
@@ -30,8 +31,8 @@
     Duration::from_millis(400),
 ];
 
-/// Longest read of the learned estimates. They are useful but optional, so the takeover waits no
-/// longer for them.
+/// Timeout for reading the learned estimates. They are optional, so the takeover waits no longer
+/// for them.
 const LEARNED_READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Everything that the store holds about jobs.
@@ -41,7 +42,7 @@
     learned: Option<LearnedEstimates>,
     jobs: Vec<Item>,
     progress: Vec<Item>,
-    /// Revision from which to watch for changes.
+    /// Revision from which to poll for changes.
     at: Revision,
 }
 
@@ -76,7 +77,7 @@
     learned.ok()
 }
 
-/// Loads all stored jobs into the planner. Returns the revision from which to watch for changes,
+/// Loads all stored jobs into the planner. Returns the revision from which to poll for changes,
 /// and the revisions of the progress keys.
 pub(crate) fn load(stored: StoredJobs, tenure: &Tenure) -> (Revision, Revisions) {
     if let Some(learned) = stored.learned {
@@ -120,7 +121,7 @@
 /// Returns the accepted job that an item holds, or `None` if the item is a cancellation, a refusal
 /// record or unreadable.
 fn decode_job(item: &Item) -> Option<AcceptedJob> {
-    let Some(JobKey::Accepted(id)) = keys::parse_job_key(&item.key) else {
+    let Some(JobKey::Job(id)) = keys::parse_job_key(&item.key) else {
         return None;
     };
     StoredJob::read(&item.value)
@@ -188,7 +189,7 @@
         return;
     };
     match keys::parse_job_key(&item.key) {
-        Some(JobKey::Accepted(_)) => {
+        Some(JobKey::Job(_)) => {
             if let Some(job) = decode_job(item) {
                 tenure.with_planner(|planner, now| planner.submit(job, now));
             }
--- a/crates/stairstalld/src/batch/keys.rs
+++ b/crates/stairstalld/src/batch/keys.rs
@@ -7,7 +7,7 @@
 pub(crate) const PLANNER_ROLE: &str = "stairstall/role/planner";
 /// Key of the number of tenures so far, which is the last fencing token.
 pub(crate) const TENURE_COUNT: &str = "stairstall/role/tenures";
-/// Prefix of accepted jobs and cancellations.
+/// Prefix of accepted jobs, refusal records and cancellations.
 pub(crate) const JOBS: &str = "stairstall/job/";
 /// Prefix of the jobs' progress.
 pub(crate) const PROGRESS: &str = "stairstall/progress/";
@@ -16,7 +16,7 @@
 /// Suffix of the key of a cancellation.
 const CANCEL_SUFFIX: &str = ".cancel";
 
-/// Returns the key of an accepted job.
+/// Returns the key of an accepted job or its refusal record.
 pub(crate) fn job(id: &JobId) -> String {
     format!("{JOBS}{id}")
 }
@@ -34,8 +34,8 @@
 /// A parsed key under [`JOBS`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum JobKey {
-    /// Key of an accepted job or of its refusal.
-    Accepted(JobId),
+    /// Key of an accepted job or of a refusal record.
+    Job(JobId),
     /// Key of a cancellation.
     Cancel(JobId),
 }
@@ -45,7 +45,7 @@
     let name = key.strip_prefix(JOBS)?;
     match name.strip_suffix(CANCEL_SUFFIX) {
         Some(id) => Some(JobKey::Cancel(id.parse().ok()?)),
-        None => Some(JobKey::Accepted(name.parse().ok()?)),
+        None => Some(JobKey::Job(name.parse().ok()?)),
     }
 }
 
--- a/crates/stairstalld/src/batch/load.rs
+++ b/crates/stairstalld/src/batch/load.rs
@@ -21,7 +21,7 @@
 pub(crate) struct LoadCache {
     policy: AdmissionPolicy,
     cached: Mutex<Option<CachedSummary>>,
-    /// Shortest interval between two calls to the planner, as set by the planner.
+    /// Interval between two calls to the planner, as set by the planner.
     call_interval: Mutex<Duration>,
 }
 
@@ -34,8 +34,7 @@
         }
     }
 
-    /// Sets the interval between two calls to the planner. The planner makes it longer the more
-    /// daemons there are.
+    /// Sets the interval between two calls to the planner, which grows with the number of daemons.
     pub(crate) fn set_call_interval(&self, call_interval: Duration) {
         *lock(&self.call_interval) = call_interval;
     }
@@ -56,7 +55,7 @@
             .is_none_or(|cached| now - cached.requested_at >= interval)
     }
 
-    /// Stores a summary unless a later one is known.
+    /// Caches a summary unless a later one is known.
     pub(crate) fn update(&self, summary: LoadSummary, requested_at: Timestamp) {
         let mut cached = lock(&self.cached);
         let is_later = |known: &CachedSummary| summary.is_later_than(&known.summary);
--- a/crates/stairstalld/src/batch/maintenance.rs
+++ b/crates/stairstalld/src/batch/maintenance.rs
@@ -12,7 +12,7 @@
 use super::{encoding, keys};
 use crate::clock::millis;
 
-/// Interval between rounds.
+/// Interval between rounds of maintenance.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of rounds between status lines.
 const ROUNDS_PER_STATUS: u64 = 5;
@@ -20,7 +20,8 @@
 const ROUNDS_PER_LEARNED: u64 = 2;
 /// Number of customers whose usage is logged.
 const CUSTOMERS_LOGGED: usize = 5;
-/// Jobs in one write. The store accepts 32 entries, up to two for each job and one for the role.
+/// Number of jobs whose records are shortened by one write. The store accepts 32 entries in a write;
+/// 15 jobs stay below that even with two entries each and one for the role.
 const JOBS_PER_WRITE: usize = 15;
 
 /// Does the periodic work for as long as the tenure lasts.
@@ -28,7 +29,7 @@
     let mut stored = LearnedEstimates::default();
     for round in 1_u64.. {
         tokio::time::sleep(ROUND_INTERVAL).await;
-        if !tenure.is_in_force() {
+        if !tenure.is_active() {
             continue;
         }
         if round.is_multiple_of(ROUNDS_PER_STATUS) {
@@ -102,6 +103,7 @@
     log::info!(target: "upkeep", bytes, done = is_done; "storing learned estimates");
 }
 
+/// Stores the shortened records of ended jobs.
 async fn store_trimmed(node: &Node, tenure: &Tenure, trimmed: &[AcceptedJob]) {
     let mut commit = Commit::default().when(keys::PLANNER_ROLE, tenure.role_revision);
     for job in trimmed {
--- a/crates/stairstalld/src/batch/node.rs
+++ b/crates/stairstalld/src/batch/node.rs
@@ -24,11 +24,11 @@
 use crate::daemon::lock;
 
 /// Slowest link, in megabits per second, on which two listings are read concurrently. At this rate
-/// the windows of two connections, about 130 kB, take 0.1 s, well below the time of a lease
-/// renewal.
+/// the TCP windows of two connections, about 130 kB, are transferred in 0.1 s, well below the time
+/// allowed for a lease renewal.
 const CONCURRENT_LISTING_MIN_MBPS: u32 = 10;
 
-/// Longest call for one page of a listing, which may be 1 MB over a slow link.
+/// Timeout for reading one page of a listing, which may be 1 MB over a slow link.
 pub(crate) const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The holder of the planner role, as it is stored.
@@ -40,7 +40,7 @@
     pub(crate) rpc: String,
     /// The fencing token: the number of tenures so far.
     pub(crate) token: u64,
-    /// Identifies the write, so that a lost answer can be resolved.
+    /// Identifies the write, so that a daemon whose write got no answer recognizes it in the store.
     pub(crate) mark: Mark,
 }
 
@@ -60,8 +60,8 @@
     pub(crate) clock: Clock,
     pub(crate) store: Arc<dyn SharedStore>,
     pub(crate) store_health: StoreHealth,
-    /// Whether the configuration has been read, and watched without a failure since, so that it is
-    /// known to be the newest.
+    /// Whether the configuration is known to be the newest: it has been read, and watched without
+    /// a failure since.
     pub(crate) catalog_confirmed: AtomicBool,
     pub(crate) workers: Arc<dyn WorkerCalls>,
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -83,7 +83,9 @@
     tenure: Mutex<Option<Arc<Tenure>>>,
     pub(crate) leaving: watch::Sender<bool>,
     rpc_address: OnceLock<SocketAddr>,
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     instance: u64,
+    /// Number of marks created so far.
     serial: AtomicU64,
 }
 
--- a/crates/stairstalld/src/batch/orders.rs
+++ b/crates/stairstalld/src/batch/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to one worker in sequence, and goes on to the next if an answer is late.
+//! Sends orders to one worker in sequence; sends the next one without waiting if an answer is late.
 
 use std::sync::Arc;
 
@@ -48,7 +48,7 @@
     let timeout = node.settings.policy.links.order_timeout;
     match order.kind {
         OrderKind::Start { .. } => {
-            let outcome = if tenure.is_in_force() {
+            let outcome = if tenure.is_active() {
                 node.workers.start(&worker, &order, timeout).await
             } else {
                 StartOutcome::NotSent
@@ -57,7 +57,7 @@
             tenure.with_planner(|planner, now| planner.handle_start_outcome(&order, outcome, now));
         }
         OrderKind::Stop => {
-            let outcome = if tenure.is_in_force() {
+            let outcome = if tenure.is_active() {
                 node.workers.stop(&worker, &order, timeout).await
             } else {
                 StopOutcome::Unknown
--- a/crates/stairstalld/src/batch/queries.rs
+++ b/crates/stairstalld/src/batch/queries.rs
@@ -70,8 +70,8 @@
     })
 }
 
-/// Notifies the planner of an accepted job. If the call fails, the planner's own watch finds the
-/// job.
+/// Notifies the planner of an accepted job. If the call fails, the planner finds the job when it
+/// next polls the store.
 pub(crate) async fn notify_accepted(node: &Node, job: AcceptedJob) {
     if let Some(tenure) = node.tenure() {
         tenure.submit(job);
@@ -83,7 +83,7 @@
     if let Some(client) = node.peer_clients.client(&planner.rpc) {
         let requested_at = node.clock.now();
         let wants_load = node.load.should_request(requested_at);
-        let answer = client.submitted(job, Some(wants_load)).await;
+        let answer = client.job_accepted(job, Some(wants_load)).await;
         node.peer_clients.record_call(&planner.rpc, &answer);
         if let Some(load) = answer.ok().and_then(SubmitAnswer::load) {
             node.load.update(load, requested_at);
@@ -91,7 +91,8 @@
     }
 }
 
-/// Notifies the planner of a cancellation. If the call fails, the planner's own watch finds it.
+/// Notifies the planner of a cancellation. If the call fails, the planner finds it when it next
+/// polls the store.
 pub(crate) async fn notify_cancelled(node: &Node, id: JobId) {
     if let Some(tenure) = node.tenure() {
         tenure.cancel(&id);
@@ -102,7 +103,7 @@
     };
     if let Some(client) = node.peer_clients.client(&planner.rpc) {
         node.peer_clients
-            .record_call(&planner.rpc, &client.cancelled(id).await);
+            .record_call(&planner.rpc, &client.job_cancelled(id).await);
     }
 }
 
--- a/crates/stairstalld/src/batch/reachability.rs
+++ b/crates/stairstalld/src/batch/reachability.rs
@@ -1,5 +1,6 @@
-//! Finds out whether work can be stored: pings the store when it is quiet, and probes peers while
-//! the store does not serve this daemon.
+//! Finds out whether this daemon can have work stored: pings the store when no call has completed
+//! for a while, and probes peers while the store does not serve this daemon. Also exchanges peer
+//! addresses, configuration and load summaries with other daemons.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,14 +29,14 @@
         }
         node.store_health.begin_ping(now);
         let ping = node.store.ping(keys::PLANNER_ROLE);
-        // `store_call` records the outcome, so a failure needs no other handling here.
+        // `store_call` has recorded the failure; only the open ping remains to be cleared.
         if node.store_call("ping", ping).await.is_err() {
             node.store_health.abandon_ping();
         }
     }
 }
 
-/// Probes peers, while the store does not serve this daemon, whether it serves them.
+/// Asks peers whether the store serves them, while it does not serve this daemon.
 async fn probe_peers(node: &Node) {
     let policy = &node.settings.policy.reach;
     let mut was_cut_off = false;
@@ -87,7 +88,7 @@
     None
 }
 
-/// Announces this daemon to the planner, which answers with some other daemons.
+/// Announces this daemon to the planner, whose answer introduces some other daemons.
 async fn announce(node: &Node) {
     let mut interval = node.settings.policy.reach.min_introduction_interval;
     loop {
--- a/crates/stairstalld/src/batch/refusals.rs
+++ b/crates/stairstalld/src/batch/refusals.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the current lease if it keeps a refusal record for long enough.
+    /// Returns the current lease if it lasts long enough for a refusal record.
     pub(crate) fn lease(&self, now: Timestamp) -> Option<LeaseId> {
         let current = *lock(&self.lease);
         let is_long_enough =
@@ -52,7 +52,7 @@
         *lock(&self.lease) = Some(RefusalLease { id, lease });
     }
 
-    /// Drops a lease that has ended according to the store.
+    /// Drops a lease that the store no longer has.
     pub(crate) fn remove_lease(&self, id: LeaseId) {
         lock(&self.lease).take_if(|current| current.id == id);
     }
--- a/crates/stairstalld/src/batch/role.rs
+++ b/crates/stairstalld/src/batch/role.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Records the planner from the role's key and returns its tenure.
+/// Records the planner that the role's key names and returns its tenure, or `None` if the value
+/// can't be decoded.
 fn record_role_item(node: &Node, item: &Item) -> Option<LastTenure> {
     let record: PlannerRecord = serde_json::from_slice(&item.value).ok()?;
     let count = record.token;
@@ -121,7 +122,7 @@
         return;
     };
     if let Some(client) = node.peer_clients.client(&predecessor.rpc) {
-        let result = client.taken(own).await;
+        let result = client.planner_changed(own).await;
         log::info!(target: "role", predecessor:% = predecessor.vm, told = result.is_ok();
             "notifying the previous planner");
     }
@@ -153,11 +154,11 @@
         .store_call("release", node.store.release(lease_id))
         .await
     {
-        log::warn!(target: "role", token, why:% = fault; "could not end the lease; it will expire");
+        log::warn!(target: "role", token, why:% = fault; "could not release the lease; it will expire");
     }
 }
 
-/// Renews the lease until it ends or the daemon has left.
+/// Renews the lease until it ends or the leaving daemon has handed its role over.
 ///
 /// Renewals overlap, so that a slow or lost one does not delay the next.
 async fn renew(
--- a/crates/stairstalld/src/batch/role/handover.rs
+++ b/crates/stairstalld/src/batch/role/handover.rs
@@ -11,10 +11,10 @@
 use super::acquire::{AcquiredRole, LastTenure, acquire};
 use crate::daemon::lock;
 
-/// Interval at which a daemon that has drained its callers checks whether the role is released.
+/// Interval at which a daemon that has answered all open calls checks whether the role is released.
 const RELEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until this daemon has stopped planning, for no longer than a handover may take.
+/// Waits until this daemon has released the role, at most the longest time of a handover.
 pub(crate) async fn wait_until_released(node: &Node) {
     let settings = &node.settings;
     let limit = settings.policy.role.handover_wait + settings.store_timeout;
@@ -29,9 +29,9 @@
     }
 }
 
-/// Offers the role of a leaving planner and returns when it should be released: at once if no
-/// daemon wants the role, else after the longest handover. The successor's notification ends the
-/// tenure sooner.
+/// Offers the role of a leaving planner to other daemons. Returns when the role should be released:
+/// at once if no daemon wants it, else after the handover wait. The tenure ends sooner if the
+/// successor notifies this daemon.
 pub(super) async fn hand_over(node: &Node, tenure: &Tenure) {
     let wait = node.settings.policy.role.handover_wait;
     if !wait.is_zero() && offer_role(node, tenure).await {
--- a/crates/stairstalld/src/batch/rpc.rs
+++ b/crates/stairstalld/src/batch/rpc.rs
@@ -43,11 +43,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum SubmitAnswer {
-    /// Whether the daemon is the planner. Older daemons answer this only.
+    /// Whether the daemon is the planner and has added the job. Older daemons answer this only.
     Taken(bool),
     /// The same, with a summary of the fleet's load.
     WithLoad {
-        /// Whether the daemon is the planner.
+        /// Whether the daemon is the planner and has added the job.
         taken: bool,
         /// The load of the fleet, if the daemon is the planner.
         #[serde(default, deserialize_with = "load::read_leniently")]
@@ -71,15 +71,16 @@
     /// Notifies the planner of an accepted job. The answer has a load summary if `wants_load` is
     /// true.
     #[method(name = "submitted")]
-    async fn submitted(
+    async fn job_accepted(
         &self,
         job: AcceptedJob,
         wants_load: Option<bool>,
     ) -> RpcResult<SubmitAnswer>;
 
-    /// Notifies the planner of a cancelled job; returns false if the daemon is not the planner.
+    /// Notifies the planner of a cancelled job; returns false if the daemon is not the planner or
+    /// does not know the job.
     #[method(name = "cancelled")]
-    async fn cancelled(&self, id: JobId) -> RpcResult<bool>;
+    async fn job_cancelled(&self, id: JobId) -> RpcResult<bool>;
 
     /// Returns the planner's state of a job.
     #[method(name = "job")]
@@ -119,7 +120,7 @@
 
     /// Notifies a daemon that held the planner role of the new planner.
     #[method(name = "taken")]
-    async fn taken(&self, planner: PlannerRecord) -> RpcResult<()>;
+    async fn planner_changed(&self, planner: PlannerRecord) -> RpcResult<()>;
 }
 
 /// What a daemon reports to a peer that asks.
@@ -151,7 +152,7 @@
 
 #[async_trait]
 impl PeerServer for PeerService {
-    async fn submitted(
+    async fn job_accepted(
         &self,
         job: AcceptedJob,
         wants_load: Option<bool>,
@@ -165,7 +166,7 @@
         Ok(SubmitAnswer::WithLoad { taken, load })
     }
 
-    async fn cancelled(&self, id: JobId) -> RpcResult<bool> {
+    async fn job_cancelled(&self, id: JobId) -> RpcResult<bool> {
         let tenure = self.0.tenure();
         Ok(tenure.is_some_and(|tenure| tenure.cancel(&id)))
     }
@@ -187,7 +188,7 @@
         if self.0.store_health.should_fail_fast(self.0.clock.now()) {
             return Ok(Acceptance::NotKept);
         }
-        // The caller may have been refused by another daemon since.
+        // Another daemon may have refused the caller since, so a refusal record is kept.
         let mut job = job;
         let called_at = self.0.clock.now();
         Ok(accept::write_job(&self.0, &mut job, OnRefusal::Keep, called_at).await)
@@ -217,7 +218,7 @@
         Ok(role::handle_offer(&self.0, offer))
     }
 
-    async fn taken(&self, planner: PlannerRecord) -> RpcResult<()> {
+    async fn planner_changed(&self, planner: PlannerRecord) -> RpcResult<()> {
         role::record_planner(&self.0, Some(planner));
         Ok(())
     }
@@ -237,7 +238,7 @@
 /// A cache of RPC clients, which keep their connections open.
 #[derive(Debug)]
 pub(crate) struct PeerClients {
-    /// Longest RPC call.
+    /// Timeout of an RPC call.
     timeout: Duration,
     clients: Mutex<HashMap<String, HttpClient>>,
     /// The address of the last failed call to the planner.
--- a/crates/stairstalld/src/batch/serve.rs
+++ b/crates/stairstalld/src/batch/serve.rs
@@ -20,9 +20,9 @@
 
 /// Longest time that a caller may take to send a request head, or leave a connection idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest time to open a connection to the store or a worker.
+/// Timeout for opening a connection to the store, a worker or the adviser.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Number of idle connections kept to the store and to each worker.
+/// Number of idle connections kept open to each address.
 const IDLE_CONNECTIONS: usize = 4;
 
 /// Runs a batch daemon until a signal requests a stop and all open calls are answered.
--- a/crates/stairstalld/src/batch/settings.rs
+++ b/crates/stairstalld/src/batch/settings.rs
@@ -11,13 +11,14 @@
 
 mod policy;
 
-/// Longest allowed time limit, in milliseconds.
+/// Largest allowed value of a setting in milliseconds: one day.
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
-/// Default bound for an evacuation to take effect, in milliseconds, for platforms that state none.
-/// It is the bound of the only site so far that evacuates zones.
+/// Default time limit for an evacuation to take effect, in milliseconds, for platforms that state
+/// none. The only platform known to evacuate zones requires 5 s.
 const DEFAULT_EVACUATE_MS: &str = "5000";
 
+/// Bytes in one megabit.
 const BYTES_PER_MBIT: u64 = 125_000;
 
 /// Unchecked settings as they were given.
@@ -65,13 +66,14 @@
     pub metrics_listen: SocketAddr,
     /// Address of the platform's shared store.
     pub store: SocketAddr,
-    /// Address of the service that tells which workers may run a step, for queues that require it.
+    /// Address of the adviser, which tells which workers may run a step, for queues that require
+    /// its advice.
     pub adviser: Option<SocketAddr>,
     /// CPU of this VM, in percent of a core.
     pub cpu_percent: u32,
     /// Capacity of this VM's network link, in megabits per second.
     pub link_mbps: u32,
-    /// Longest call to the store.
+    /// Timeout of a call to the store.
     pub store_timeout: Duration,
     /// Length of the lease on the planner role.
     pub role_lease: Duration,
@@ -294,8 +296,8 @@
         }
     }
 
-    /// Checks every field before it returns at the first invalid one, so that all errors are
-    /// reported at once.
+    /// Parses all settings. Every one is checked before an invalid one makes it return `None`, so
+    /// that all errors are reported at once.
     fn read(raw: &RawSettings, checks: &mut Checks) -> Option<Self> {
         let vm = checks.name("--vm", &raw.vm);
         let zone = checks.name("--zone", &raw.zone);
@@ -358,7 +360,7 @@
     }
 }
 
-/// Largest allowed CPU share and link capacity.
+/// Largest allowed CPU share, in percent of a core, and link capacity, in megabits per second.
 const MAX_CAPACITY: f64 = 1_000_000.0;
 
 /// Parses a positive number as percent; a number up to 1 is a fraction of a core.
--- a/crates/stairstalld/src/batch/store_health.rs
+++ b/crates/stairstalld/src/batch/store_health.rs
@@ -11,10 +11,11 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Since when all calls have failed, if the last one did.
     failing_since: Option<Timestamp>,
     /// When a call to the store last completed, successfully or not.
     last_result_at: Option<Timestamp>,
-    /// When the ping was sent that has no answer yet.
+    /// When the open ping was sent, if there is one.
     ping_sent_at: Option<Timestamp>,
 }
 
@@ -84,7 +85,7 @@
         lock(&self.state).ping_sent_at = None;
     }
 
-    /// Returns whether no call has completed for `quiet_for`, so that it is time for a ping.
+    /// Returns whether no call has completed for `quiet_for`, so that a ping should be sent.
     pub(crate) fn is_quiet(&self, now: Timestamp, quiet_for: Duration) -> bool {
         let last_result_at = lock(&self.state).last_result_at;
         last_result_at.is_none_or(|at| now - at >= quiet_for)
@@ -102,12 +103,12 @@
             || is_longer_than(state.ping_sent_at, self.ping_timeout)
     }
 
-    /// Returns whether the store serves this daemon, slowly or not.
+    /// Returns whether the store serves this daemon, however slowly.
     pub(crate) fn serves(&self, now: Timestamp) -> bool {
         !self.may_be_down(now)
     }
 
-    /// Returns whether the store is not known to serve this daemon at the moment.
+    /// Returns whether the last call to the store failed or a ping is overdue.
     pub(crate) fn may_be_down(&self, now: Timestamp) -> bool {
         self.is_failing() || self.should_fail_fast(now)
     }
--- a/crates/stairstalld/src/batch/stored_job.rs
+++ b/crates/stairstalld/src/batch/stored_job.rs
@@ -14,8 +14,8 @@
 /// earlier requests for this job fail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RefusalRecord {
-    /// Identifies the write, so that a lost answer can be resolved. Must stay the first field, see
-    /// [`REFUSAL_PREFIX`].
+    /// Identifies the write, so that a daemon whose write got no answer recognizes it in the store.
+    /// Must stay the first field, see [`REFUSAL_PREFIX`].
     pub(crate) refused_by: Mark,
     /// The customer who submitted the job.
     pub(crate) customer: Option<CustomerId>,
--- a/crates/stairstalld/src/batch/tenure.rs
+++ b/crates/stairstalld/src/batch/tenure.rs
@@ -21,7 +21,7 @@
 use crate::clock::{Clock, unix_millis};
 use crate::daemon::lock;
 
-/// Delay while the lease is not known to be valid.
+/// Interval at which the lease is checked again while it is not valid.
 const SUSPENDED_DELAY: Duration = Duration::from_millis(50);
 /// Delay before the initial load is retried.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -35,6 +35,7 @@
     lease: Mutex<Lease>,
     /// Revision of the role's key.
     pub(crate) role_revision: Revision,
+    /// Whether the stored jobs and workers have been loaded.
     loaded: AtomicBool,
     /// Wakes the planning loop.
     wake: Notify,
@@ -44,6 +45,7 @@
     pub(crate) write_done: Notify,
     /// Notifies the job watch that the lease is valid again after it had lapsed.
     pub(crate) lease_restored: Notify,
+    /// Why the tenure has ended, once it has.
     ended: watch::Sender<Option<&'static str>>,
 }
 
@@ -97,10 +99,11 @@
 
     /// Returns whether the planner may give orders: the tenure has not ended and its lease is
     /// valid.
-    pub(crate) fn is_in_force(&self) -> bool {
+    pub(crate) fn is_active(&self) -> bool {
         self.ended.borrow().is_none() && lock(&self.lease).is_valid(self.clock.now())
     }
 
+    /// Ends the tenure, unless it has ended already.
     pub(crate) fn end(&self, why: &'static str) {
         self.ended.send_if_modified(|ended| {
             let first = ended.is_none();
@@ -129,11 +132,12 @@
         result
     }
 
+    /// Returns whether the stored state is loaded and the tenure is active.
     fn is_serving(&self) -> bool {
-        self.loaded.load(Ordering::Acquire) && self.is_in_force()
+        self.loaded.load(Ordering::Acquire) && self.is_active()
     }
 
-    /// Adds an accepted job; returns false if this tenure is not in force.
+    /// Adds an accepted job; returns false if this tenure is not serving.
     pub(crate) fn submit(&self, job: AcceptedJob) -> bool {
         let is_serving = self.is_serving();
         if is_serving {
@@ -142,7 +146,7 @@
         is_serving
     }
 
-    /// Cancels a job; returns false if this tenure is not in force or does not know the job.
+    /// Cancels a job; returns false if this tenure is not serving or does not know the job.
     pub(crate) fn cancel(&self, id: &JobId) -> bool {
         self.is_serving() && self.with_planner(|planner, now| planner.cancel(id, now))
     }
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Explains the state of a job. Returns `None` if this tenure is not in force or does not know
+    /// Explains the state of a job. Returns `None` if this tenure is not serving or does not know
     /// the job.
     pub(crate) fn explain(&self, id: &JobId) -> Option<JobExplanation> {
         let is_serving = self.is_serving();
@@ -179,7 +183,7 @@
             .then(|| lock(&self.planner).pending(queue))
     }
 
-    /// Returns a summary of the fleet's load, or `None` if this tenure is not in force.
+    /// Returns a summary of the fleet's load, or `None` if this tenure is not serving.
     pub(crate) fn load_summary(&self) -> Option<LoadSummary> {
         let now = self.now();
         self.is_serving()
@@ -191,7 +195,7 @@
         lock(&self.planner).contact_lag(self.now())
     }
 
-    /// Returns the number of evacuated zones and the age of that information.
+    /// Returns the number of evacuated zones, and the age of the list of them if it is known.
     pub(crate) fn evacuated_zones(&self) -> (usize, Option<Duration>) {
         let planner = lock(&self.planner);
         (
@@ -205,8 +209,8 @@
         lock(&self.planner).pace_summary()
     }
 
-    /// Returns the customers with the highest usage, and the fair usage of each customer, in
-    /// milliseconds of the whole fleet.
+    /// Returns the customers with the highest usage, at most `most`, and the fair usage of each
+    /// customer, in milliseconds of the whole fleet.
     pub(crate) fn customer_usage(&self, most: usize) -> (Vec<CustomerUsageTotal>, u64) {
         lock(&self.planner).customer_usage(most, self.now())
     }
@@ -263,7 +267,7 @@
     loop {
         let next = tenure.with_planner(|planner, now| planner.next_tick(now));
         let _ = tokio::time::timeout(next, tenure.wake.notified()).await;
-        if !tenure.is_in_force() {
+        if !tenure.is_active() {
             tokio::time::sleep(SUSPENDED_DELAY).await;
             tenure.wake.notify_one();
             continue;
@@ -284,7 +288,7 @@
     }
 }
 
-/// Longest call to the adviser.
+/// Timeout of a call to the adviser.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Sends the planner's requests to the adviser, each in its own task.
--- a/crates/stairstalld/src/batch/worker_links.rs
+++ b/crates/stairstalld/src/batch/worker_links.rs
@@ -17,9 +17,10 @@
 use super::orders;
 use super::tenure::Tenure;
 
-/// Interval at which an idle worker is checked for work, without a call to it.
+/// Interval at which the planner is asked whether an idle worker should be polled. The worker is not
+/// called for this.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Delay while the planner's lease is not known to be valid.
+/// Interval at which the planner's lease is checked again while it is not valid.
 const SUSPENDED_DELAY: Duration = Duration::from_millis(50);
 
 /// The poll task and the order task of one worker. When it is dropped, no further polls are sent,
@@ -57,7 +58,7 @@
     node: Arc<Node>,
     tenure: Arc<Tenure>,
     open: HashMap<WorkerId, WorkerLink>,
-    /// Version of the worker set for which links were last updated.
+    /// Version of the planner's worker set for which links were last updated.
     linked_worker_set: Option<u64>,
     tasks: JoinSet<()>,
 }
@@ -152,7 +153,7 @@
     control: Arc<PollControl>,
 ) {
     while !control.is_closed() {
-        if !tenure.is_in_force() {
+        if !tenure.is_active() {
             tokio::time::sleep(SUSPENDED_DELAY).await;
             continue;
         }
@@ -178,7 +179,7 @@
     let timeout = request.max_wait + policy.report_timeout;
     let answer = node.workers.hold(worker, request, timeout).await;
     if control.is_closed() {
-        // The link is closed, but the run ends in the report are still valid.
+        // The link is closed, but the run ends in the report must still be recorded.
         match answer {
             Ok(report) => {
                 node.telemetry.report("late");
--- a/crates/stairstalld/src/batch/writer.rs
+++ b/crates/stairstalld/src/batch/writer.rs
@@ -19,17 +19,18 @@
 /// Revisions of the progress keys by job.
 pub(crate) type Revisions = BTreeMap<JobId, Revision>;
 
-/// Delay after a failure.
+/// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Interval at which expired jobs are removed.
+/// Interval at which jobs are removed whose retention period after their end is over.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Number of expired jobs removed by one write.
+/// Number of expired jobs removed by one write. It has three entries for each job and one for the
+/// role; the store accepts 32.
 const JOBS_PER_REMOVAL: usize = 9;
 
 /// A completed write and its outcome.
 struct CompletedWrite {
     writes: Vec<ProgressWrite>,
-    /// Total length of the written values.
+    /// Total length of the written values, in bytes.
     bytes: usize,
     outcome: Result<Committed, StoreFault>,
 }
@@ -41,7 +42,7 @@
     revisions: Revisions,
     /// Jobs whose progress is being written.
     jobs_in_flight: BTreeSet<JobId>,
-    /// Total length of the values that are being written.
+    /// Total length of the values that are being written, in bytes.
     bytes_in_flight: usize,
     /// When expired jobs were last removed.
     last_removal_at: Instant,
@@ -74,19 +75,21 @@
 }
 
 impl Writer {
+    /// Returns whether another write may be sent while those in flight are open.
     fn can_send(&self) -> bool {
         let limit = self.node.settings.policy.writing.max_in_flight;
         self.in_flight.len() < usize::from(limit) && self.bytes_in_flight < self.byte_window()
     }
 
-    /// Returns the largest number of bytes in flight. More bytes would only queue on the link,
-    /// ahead of orders.
+    /// Returns the number of bytes in flight from which no further write is sent. More bytes would
+    /// queue on the link and delay orders.
     fn byte_window(&self) -> usize {
         let per_s = self.node.settings.vm_limits().link_bytes_per_s;
         let window = self.node.settings.policy.writing.link_window;
         usize::try_from(u128::from(per_s) * window.as_millis() / 1000).unwrap_or(usize::MAX)
     }
 
+    /// Waits until there is progress to write, and removes expired jobs from time to time.
     async fn wait_for_work(&mut self) {
         if self.last_removal_at.elapsed() >= EXPIRY_INTERVAL {
             self.last_removal_at = Instant::now();
@@ -158,8 +161,8 @@
         (commit, included, bytes)
     }
 
-    /// Waits for the next write to complete. Stops waiting after a while if another write can be
-    /// sent.
+    /// Waits for the next write to complete and handles its outcome. If another write can be sent,
+    /// waits no longer than `pipeline_after`.
     async fn await_completion(&mut self) {
         let can_send = self.can_send();
         let next = self.in_flight.next();
@@ -216,10 +219,10 @@
     writes: &[ProgressWrite],
     items: &[Item],
 ) {
-    let holds = items
+    let holds_role = items
         .iter()
         .any(|item| item.key == keys::PLANNER_ROLE && item.revision == tenure.role_revision);
-    if !holds {
+    if !holds_role {
         tenure.end("another planner holds the role in the store");
         return;
     }
