--- a/crates/stairstall-core/src/placement/block.rs
+++ b/crates/stairstall-core/src/placement/block.rs
@@ -2,7 +2,7 @@
 
 use super::Shape;
 
-/// Free capacity of one worker, as one request may use it.
+/// Free capacity of one worker that one request may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FreeCapacity {
     /// Free accelerators, one bit each.
@@ -48,12 +48,18 @@
     Aligned,
 }
 
-/// Score of a candidate block; lower is better. Fields are compared in order.
+/// Score of a candidate block; lower is better. Fields are compared in the order of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Score {
+    /// Number of avoided accelerators that the block may use.
     avoided: u32,
+    /// Free capacity left beside the block: in members for adjacent workers, in accelerators for
+    /// a single worker.
     leftover: u32,
+    /// Whether the first position is not a multiple of the number of workers, rounded up to a power
+    /// of two.
     misaligned: bool,
+    /// Index of the first worker.
     start: usize,
 }
 
@@ -111,7 +117,7 @@
 ///
 /// Groups with few avoided accelerators come first, then groups whose buddy is in use, which
 /// keeps larger groups whole.
-fn take_cells(worker: usize, capacity: &FreeCapacity, shape: &Shape, count: u16) -> Vec<Cell> {
+fn choose_cells(worker: usize, capacity: &FreeCapacity, shape: &Shape, count: u16) -> Vec<Cell> {
     if shape.accelerators == 0 {
         return vec![Cell { worker, mask: 0 }; usize::from(count)];
     }
@@ -144,7 +150,7 @@
 fn find_adjacent(capacities: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
     let fitting: Vec<u16> = capacities
         .iter()
-        .map(|r| members_that_fit(r, shape, shape.members))
+        .map(|capacity| members_that_fit(capacity, shape, shape.members))
         .collect();
     let spans_racks = needs_several_racks(capacities, shape);
     let mut best: Option<(Score, usize, usize)> = None;
@@ -167,7 +173,7 @@
     let mut cells = Vec::with_capacity(usize::from(shape.members));
     for worker in start..end {
         let left = shape.members - u16::try_from(cells.len()).unwrap_or(shape.members);
-        cells.extend(take_cells(
+        cells.extend(choose_cells(
             worker,
             &capacities[worker],
             shape,
@@ -234,7 +240,7 @@
     let per_worker = (64 / u32::from(shape.accelerators.max(1).next_power_of_two())).max(1);
     let most_free = capacities
         .iter()
-        .map(|r| r.mask.count_ones())
+        .map(|capacity| capacity.mask.count_ones())
         .max()
         .unwrap_or(0);
     let per_worker = per_worker.min((most_free / u32::from(shape.accelerators.max(1))).max(1));
@@ -247,8 +253,8 @@
     usize::try_from(needed).is_ok_and(|needed| needed > largest)
 }
 
-/// Scores the window of workers from `start` to `end`. The leftover is what would stay free
-/// in the run of adjacent workers around it.
+/// Scores the window of workers from `start` to `end` (exclusive). The leftover is the number of
+/// further members that would fit on the window and on the free workers adjacent to it.
 fn score_window(
     capacities: &[FreeCapacity],
     fitting: &[u16],
@@ -259,7 +265,7 @@
 ) -> Score {
     let avoided = capacities[start..end]
         .iter()
-        .map(|r| (r.mask & r.avoided).count_ones())
+        .map(|capacity| (capacity.mask & capacity.avoided).count_ones())
         .sum();
     let mut first = start;
     while first > 0
@@ -285,7 +291,8 @@
     }
 }
 
-/// Finds cells on any workers: on a single one that holds all members if possible, else on few.
+/// Finds cells on any workers. Except with [`Fit::First`], among workers that need equally many
+/// avoided accelerators those that hold all members come first.
 fn find_scattered(capacities: &[FreeCapacity], shape: &Shape, fit: Fit) -> Option<Block> {
     let mut candidates: Vec<(Score, u16)> = capacities
         .iter()
@@ -306,7 +313,7 @@
     for (score, count) in candidates {
         let left = shape.members - u16::try_from(cells.len()).unwrap_or(shape.members);
         let capacity = &capacities[score.start];
-        cells.extend(take_cells(score.start, capacity, shape, count.min(left)));
+        cells.extend(choose_cells(score.start, capacity, shape, count.min(left)));
         if cells.len() >= usize::from(shape.members) {
             return Some(Block { cells });
         }
--- a/crates/stairstall-core/src/placement/homes.rs
+++ b/crates/stairstall-core/src/placement/homes.rs
@@ -79,7 +79,7 @@
             for cell in &home.cells {
                 if let Some(index) = inventory.index_of(&cell.worker) {
                     let (name, shape) = (home.guarantee.name.clone(), home.guarantee.shape);
-                    inventory.put_home(index, name, cell.mask, shape);
+                    inventory.add_home_cell(index, name, cell.mask, shape);
                 }
             }
             self.homes.insert(home.guarantee.name.clone(), home);
@@ -122,7 +122,9 @@
         }
     }
 
-    /// Replaces the set of guarantees. Home blocks that are still valid stay, others are found anew.
+    /// Replaces the set of guarantees. Valid home blocks stay, and missing ones are placed.
+    ///
+    /// If some can't be placed, home blocks that are not in use may be moved.
     ///
     /// Returns the guarantees for which no home block is found. Nothing is set aside for them.
     pub fn update(
@@ -139,7 +141,8 @@
         missing
     }
 
-    /// Removes home blocks whose guarantee is gone or changed, or that have cells on unusable workers.
+    /// Removes home blocks whose guarantee was removed or changed, or that have cells on unusable
+    /// workers.
     fn remove_invalid(&mut self, guarantees: &[Guarantee], inventory: &mut Inventory) {
         let valid = |home: &HomeBlock| {
             guarantees
@@ -155,7 +158,7 @@
             .collect();
         for id in invalid {
             self.homes.remove(&id);
-            inventory.clear_home(&id);
+            inventory.remove_home_cells(&id);
         }
     }
 
@@ -181,9 +184,9 @@
         missing
     }
 
-    /// Moves all home blocks that their owners do not use, so that the missing ones may fit.
+    /// Places all home blocks again that their owners do not use, so that the missing ones may fit.
     ///
-    /// Keeps the previous blocks unless fewer guarantees are left without one.
+    /// Restores the previous blocks unless fewer guarantees are then without one.
     fn repack(
         &mut self,
         guarantees: &[Guarantee],
@@ -199,7 +202,7 @@
             .collect();
         for id in movable {
             self.homes.remove(&id);
-            inventory.clear_home(&id);
+            inventory.remove_home_cells(&id);
         }
         let still_missing = self.place_missing(guarantees, inventory);
         if still_missing.len() < missing.len() {
@@ -216,7 +219,7 @@
             let Some(worker) = inventory.worker_at(cell.worker).map(|w| w.id.clone()) else {
                 continue;
             };
-            inventory.put_home(
+            inventory.add_home_cell(
                 cell.worker,
                 guarantee.name.clone(),
                 cell.mask,
@@ -235,6 +238,7 @@
     }
 }
 
+/// Tells whether two guarantees have the same customer, shape and zone.
 fn same_terms(a: &Guarantee, b: &Guarantee) -> bool {
     a.customer == b.customer && a.shape == b.shape && a.zone == b.zone
 }
@@ -244,12 +248,12 @@
         inventory
             .allocations(i)
             .iter()
-            .any(|u| u.home.as_ref() == Some(guarantee))
+            .any(|allocation| allocation.home.as_ref() == Some(guarantee))
     })
 }
 
 impl HomeBlock {
-    /// Returns free cells for a guaranteed job of `shape`, or none if there are too few.
+    /// Returns free cells for a guaranteed job of `shape`, or `None` if there are too few.
     #[must_use]
     pub fn find_free(&self, shape: &Shape, inventory: &Inventory) -> Option<Block> {
         if !shape.fits_in(&self.guarantee.shape) {
@@ -258,10 +262,9 @@
         let owner = Some(&self.guarantee.name);
         let free = self.cells.iter().filter_map(|cell| {
             let index = inventory.index_of(&cell.worker)?;
-            let in_use = inventory
-                .allocations(index)
-                .iter()
-                .any(|u| u.home.as_ref() == owner && u.mask & cell.mask != 0);
+            let in_use = inventory.allocations(index).iter().any(|allocation| {
+                allocation.home.as_ref() == owner && allocation.mask & cell.mask != 0
+            });
             let usable = inventory.is_usable(&cell.worker);
             (usable && !in_use).then(|| Cell {
                 worker: index,
--- a/crates/stairstall-core/src/placement/inventory.rs
+++ b/crates/stairstall-core/src/placement/inventory.rs
@@ -6,7 +6,7 @@
 use super::{FreeCapacity, Shape};
 use crate::{GuaranteeId, WorkerId};
 pub use types::{Access, Allocation, AllocationOwner, Capacity, Demand, WorkerInfo};
-use worker::{HomePart, Totals, Worker};
+use worker::{Totals, Worker, WorkerHomeCell};
 
 /// The workers of one zone, in order of rack and position, with their allocations and home cells.
 #[derive(Debug, Clone, Default)]
@@ -43,7 +43,7 @@
         self.reorder();
     }
 
-    /// Removes a worker for good, unless it still has allocations.
+    /// Removes a worker unless it still has allocations.
     pub fn remove_worker(&mut self, id: &WorkerId) {
         let before = self.workers.len();
         self.workers
@@ -143,7 +143,7 @@
         if let Some(found) = worker
             .allocations
             .iter()
-            .position(|u| u.id == owner && u.mask == mask)
+            .position(|allocation| allocation.owner == owner && allocation.mask == mask)
         {
             worker.allocations.swap_remove(found);
             worker.update_totals();
@@ -156,10 +156,10 @@
         &self.workers[index].allocations
     }
 
-    /// Adds a home cell on the worker at `index`.
-    pub fn put_home(&mut self, index: usize, guarantee: GuaranteeId, mask: u64, shape: Shape) {
+    /// Adds a home cell of a guarantee on the worker at `index`; `shape` is that of the guarantee.
+    pub fn add_home_cell(&mut self, index: usize, guarantee: GuaranteeId, mask: u64, shape: Shape) {
         let worker = &mut self.workers[index];
-        worker.homes.push(HomePart {
+        worker.homes.push(WorkerHomeCell {
             guarantee,
             mask,
             shape,
@@ -171,7 +171,7 @@
     ///
     /// Jobs that its owner runs there become ordinary work: unless they are preemptible, new
     /// home blocks can't overlap them.
-    pub fn clear_home(&mut self, guarantee: &GuaranteeId) {
+    pub fn remove_home_cells(&mut self, guarantee: &GuaranteeId) {
         for worker in &mut self.workers {
             worker.homes.retain(|h| h.guarantee != *guarantee);
             for allocation in &mut worker.allocations {
@@ -195,18 +195,23 @@
         owner: AllocationOwner,
     ) -> Vec<AllocationOwner> {
         let worker = &self.workers[demand.worker];
-        let others = || worker.allocations.iter().filter(|u| u.id != owner);
+        let others = || {
+            worker
+                .allocations
+                .iter()
+                .filter(|allocation| allocation.owner != owner)
+        };
         let mut blocking: Vec<AllocationOwner> = others()
-            .filter(|u| u.mask & demand.mask != 0)
-            .map(|u| u.id)
+            .filter(|allocation| allocation.mask & demand.mask != 0)
+            .map(|allocation| allocation.owner)
             .collect();
-        let remaining_use = |blocking: &[AllocationOwner]| {
+        let remaining_allocated = |blocking: &[AllocationOwner]| {
             others()
-                .filter(|u| !blocking.contains(&u.id))
-                .fold((0_u32, 0_u64), |sum, u| {
+                .filter(|allocation| !blocking.contains(&allocation.owner))
+                .fold((0_u32, 0_u64), |sum, allocation| {
                     (
-                        sum.0 + u32::from(u.processors),
-                        sum.1 + u64::from(u.memory_mb),
+                        sum.0 + u32::from(allocation.processors),
+                        sum.1 + u64::from(allocation.memory_mb),
                     )
                 })
         };
@@ -221,15 +226,15 @@
                 && sum.1 + demanded.1 <= u64::from(capacity.memory_mb)
         };
         let mut preemptible: Vec<&Allocation> = others()
-            .filter(|u| u.preemptible && u.home.is_none())
+            .filter(|allocation| allocation.preemptible && allocation.home.is_none())
             .collect();
-        preemptible.sort_by_key(|u| u.level);
+        preemptible.sort_by_key(|allocation| allocation.level);
         for allocation in preemptible {
-            if fits(remaining_use(&blocking)) {
+            if fits(remaining_allocated(&blocking)) {
                 break;
             }
-            if !blocking.contains(&allocation.id) {
-                blocking.push(allocation.id);
+            if !blocking.contains(&allocation.owner) {
+                blocking.push(allocation.owner);
             }
         }
         blocking
--- a/crates/stairstall-core/src/placement/inventory/types.rs
+++ b/crates/stairstall-core/src/placement/inventory/types.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Allocation {
     /// The run that owns the allocation.
-    pub id: AllocationOwner,
+    pub owner: AllocationOwner,
     /// Accelerators, one bit each.
     pub mask: u64,
     /// Processors.
@@ -110,7 +110,7 @@
     },
 }
 
-/// What all members of a gang on one worker need there.
+/// Accelerators and number of members that a gang places on one worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
     /// Index of the worker in the inventory.
--- a/crates/stairstall-core/src/placement/inventory/worker.rs
+++ b/crates/stairstall-core/src/placement/inventory/worker.rs
@@ -4,9 +4,9 @@
 use crate::GuaranteeId;
 use crate::placement::{FreeCapacity, Shape};
 
-/// A home cell on a worker.
+/// A cell of a home block on this worker, with the shape of its guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct HomePart {
+pub(super) struct WorkerHomeCell {
     pub(super) guarantee: GuaranteeId,
     pub(super) mask: u64,
     pub(super) shape: Shape,
@@ -18,7 +18,7 @@
     pub(super) info: WorkerInfo,
     pub(super) usable: bool,
     pub(super) allocations: Vec<Allocation>,
-    pub(super) homes: Vec<HomePart>,
+    pub(super) homes: Vec<WorkerHomeCell>,
     pub(super) rack_index: u32,
     pub(super) totals: Totals,
 }
@@ -29,12 +29,13 @@
     /// Accelerators of all allocations, one bit each.
     used: u64,
     used_processors: u16,
+    /// Memory of all allocations, in megabytes.
     used_memory: u32,
     /// Accelerators of all home cells, one bit each.
     home: u64,
-    /// Processors of work that is not preemptible and of home cells.
+    /// Processors of home cells and of work outside them that is not preemptible.
     bound_processors: u16,
-    /// Memory of work that is not preemptible and of home cells.
+    /// Memory of home cells and of work outside them that is not preemptible, in megabytes.
     bound_memory: u32,
 }
 
@@ -71,14 +72,14 @@
         match access {
             Access::OutsideHomes => self.free_outside_homes(self.totals.used, (0, 0)),
             Access::Borrow => self.free_with_homes(self.totals.used, (0, 0)),
-            Access::Preempt { level, borrow } => self.free_after_clearing(borrow, |u| {
-                u.preemptible && u.home.is_none() && u.level < level
+            Access::Preempt { level, borrow } => self.free_after_clearing(borrow, |allocation| {
+                allocation.preemptible && allocation.home.is_none() && allocation.level < level
             }),
             Access::Until { time, borrow } => {
-                self.free_after_clearing(borrow, |u| u.expected_end <= time)
+                self.free_after_clearing(borrow, |allocation| allocation.expected_end <= time)
             }
-            Access::Move { level, borrow } => self.free_after_clearing(borrow, |u| {
-                u.movable && u.home.is_none() && u.level <= level
+            Access::Move { level, borrow } => self.free_after_clearing(borrow, |allocation| {
+                allocation.movable && allocation.home.is_none() && allocation.level <= level
             }),
         }
     }
@@ -92,15 +93,15 @@
         let mut used = 0;
         let mut cleared = 0;
         let mut released = (0_u16, 0_u32);
-        for u in &self.allocations {
-            if clears(u) {
+        for allocation in &self.allocations {
+            if clears(allocation) {
                 released = (
-                    released.0.saturating_add(u.processors),
-                    released.1.saturating_add(u.memory_mb),
+                    released.0.saturating_add(allocation.processors),
+                    released.1.saturating_add(allocation.memory_mb),
                 );
-                cleared |= u.mask;
+                cleared |= allocation.mask;
             } else {
-                used |= u.mask;
+                used |= allocation.mask;
             }
         }
         let mut free = if borrow {
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Returns the capacity for home blocks: all but home cells and work that is not preemptible.
+    /// Returns the capacity for new home blocks: all but that of existing home cells and of work
+    /// that is not preemptible. Accelerators in use are avoided.
     pub(super) fn free_for_homes(&self) -> FreeCapacity {
         if !self.usable {
             return self.located(FreeCapacity::default());
@@ -155,8 +157,8 @@
         let fixed = self
             .allocations
             .iter()
-            .filter(|u| !u.preemptible && u.home.is_none());
-        let occupied = fixed.fold(self.totals.home, |mask, u| mask | u.mask);
+            .filter(|allocation| !allocation.preemptible && allocation.home.is_none());
+        let occupied = fixed.fold(self.totals.home, |mask, allocation| mask | allocation.mask);
         let capacity = &self.info.capacity;
         self.located(FreeCapacity {
             mask: capacity.mask() & !occupied,
--- a/crates/stairstall-core/src/placement/job.rs
+++ b/crates/stairstall-core/src/placement/job.rs
@@ -272,7 +272,8 @@
     pub spec: JobSpec,
     /// The zone that the job is assigned to.
     pub zone: ZoneId,
-    /// Who wrote the acceptance. It tells whether a write succeeded whose answer was lost.
+    /// Identifies the writer of the accepted job. If the response of the store to that write is
+    /// lost, the mark in the record shows that the write succeeded.
     pub mark: Mark,
     /// When the job was accepted, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
--- a/crates/stairstall-core/src/placement/run.rs
+++ b/crates/stairstall-core/src/placement/run.rs
@@ -20,7 +20,7 @@
     phase: RunPhase,
     /// Whether any member may have been ordered to start in this tenure.
     start_sent: bool,
-    /// Whether the placement is stored, or need not be.
+    /// Whether the placement is stored, or need not be stored before the start.
     recorded: bool,
     /// Whether the capacity of all members is free.
     cleared: bool,
@@ -65,7 +65,7 @@
         run
     }
 
-    /// Returns the attempt that this run is.
+    /// Returns the id of the attempt.
     #[must_use]
     pub const fn attempt(&self) -> Attempt {
         self.attempt
@@ -161,6 +161,7 @@
         self.phase != before
     }
 
+    /// Makes at most one phase transition. Returns whether the phase changed.
     fn step(&mut self, now: Timestamp) -> bool {
         let before = self.phase;
         match self.phase {
--- a/crates/stairstall-core/src/placement/scheduler.rs
+++ b/crates/stairstall-core/src/placement/scheduler.rs
@@ -38,7 +38,8 @@
 ///   [`Scheduler::workers_to_sync`] returns.
 #[derive(Debug, Clone)]
 pub struct Scheduler {
-    me: VmId,
+    /// The VM that holds the placement role.
+    holder: VmId,
     zone: ZoneId,
     token: u64,
     policy: Policy,
@@ -49,19 +50,22 @@
     contacts: BTreeMap<WorkerId, Contact>,
     /// Jobs by the owner id of their current run.
     owners: BTreeMap<AllocationOwner, JobKey>,
+    /// Last owner id that was assigned.
     last_owner: u64,
+    /// Serial number of the last attempt of this tenure.
     last_serial: u32,
+    /// Id of the last write.
     last_write: u64,
     effects: Vec<Effect>,
     /// Whether the next tick considers all waiting jobs again.
     replan: bool,
-    /// Whether the next tick updates the home blocks.
-    homes_stale: bool,
+    /// Whether workers or guarantees have changed, so that the next tick updates the home blocks.
+    homes_outdated: bool,
     /// Whether all records of the store were read.
     store_read: bool,
     /// Whether running tasks without a record are adopted.
     adopts_tasks: bool,
-    /// Home blocks as last passed on to be stored.
+    /// Home blocks of the last [`Effect::StoreHomes`].
     stored_homes: Vec<HomeBlock>,
 }
 
@@ -79,9 +83,9 @@
 
     /// Creates the scheduler of one tenure with the fencing token `token`.
     #[must_use]
-    pub fn new(me: VmId, zone: ZoneId, token: u64, policy: Policy) -> Self {
+    pub fn new(holder: VmId, zone: ZoneId, token: u64, policy: Policy) -> Self {
         Self {
-            me,
+            holder,
             zone,
             token,
             policy,
@@ -96,7 +100,7 @@
             last_write: 0,
             effects: Vec::new(),
             replan: true,
-            homes_stale: true,
+            homes_outdated: true,
             store_read: false,
             adopts_tasks: false,
             stored_homes: Vec::new(),
@@ -115,7 +119,7 @@
             return;
         }
         self.configuration = configuration;
-        self.homes_stale = true;
+        self.homes_outdated = true;
         self.replan = true;
     }
 
@@ -148,7 +152,7 @@
         for id in gone {
             self.contacts.remove(&id);
             self.inventory.remove_worker(&id);
-            self.homes_stale = true;
+            self.homes_outdated = true;
         }
     }
 
@@ -161,7 +165,7 @@
         self.homes.check(guarantees, &self.inventory)
     }
 
-    /// Applies a job record of the store.
+    /// Applies a job record from the store.
     pub fn handle_record(&mut self, record: &JobRecord, now: Timestamp) {
         if record.zone != self.zone {
             return;
@@ -187,7 +191,8 @@
         self.replan = true;
     }
 
-    /// Marks all records of the store as read: from now on, tasks without a record are unclaimed.
+    /// Marks all records of the store as read: from now on, tasks without a record are unclaimed
+    /// and are stopped.
     pub const fn mark_store_read(&mut self) {
         self.store_read = true;
     }
@@ -212,6 +217,8 @@
         match &mut entry.stage {
             Stage::Running(running) => {
                 entry.recorded |= done;
+                // A repeatable job may start without a stored placement if the store can't be
+                // reached.
                 if done || entry.spec.repeatable {
                     running.run.mark_recorded();
                 }
@@ -234,13 +241,13 @@
 
     /// Returns the next request to a worker.
     ///
-    /// Exactly one call of [`Scheduler::handle_sync_reply`] or
-    /// [`Scheduler::handle_sync_failure`] must follow.
+    /// Each request must be followed by exactly one call of [`Scheduler::handle_sync_reply`] or
+    /// [`Scheduler::handle_sync_failure`].
     #[must_use]
     pub fn next_sync(&mut self, worker: &WorkerId, now: Timestamp) -> Option<SyncRequest> {
         let commands = self.commands_for(worker);
         let contact = self.contacts.get_mut(worker)?;
-        Some(contact.request(&self.me, self.token, commands, now))
+        Some(contact.request(&self.holder, self.token, commands, now))
     }
 
     /// Applies the reply of a worker to a sync.
@@ -260,7 +267,7 @@
         if changes.first || changes.restarted || self.inventory.is_usable(worker) != usable {
             self.inventory.put_worker(info);
             self.inventory.set_usable(worker, usable);
-            self.homes_stale = true;
+            self.homes_outdated = true;
             self.replan = true;
         }
         if changes.first || changes.restarted {
@@ -282,7 +289,7 @@
         contact.handle_failure(now, interval);
         if self.inventory.is_usable(worker) {
             self.inventory.set_usable(worker, false);
-            self.homes_stale = true;
+            self.homes_outdated = true;
             self.replan = true;
         }
     }
@@ -292,7 +299,7 @@
     pub fn tick(&mut self, now: Timestamp) -> Vec<Effect> {
         self.mark_silent_workers_lost(now);
         self.advance_runs(now);
-        if std::mem::take(&mut self.homes_stale) {
+        if std::mem::take(&mut self.homes_outdated) {
             self.update_homes();
         }
         if std::mem::take(&mut self.replan) {
--- a/crates/stairstall-core/src/placement/scheduler/contact.rs
+++ b/crates/stairstall-core/src/placement/scheduler/contact.rs
@@ -8,6 +8,9 @@
 };
 use crate::{Lease, RackId, Timestamp, VmId};
 
+/// Timeout of a sync request. The daemon treats a later reply as a failure.
+pub const SYNC_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// What the holder knows of one worker, and the state of the syncs with it.
 #[derive(Debug, Clone)]
 pub(super) struct Contact {
@@ -35,6 +38,7 @@
     in_flight: bool,
     /// When the next sync should be sent.
     next_sync_at: Timestamp,
+    /// When the last request was sent.
     sent_at: Timestamp,
     /// Tasks that the last request had orders for.
     commanded: Vec<TaskId>,
@@ -42,7 +46,7 @@
     lost: bool,
 }
 
-/// What a reply tells of the worker, beside the task reports in it.
+/// What a reply shows about the worker besides its task reports.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReplyChanges {
     /// Whether this is the first reply of the tenure or since the worker was lost. Such a reply
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Updates what the platform lists of the worker.
+    /// Updates the rack, position and VM state that the platform lists for the worker.
     pub(super) fn update_listing(&mut self, rack: RackId, position: u16, state: VmState) {
         self.rack = rack;
         self.position = position;
@@ -104,11 +108,11 @@
         self.next_sync_at = self.next_sync_at.min(soon);
     }
 
-    /// Creates the next request. While the worker does not answer, requests renew no lease, so
-    /// that its leases certainly expire even if only its answers are lost.
+    /// Creates the next request. Requests to an unresponsive worker renew no lease, so that its
+    /// leases certainly expire even if only its replies are lost.
     pub(super) fn request(
         &mut self,
-        me: &VmId,
+        holder: &VmId,
         token: u64,
         commands: Vec<Command>,
         now: Timestamp,
@@ -124,7 +128,7 @@
             0
         };
         SyncRequest {
-            holder: me.clone(),
+            holder: holder.clone(),
             token,
             sequence: self.sequence,
             since: self.since,
@@ -171,8 +175,8 @@
         self.next_sync_at = now + interval;
     }
 
-    /// Marks the worker as lost if all leases on it have certainly expired. Returns true once for
-    /// each silence.
+    /// Marks an unresponsive worker as lost once all leases on it have certainly expired. Returns
+    /// true only on the call that marks it.
     pub(super) fn became_lost(&mut self, now: Timestamp) -> bool {
         if self.healthy || self.lost || self.leases_certainly_expired_at() > now {
             return false;
@@ -184,8 +188,8 @@
 
     /// Returns when all leases on the worker have certainly expired.
     fn leases_certainly_expired_at(&self) -> Timestamp {
-        // The worker may have renewed its leases as late as the timeout of the last renewing
-        // request.
+        // The worker may have handled the last request that renews leases at any time before
+        // that request timed out.
         let latest = self.renewed_at + SYNC_TIMEOUT;
         Lease::new(latest, Scheduler::TASK_LEASE).surely_ended_at(latest)
     }
@@ -205,6 +209,3 @@
         })
     }
 }
-
-/// Timeout of a sync request. The daemon treats a later answer as a failure.
-pub const SYNC_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/stairstall-core/src/placement/scheduler/crashes.rs
+++ b/crates/stairstall-core/src/placement/scheduler/crashes.rs
@@ -1,8 +1,8 @@
 //! Crash attribution: which jobs a worker crash is counted against, and when such a job is ended.
 //!
-//! A crashed worker does not report how its tasks ended, so jobs that crash their workers are known
-//! by the loss of the worker alone. A worker that is silent until its leases have expired may only
-//! be unreachable. It counts as crashed if it answers again with another incarnation.
+//! A crashed worker does not report how its tasks ended, so a job that crashes its worker can be
+//! recognized only by the loss of the worker. A worker that is silent until its leases have expired
+//! may only be unreachable. It counts as crashed if it answers again with another incarnation.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
     /// Counts a crash against the jobs of an earlier incarnation if the worker has restarted.
     ///
     /// `incarnation` is the one that answers now. If it is the same as before, the worker did not
-    /// crash and the jobs recorded for it are cleared of suspicion.
+    /// crash, and nothing is counted against the jobs recorded for it.
     pub(super) fn attribute_crashes(
         &mut self,
         worker: &WorkerId,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Counts a crash against a job. Ends the job if it waits and has reached the limit.
+    /// Counts a crash against a job. Ends the job if it waits and has reached
+    /// [`Scheduler::MAX_CRASHES`].
     fn count_crash(&mut self, key: &JobKey, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Ends a waiting job that has reached the limit, because it might crash another worker.
+    /// Ends a waiting job that has reached [`Scheduler::MAX_CRASHES`], because it might crash
+    /// another worker.
     pub(super) fn end_after_crashes(&mut self, key: &JobKey, now: Timestamp) {
         let Some(entry) = self.jobs.get(key) else {
             return;
--- a/crates/stairstall-core/src/placement/scheduler/effect.rs
+++ b/crates/stairstall-core/src/placement/scheduler/effect.rs
@@ -13,8 +13,8 @@
     Done,
     /// The store can't be reached at present; the write is retried.
     Unreachable,
-    /// A holder with a higher fencing token wrote the record. This one must not act on the job any
-    /// more.
+    /// A holder with a higher fencing token wrote the record. This holder must not act on the job
+    /// any more.
     Superseded,
 }
 
--- a/crates/stairstall-core/src/placement/scheduler/plan.rs
+++ b/crates/stairstall-core/src/placement/scheduler/plan.rs
@@ -10,8 +10,8 @@
 };
 use crate::{GuaranteeId, Timestamp, Verdict};
 
-/// Limit on moves: the jobs moved off a block, each and together, have at most one in this many
-/// of the accelerators of the job that gets it.
+/// Jobs are moved off a block only if each of them, and all of them together, have at most
+/// 1/`MOVE_DIVISOR` of the accelerators of the job that gets the block.
 const MOVE_DIVISOR: u32 = 2;
 
 /// A block that is reserved for the first job that finds no free one.
@@ -33,8 +33,9 @@
     /// Considers every waiting job once, in order.
     pub(super) fn plan(&mut self, now: Timestamp) {
         self.cancel_waiting(now);
-        self.explain_held(now);
+        self.explain_blocked_by_rules(now);
         let mut reservation = None;
+        // Shape, `borrow` and level of searches that found no block; they are not repeated.
         let mut failed_searches: HashSet<(Shape, bool, u8)> = HashSet::new();
         let mut used = self.accelerators_in_use();
         for candidate in self.candidates(now, &used) {
@@ -118,7 +119,7 @@
         let find = |access: Access| {
             let mut capacities = self.inventory.free_capacity(access);
             if let Some(reservation) =
-                reservation.filter(|r| now + candidate.left > r.expected_start)
+                reservation.filter(|r| now + candidate.remaining_work > r.expected_start)
             {
                 reservation.exclude_from(&mut capacities);
             }
@@ -208,7 +209,7 @@
             .collect()
     }
 
-    /// Starts a run of a job on its block, and preempts the runs that occupy it.
+    /// Creates the run of a job on its block, and preempts the runs that occupy it.
     fn place(&mut self, candidate: &Candidate, choice: &Choice, now: Timestamp) {
         self.last_owner += 1;
         let owner = AllocationOwner(self.last_owner);
@@ -245,21 +246,21 @@
     fn allocation_for(
         &self,
         candidate: &Candidate,
-        id: AllocationOwner,
+        owner: AllocationOwner,
         mask: u64,
         home: Option<GuaranteeId>,
         now: Timestamp,
     ) -> Allocation {
         let entry = self.jobs.get(&candidate.key);
         Allocation {
-            id,
+            owner,
             mask,
             processors: candidate.spec.shape.processors,
             memory_mb: candidate.spec.shape.memory_mb,
             preemptible: candidate.borrow,
             movable: entry.is_some_and(Entry::is_movable),
             level: candidate.level,
-            expected_end: now + candidate.left,
+            expected_end: now + candidate.remaining_work,
             home,
         }
     }
@@ -291,14 +292,15 @@
         }
     }
 
-    /// Reserves the block on which a job could start first as running work ends.
+    /// Returns a reservation of the block on which a job could start earliest, by the expected ends
+    /// of the running work.
     fn reserve(&self, candidate: &Candidate, now: Timestamp) -> Option<Reservation> {
         let mut ends: Vec<Timestamp> = (0..self.inventory.len())
             .flat_map(|i| {
                 self.inventory
                     .allocations(i)
                     .iter()
-                    .map(|u| u.expected_end.max(now))
+                    .map(|allocation| allocation.expected_end.max(now))
             })
             .collect();
         ends.sort_unstable();
@@ -308,6 +310,7 @@
             let capacities = self.inventory.free_capacity(Access::Until { time, borrow });
             Block::find(&capacities, &candidate.spec.shape, self.policy.fit)
         };
+        // The binary search assumes that a block found for one end is also found for later ends.
         let (mut low, mut high) = (0, ends.len());
         while low < high {
             let middle = usize::midpoint(low, high);
--- a/crates/stairstall-core/src/placement/scheduler/queue.rs
+++ b/crates/stairstall-core/src/placement/scheduler/queue.rs
@@ -12,8 +12,8 @@
 
 /// Waiting time that offsets one accelerator in use by the customer in [`JobOrder::Fair`].
 const WAIT_PER_ACCELERATOR: Duration = Duration::from_secs(30);
-/// Work left that counts as much as one accelerator in use by the customer. Short jobs come
-/// first, until longer ones have waited that much longer.
+/// Expected remaining run time that counts as much as one accelerator in use by the customer in
+/// [`JobOrder::Fair`]. It puts short jobs first, until the waiting time of longer ones offsets it.
 const WORK_PER_ACCELERATOR: Duration = Duration::from_secs(40);
 
 /// An eligible job with everything that its order depends on.
@@ -26,22 +26,23 @@
     pub(super) preempts: bool,
     /// Whether the job may use home blocks of others, because it is preemptible.
     pub(super) borrow: bool,
-    pub(super) left: Duration,
+    /// Expected run time that is left.
+    pub(super) remaining_work: Duration,
     pub(super) accepted_ms: u64,
     pub(super) waiting_since: Timestamp,
 }
 
 impl Scheduler {
-    /// Records why rules keep jobs from starting.
-    pub(super) fn explain_held(&mut self, now: Timestamp) {
+    /// Records decisions for waiting jobs that a rule holds or bars from this zone.
+    pub(super) fn explain_blocked_by_rules(&mut self, now: Timestamp) {
         let waiting = self
             .jobs
             .iter()
             .filter(|(_, e)| matches!(e.stage, Stage::Waiting));
-        let held: Vec<(JobKey, &str)> = waiting
+        let blocked: Vec<(JobKey, &str)> = waiting
             .filter_map(|(key, entry)| Some((key.clone(), self.candidate(key, entry).err()?)))
             .collect();
-        for (key, why) in held {
+        for (key, why) in blocked {
             self.decide(&key, DecisionKind::Waiting, now, why);
         }
     }
@@ -54,9 +55,9 @@
                 .inventory
                 .allocations(index)
                 .iter()
-                .filter(|u| u.home.is_none())
+                .filter(|allocation| allocation.home.is_none())
             {
-                if let Some(key) = self.owners.get(&allocation.id) {
+                if let Some(key) = self.owners.get(&allocation.owner) {
                     *used.entry(key.customer.clone()).or_default() += allocation.mask.count_ones();
                 }
             }
@@ -78,10 +79,10 @@
             .filter_map(|(key, entry)| self.candidate(key, entry).ok())
             .collect();
         match self.policy.order {
-            JobOrder::Fifo => found.sort_by(|a, b| by_age(a).cmp(&by_age(b))),
+            JobOrder::Fifo => found.sort_by(|a, b| age_key(a).cmp(&age_key(b))),
             JobOrder::Level => {
                 found.sort_by(|a, b| {
-                    (Reverse(a.level), by_age(a)).cmp(&(Reverse(b.level), by_age(b)))
+                    (Reverse(a.level), age_key(a)).cmp(&(Reverse(b.level), age_key(b)))
                 });
             }
             JobOrder::Fair => self.sort_fairly(&mut found, now, used),
@@ -110,7 +111,7 @@
             level: class.map_or(0, |c| c.level),
             preempts: class.is_some_and(|c| c.preempts),
             borrow: entry.is_preemptible(),
-            left: entry.remaining_work(),
+            remaining_work: entry.remaining_work(),
             accepted_ms: entry.accepted_ms,
             waiting_since: entry.waiting_since,
         })
@@ -119,15 +120,16 @@
     /// Sorts by level, highest first, then by a score, lowest first.
     ///
     /// The score is the number of accelerators that the customer uses or that its earlier
-    /// candidates need, divided by its weight, plus the work left, minus the time waited. The
-    /// constants of this module convert both durations to accelerators.
+    /// candidates need, divided by its weight, plus the remaining run time, minus the time waited.
+    /// The constants of this module convert both durations to accelerators. Scores are in
+    /// thousandths of an accelerator.
     fn sort_fairly(
         &self,
         found: &mut Vec<Candidate>,
         now: Timestamp,
         used: &BTreeMap<CustomerId, u32>,
     ) {
-        found.sort_by(|a, b| (Reverse(a.level), by_age(a)).cmp(&(Reverse(b.level), by_age(b))));
+        found.sort_by(|a, b| (Reverse(a.level), age_key(a)).cmp(&(Reverse(b.level), age_key(b))));
         let mut usage: BTreeMap<CustomerId, u64> = used
             .iter()
             .map(|(c, n)| (c.clone(), u64::from(*n)))
@@ -140,7 +142,8 @@
             let waited = now.since(candidate.waiting_since).as_millis() * 1_000
                 / WAIT_PER_ACCELERATOR.as_millis();
             let waited = u64::try_from(waited).unwrap_or(u64::MAX);
-            let work = candidate.left.as_millis() * 1_000 / WORK_PER_ACCELERATOR.as_millis();
+            let work =
+                candidate.remaining_work.as_millis() * 1_000 / WORK_PER_ACCELERATOR.as_millis();
             let work = u64::try_from(work).unwrap_or(u64::MAX);
             let score = (*customer_usage * 1_000 / weight)
                 .saturating_add(work)
@@ -149,7 +152,7 @@
             ranked.push((score, candidate));
         }
         ranked.sort_by(|(score_a, a), (score_b, b)| {
-            (Reverse(a.level), score_a, by_age(a)).cmp(&(Reverse(b.level), score_b, by_age(b)))
+            (Reverse(a.level), score_a, age_key(a)).cmp(&(Reverse(b.level), score_b, age_key(b)))
         });
         found.extend(ranked.into_iter().map(|(_, candidate)| candidate));
     }
@@ -165,6 +168,7 @@
     }
 }
 
-fn by_age(candidate: &Candidate) -> (u64, &JobKey) {
+/// Sort key that puts jobs accepted earlier first.
+fn age_key(candidate: &Candidate) -> (u64, &JobKey) {
     (candidate.accepted_ms, &candidate.key)
 }
--- a/crates/stairstall-core/src/placement/scheduler/recovery.rs
+++ b/crates/stairstall-core/src/placement/scheduler/recovery.rs
@@ -13,7 +13,7 @@
 use crate::{ClassId, GuaranteeId, Labels, RackId, Timestamp, VmId, ZoneId};
 
 /// Level of jobs whose class is unknown, such as adopted ones, so that they are not preempted.
-const ADOPTED_LEVEL: u8 = u8::MAX;
+const UNKNOWN_CLASS_LEVEL: u8 = u8::MAX;
 
 impl Scheduler {
     /// Restores the home blocks of the last tenure, so that they stay in place.
@@ -21,10 +21,10 @@
     /// Call it after a first sync with the workers and before [`Scheduler::handle_record`].
     pub fn restore_home_blocks(&mut self, homes: Vec<HomeBlock>) {
         self.homes.restore(homes, &mut self.inventory);
-        self.homes_stale = true;
+        self.homes_outdated = true;
     }
 
-    /// Adopts running tasks that no record is known of, for a tenure without the store.
+    /// Adopts tasks whose job record is not known, for a tenure without the store.
     ///
     /// Such tasks go on running as their workers describe them. No job is started without a
     /// record.
@@ -72,14 +72,14 @@
         }));
     }
 
-    /// Adds workers that the platform no longer lists, as silent ones, so that their members are
-    /// lost once all leases on them have certainly expired.
+    /// Adds workers that the platform no longer lists, so that they are synced too. If they do not
+    /// answer, their members are marked as lost once all leases on them have certainly expired.
     fn add_unlisted_workers(&mut self, placed: &[PlacedMember], now: Timestamp) {
         for member in placed {
-            let silent = || Contact::new(RackId::unknown(), 0, now);
+            let new_contact = || Contact::new(RackId::unknown(), 0, now);
             self.contacts
                 .entry(member.worker.clone())
-                .or_insert_with(silent);
+                .or_insert_with(new_contact);
         }
     }
 
@@ -125,8 +125,9 @@
         self.contacts.get(&member.worker)?.tasks.get(&task)
     }
 
-    /// Allocates the accelerators of a member that had no report when its run was taken over.
-    pub(super) fn allocate_late(&mut self, key: &JobKey, member: u16, mask: u64) {
+    /// Allocates the accelerators of a member that are known only from a report that came after its
+    /// run was taken over.
+    pub(super) fn allocate_reported_mask(&mut self, key: &JobKey, member: u16, mask: u64) {
         let Some(Entry {
             stage: Stage::Running(running),
             ..
@@ -155,12 +156,12 @@
     fn allocation_of_member(
         &self,
         entry: &Entry,
-        id: AllocationOwner,
+        owner: AllocationOwner,
         index: usize,
         mask: u64,
     ) -> Allocation {
         Allocation {
-            id,
+            owner,
             mask,
             processors: entry.spec.shape.processors,
             memory_mb: entry.spec.shape.memory_mb,
@@ -217,13 +218,13 @@
         }
     }
 
-    /// Returns the level of a job, or [`ADOPTED_LEVEL`] if its class is unknown.
+    /// Returns the level of a job, or [`UNKNOWN_CLASS_LEVEL`] if its class is unknown.
     pub(super) fn level_of(&self, spec: &JobSpec) -> u8 {
         let class = self.class_of(spec);
         self.configuration
             .classes
             .get(&class)
-            .map_or(ADOPTED_LEVEL, |c| c.level)
+            .map_or(UNKNOWN_CLASS_LEVEL, |c| c.level)
     }
 
     /// Returns the priority class of a job, with rules applied.
--- a/crates/stairstall-core/src/placement/scheduler/reports.rs
+++ b/crates/stairstall-core/src/placement/scheduler/reports.rs
@@ -53,7 +53,7 @@
                 .map_or(0, |m| m.mask);
             let reported_mask = report.spec.accelerators;
             if known_mask == 0 && reported_mask != 0 && running.run.outcome().is_none() {
-                self.allocate_late(key, member, reported_mask);
+                self.allocate_reported_mask(key, member, reported_mask);
             }
         }
         let absent = |task: &TaskId| !reply.tasks.iter().any(|r| r.task == *task);
@@ -122,7 +122,7 @@
         });
     }
 
-    /// Marks workers as lost on which all leases have certainly expired.
+    /// Marks unresponsive workers as lost once all leases on them have certainly expired.
     pub(super) fn mark_silent_workers_lost(&mut self, now: Timestamp) {
         let lost: Vec<WorkerId> = self
             .contacts
--- a/crates/stairstall-core/src/placement/scheduler/runs.rs
+++ b/crates/stairstall-core/src/placement/scheduler/runs.rs
@@ -9,7 +9,8 @@
 };
 use crate::{Timestamp, Verdict};
 
-/// Back-off after the first attempt of a job that did not start. It doubles with each further one.
+/// Back-off after the first attempt of a job that did not start. It doubles with each further
+/// attempt that does not start.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 /// Maximum number of times that the back-off doubles.
 const MAX_DOUBLINGS: u32 = 6;
@@ -49,7 +50,7 @@
         } else {
             Vec::new()
         };
-        self.release_over(key);
+        self.release_ended_members(key);
         for member in members {
             self.expedite_sync(&member.worker);
         }
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Tells whether no other run blocks the capacity of a run any more.
+    /// Tells whether no other run occupies the capacity of a run any more.
     fn is_clear(&self, key: &JobKey) -> bool {
         let Some(Entry {
             stage: Stage::Running(running),
@@ -91,7 +92,7 @@
     }
 
     /// Releases the allocations of members that are over.
-    fn release_over(&mut self, key: &JobKey) {
+    fn release_ended_members(&mut self, key: &JobKey) {
         let Some(entry) = self.jobs.get_mut(key) else {
             return;
         };
@@ -140,7 +141,7 @@
             }
             RunOutcome::Stopped { reason, verdict } => {
                 entry.started |= verdict == Verdict::MayHaveRun;
-                self.handle_stopped_run(key, reason, verdict, running.output, now);
+                self.retry_or_end_job(key, reason, verdict, running.output, now);
             }
         }
         for member in running.run.members() {
@@ -149,7 +150,7 @@
     }
 
     /// Retries or ends a job whose run was stopped.
-    fn handle_stopped_run(
+    fn retry_or_end_job(
         &mut self,
         key: &JobKey,
         reason: StopReason,
--- a/crates/stairstall-core/src/placement/scheduler/summary.rs
+++ b/crates/stairstall-core/src/placement/scheduler/summary.rs
@@ -23,7 +23,7 @@
     pub largest_free: u32,
 }
 
-/// Number of jobs in a zone by stage, and of its guarantees and workers.
+/// Numbers of jobs by stage, of broken guarantees and of usable workers in a zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Jobs that wait for a placement.
@@ -61,7 +61,10 @@
     #[must_use]
     pub fn fragmentation(&self) -> Fragmentation {
         let capacities = self.inventory.free_capacity(Access::Borrow);
-        let free: u32 = capacities.iter().map(|r| r.mask.count_ones()).sum();
+        let free: u32 = capacities
+            .iter()
+            .map(|capacity| capacity.mask.count_ones())
+            .sum();
         let total = (0..self.inventory.len())
             .filter_map(|i| self.inventory.worker_at(i))
             .filter(|w| self.inventory.is_usable(&w.id))
@@ -101,22 +104,22 @@
     fn largest_free(&self) -> u32 {
         let capacities = self.inventory.free_capacity(Access::Borrow);
         let mut largest = 0;
-        let mut run = 0;
+        let mut adjacent = 0;
         for (index, capacity) in capacities.iter().enumerate() {
-            let whole = self
+            let full_mask = self
                 .inventory
                 .worker_at(index)
                 .map_or(0, |w| w.capacity.mask());
             let follows = index > 0
                 && capacities[index - 1].rack == capacity.rack
                 && capacities[index - 1].position + 1 == capacity.position;
-            let all_free = whole != 0 && capacity.mask == whole;
-            run = match (all_free, follows) {
-                (true, true) => run + whole.count_ones(),
-                (true, false) => whole.count_ones(),
+            let all_free = full_mask != 0 && capacity.mask == full_mask;
+            adjacent = match (all_free, follows) {
+                (true, true) => adjacent + full_mask.count_ones(),
+                (true, false) => full_mask.count_ones(),
                 (false, _) => 0,
             };
-            largest = largest.max(run);
+            largest = largest.max(adjacent);
         }
         largest
     }
@@ -172,7 +175,7 @@
 
 /// Returns the number of free accelerators that no block of any of the shapes covers.
 fn unusable_by(capacities: &[FreeCapacity], shapes: &BTreeSet<Shape>) -> u32 {
-    let mut unused: Vec<u64> = capacities.iter().map(|r| r.mask).collect();
+    let mut unused: Vec<u64> = capacities.iter().map(|capacity| capacity.mask).collect();
     for shape in shapes.iter().filter(|shape| shape.accelerators > 0) {
         let mut left = capacities.to_vec();
         while let Some(block) = Block::find(&left, shape, Fit::Aligned) {
--- a/crates/stairstall-core/src/placement/shape.rs
+++ b/crates/stairstall-core/src/placement/shape.rs
@@ -97,7 +97,8 @@
         u32::from(self.members) * u32::from(self.accelerators)
     }
 
-    /// Tells whether a gang of this shape fits wherever one of shape `other` does.
+    /// Tells whether a gang of this shape needs no more members than one of shape `other`, and no
+    /// more resources for each. Adjacency is not compared.
     #[must_use]
     pub const fn fits_in(&self, other: &Self) -> bool {
         self.members <= other.members
