--- a/crates/stairstalld/src/api.rs
+++ b/crates/stairstalld/src/api.rs
@@ -11,10 +11,10 @@
 use stairstall_core::{CustomerId, RequestId, Verdict};
 use viz::{Request, RequestExt, Response, Result, Router, StatusCode};
 
-use crate::answer::{Failure, STORE_RETRY, json};
 use crate::daemon::{Daemon, lock};
 use crate::incoming::read_body;
 use crate::peers::own_heartbeat;
+use crate::response::{ErrorResponse, STORE_RETRY, json};
 use crate::{call, configure, jobs, keys};
 
 /// What the balancer and operators see of one daemon.
@@ -103,7 +103,7 @@
         .any("/call/:service/*", call)
 }
 
-fn settle(result: std::result::Result<Response, Failure>) -> Response {
+fn settle(result: std::result::Result<Response, ErrorResponse>) -> Response {
     result.unwrap_or_else(Into::into)
 }
 
@@ -138,21 +138,24 @@
 }
 
 /// Tells what is kept of a not-repeatable request.
-async fn claimed(daemon: &Daemon, request: &Request) -> std::result::Result<Response, Failure> {
+async fn claimed(
+    daemon: &Daemon,
+    request: &Request,
+) -> std::result::Result<Response, ErrorResponse> {
     let customer: CustomerId = request
         .param("customer")
-        .map_err(|e| Failure::bad("customer", e.to_string()))?;
+        .map_err(|e| ErrorResponse::bad_request("customer", e.to_string()))?;
     let id: RequestId = request
         .param("id")
-        .map_err(|e| Failure::bad("id", e.to_string()))?;
+        .map_err(|e| ErrorResponse::bad_request("id", e.to_string()))?;
     let entry = daemon.store.get(&keys::claim(&customer, &id)).await;
     daemon.note_answer(&entry);
     let entry = entry.map_err(|e| {
-        Failure::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
             .with_verdict(Verdict::MayHaveRun)
     })?;
     let record = entry.and_then(|entry| entry.read::<ClaimRecord>());
-    let missing = || Failure::missing(format!("no not-repeatable request {id} is known"));
+    let missing = || ErrorResponse::not_found(format!("no not-repeatable request {id} is known"));
     Ok(json(StatusCode::OK, &record.ok_or_else(missing)?))
 }
 
@@ -168,19 +171,19 @@
 pub(crate) async fn read_json<T: DeserializeOwned>(
     daemon: &Daemon,
     request: &mut Request,
-) -> std::result::Result<T, Failure> {
+) -> std::result::Result<T, ErrorResponse> {
     let bytes = read_body(daemon, request).await?;
     let mut reader = serde_json::Deserializer::from_slice(&bytes);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         let path = error.path().to_string();
-        Failure::bad(
+        ErrorResponse::bad_request(
             field_of(&path, error.inner()).as_str(),
             error.into_inner().to_string(),
         )
     })?;
     reader
         .end()
-        .map_err(|e| Failure::bad("body", e.to_string()))?;
+        .map_err(|e| ErrorResponse::bad_request("body", e.to_string()))?;
     Ok(value)
 }
 
--- a/crates/stairstalld/src/batch/caller_api.rs
+++ b/crates/stairstalld/src/batch/caller_api.rs
@@ -17,7 +17,7 @@
 use super::node::Node;
 use super::queries;
 use super::rpc::JobAnswer;
-use crate::answer::Failure;
+use crate::response::ErrorResponse;
 
 /// `Retry-After` delay for callers while the store does not serve this daemon.
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -88,9 +88,9 @@
     }
 }
 
-async fn respond(node: &Node, request: Request) -> std::result::Result<Response, Failure> {
+async fn respond(node: &Node, request: Request) -> std::result::Result<Response, ErrorResponse> {
     let Some(catalog) = node.current_catalog() else {
-        return Err(Failure::unavailable(
+        return Err(ErrorResponse::unavailable(
             "no configuration is known yet",
             STORE_RETRY_AFTER,
         ));
@@ -99,14 +99,14 @@
     let host = requested_host(&request);
     let route = catalog
         .route(&host, path)
-        .ok_or_else(|| access_failure(node, Failure::missing("there is no such queue")))?;
+        .ok_or_else(|| access_failure(node, ErrorResponse::not_found("there is no such queue")))?;
     let key = api_key(&request, node.dialect.key_scheme());
     let customer = match catalog.access(route, key.as_deref()) {
         Access::Customer(customer) => Some(customer),
         Access::Anonymous => None,
         Access::Unknown => {
             let why = "there is no such key";
-            let failure = Failure::new(StatusCode::UNAUTHORIZED, Verdict::NotRun, why);
+            let failure = ErrorResponse::new(StatusCode::UNAUTHORIZED, Verdict::NotRun, why);
             return Err(access_failure(node, failure));
         }
     };
@@ -121,7 +121,7 @@
     let limit = time_limit(&call, &request);
     let response = tokio::time::timeout(limit, call.dispatch(request)).await;
     response.unwrap_or_else(|_| {
-        Err(Failure::new(
+        Err(ErrorResponse::new(
             StatusCode::GATEWAY_TIMEOUT,
             Verdict::MayHaveRun,
             "no answer within the time allowed",
@@ -131,11 +131,11 @@
 
 /// Returns the response to a request that the configuration does not allow. If a newer
 /// configuration may exist that this daemon has not read, tells the caller to retry instead.
-fn access_failure(node: &Node, failure: Failure) -> Failure {
+fn access_failure(node: &Node, failure: ErrorResponse) -> ErrorResponse {
     if node.is_catalog_current() {
         return failure;
     }
-    Failure::unavailable("a newer configuration may be in force", STORE_RETRY_AFTER)
+    ErrorResponse::unavailable("a newer configuration may be in force", STORE_RETRY_AFTER)
 }
 
 fn time_limit(call: &Call<'_>, request: &Request) -> Duration {
@@ -150,20 +150,19 @@
 }
 
 impl Call<'_> {
-    async fn dispatch(&self, request: Request) -> std::result::Result<Response, Failure> {
+    async fn dispatch(&self, request: Request) -> std::result::Result<Response, ErrorResponse> {
         let method = request.method().clone();
         if self.rest.is_empty() && method == Method::GET {
             return self.pending().await;
         }
-        let id: JobId = self
-            .rest
-            .parse()
-            .map_err(|e: stairstall_core::IdError| Failure::bad("id", e.to_string()))?;
+        let id: JobId = self.rest.parse().map_err(|e: stairstall_core::IdError| {
+            ErrorResponse::bad_request("id", e.to_string())
+        })?;
         match method {
             Method::POST => self.submit(id, request).await,
             Method::GET => self.state(&id).await,
             Method::DELETE => self.cancel(&id).await,
-            _ => Err(Failure::new(
+            _ => Err(ErrorResponse::new(
                 StatusCode::METHOD_NOT_ALLOWED,
                 Verdict::NotRun,
                 "a job is handed in by POST, asked for by GET, cancelled by DELETE",
@@ -171,7 +170,11 @@
         }
     }
 
-    async fn submit(&self, id: JobId, request: Request) -> std::result::Result<Response, Failure> {
+    async fn submit(
+        &self,
+        id: JobId,
+        request: Request,
+    ) -> std::result::Result<Response, ErrorResponse> {
         let called_at = self.node.clock.now();
         let spec = self.read_spec(request).await?;
         let mut job = AcceptedJob {
@@ -200,7 +203,7 @@
                 Ok(empty_response(StatusCode::OK))
             }
             Acceptance::Foreign => Err(other_customers_job()),
-            Acceptance::NotKept => Err(Failure::unavailable(
+            Acceptance::NotKept => Err(ErrorResponse::unavailable(
                 "the store does not serve; the job was not taken",
                 STORE_RETRY_AFTER,
             )),
@@ -215,7 +218,7 @@
         &self,
         job: AcceptedJob,
         refusal: &AdmissionRefusal,
-    ) -> std::result::Result<Response, Failure> {
+    ) -> std::result::Result<Response, ErrorResponse> {
         let outcome = admission::store_refusal(self.node, &job).await;
         if outcome != RefusalOutcome::Refused {
             log::info!(target: "admission", job:% = job.id, queue:% = job.queue.name;
@@ -230,7 +233,7 @@
             // the job.
             RefusalOutcome::Known => Ok(empty_response(StatusCode::OK)),
             RefusalOutcome::Foreign => Err(other_customers_job()),
-            RefusalOutcome::NotKept => Err(Failure::unavailable(
+            RefusalOutcome::NotKept => Err(ErrorResponse::unavailable(
                 "its refusal could not be written; the job was not taken",
                 STORE_RETRY_AFTER,
             )),
@@ -240,34 +243,41 @@
         }
     }
 
-    async fn read_spec(&self, mut request: Request) -> std::result::Result<BatchSpec, Failure> {
+    async fn read_spec(
+        &self,
+        mut request: Request,
+    ) -> std::result::Result<BatchSpec, ErrorResponse> {
         let limit = self.catalog.max_body_bytes;
         let body = std::mem::take(request.body_mut());
         let collected = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect());
         let body = collected
             .await
-            .map_err(|_| Failure::bad("body", "the body took too long"))?
+            .map_err(|_| ErrorResponse::bad_request("body", "the body took too long"))?
             .map(Collected::to_bytes)
             .map_err(|error| {
                 if error.is::<LengthLimitError>() {
                     let error = format!("the body is longer than {limit} bytes");
-                    return Failure::new(StatusCode::PAYLOAD_TOO_LARGE, Verdict::NotRun, error);
+                    return ErrorResponse::new(
+                        StatusCode::PAYLOAD_TOO_LARGE,
+                        Verdict::NotRun,
+                        error,
+                    );
                 }
-                Failure::bad("body", "the body broke off")
+                ErrorResponse::bad_request("body", "the body broke off")
             })?;
         let spec = self
             .node
             .dialect
             .read_job(&body)
-            .map_err(|e| Failure::bad("body", e.to_string()))?;
+            .map_err(|e| ErrorResponse::bad_request("body", e.to_string()))?;
         spec.check()
-            .map_err(|e| Failure::bad("body", e.to_string()))?;
+            .map_err(|e| ErrorResponse::bad_request("body", e.to_string()))?;
         Ok(spec)
     }
 
-    async fn state(&self, id: &JobId) -> std::result::Result<Response, Failure> {
+    async fn state(&self, id: &JobId) -> std::result::Result<Response, ErrorResponse> {
         let answer = queries::job(self.node, id).await.map_err(|fault| {
-            Failure::unavailable(format!("the job can't be read: {fault}"), STORE_RETRY_AFTER)
+            ErrorResponse::unavailable(format!("the job can't be read: {fault}"), STORE_RETRY_AFTER)
         })?;
         match answer {
             JobAnswer::Known { customer, state } => {
@@ -284,7 +294,7 @@
         json_response(self.node.dialect.write_state(state))
     }
 
-    async fn cancel(&self, id: &JobId) -> std::result::Result<Response, Failure> {
+    async fn cancel(&self, id: &JobId) -> std::result::Result<Response, ErrorResponse> {
         let outcome = accept::cancel(self.node, id, self.customer.as_ref()).await;
         log::info!(target: "cancel", job:% = id; "{outcome:?}");
         match outcome {
@@ -294,7 +304,7 @@
             }
             Cancellation::NoJob => Err(no_such_job()),
             Cancellation::Foreign => Err(other_customers_job()),
-            Cancellation::Unsettled => Err(Failure::new(
+            Cancellation::Unsettled => Err(ErrorResponse::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Verdict::MayHaveRun,
                 "the store does not serve; the job may not be cancelled",
@@ -303,35 +313,36 @@
         }
     }
 
-    async fn pending(&self) -> std::result::Result<Response, Failure> {
+    async fn pending(&self) -> std::result::Result<Response, ErrorResponse> {
         let pending = queries::pending(self.node, &self.route.queue.name).await;
-        let pending = pending
-            .ok_or_else(|| Failure::unavailable("the planner can't be asked", STORE_RETRY_AFTER))?;
+        let pending = pending.ok_or_else(|| {
+            ErrorResponse::unavailable("the planner can't be asked", STORE_RETRY_AFTER)
+        })?;
         Ok(json_response(self.node.dialect.write_pending(pending)))
     }
 }
 
-fn refusal_failure(reason: AdmissionRefusalReason) -> Failure {
+fn refusal_failure(reason: AdmissionRefusalReason) -> ErrorResponse {
     let error = match reason {
         AdmissionRefusalReason::TooLarge => "no worker is large enough, or there are too few",
         AdmissionRefusalReason::NoSuchLabel => "no worker has the label that is asked for",
         AdmissionRefusalReason::TooLate => "it would start too late to be of use",
     };
-    Failure::new(StatusCode::TOO_MANY_REQUESTS, Verdict::NotRun, error)
+    ErrorResponse::new(StatusCode::TOO_MANY_REQUESTS, Verdict::NotRun, error)
 }
 
-fn no_such_job() -> Failure {
-    Failure::new(StatusCode::GONE, Verdict::NotRun, "there is no such job")
+fn no_such_job() -> ErrorResponse {
+    ErrorResponse::new(StatusCode::GONE, Verdict::NotRun, "there is no such job")
 }
 
 /// Returns the failure for a request whose outcome is not known.
-fn outcome_unknown(why: &str) -> Failure {
-    Failure::new(StatusCode::GATEWAY_TIMEOUT, Verdict::MayHaveRun, why)
+fn outcome_unknown(why: &str) -> ErrorResponse {
+    ErrorResponse::new(StatusCode::GATEWAY_TIMEOUT, Verdict::MayHaveRun, why)
         .with_retry_after(STORE_RETRY_AFTER)
 }
 
-fn other_customers_job() -> Failure {
-    Failure::new(
+fn other_customers_job() -> ErrorResponse {
+    ErrorResponse::new(
         StatusCode::FORBIDDEN,
         Verdict::NotRun,
         "the job is another customer's",
--- a/crates/stairstalld/src/batch/health.rs
+++ b/crates/stairstalld/src/batch/health.rs
@@ -13,7 +13,7 @@
 
 use super::node::Node;
 use super::queries;
-use crate::answer::{Failure, json};
+use crate::response::{ErrorResponse, json};
 
 /// Path of the metrics.
 pub(crate) const METRICS_PATH: &str = "/metrics";
@@ -61,11 +61,11 @@
     let named = request.params::<String>().unwrap_or_default();
     let id: JobId = match named.parse() {
         Ok(id) => id,
-        Err(error) => return Failure::bad("id", format!("{error}")).into(),
+        Err(error) => return ErrorResponse::bad_request("id", format!("{error}")).into(),
     };
     match queries::explain(node, &id).await {
         Some(explanation) => json(StatusCode::OK, &explanation),
-        None => Failure::missing("the planner can't be asked, or knows no such job").into(),
+        None => ErrorResponse::not_found("the planner can't be asked, or knows no such job").into(),
     }
 }
 
--- a/crates/stairstalld/src/batch/serve.rs
+++ b/crates/stairstalld/src/batch/serve.rs
@@ -15,8 +15,8 @@
 use super::settings::BatchSettings;
 use super::{caller_api, catalog, health, reachability, role, rpc};
 use crate::listener::NoDelayListener;
-use crate::serve::{RunError, system};
-use crate::shutdown::{self, Drained, Shutdown};
+use crate::serve::{RunError, system_error};
+use crate::shutdown::{self, DrainOutcome, Shutdown};
 
 /// Longest time that a caller may take to send a request head, or leave a connection idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
@@ -29,14 +29,14 @@
 ///
 /// # Errors
 ///
-/// Returns why the daemon could not start, or [`RunError::CutOff`] if calls were still open at the
+/// Returns why the daemon could not start, or [`RunError::CallsAborted`] if calls were still open at the
 /// drain limit.
 pub fn run(settings: BatchSettings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     runtime
-        .map_err(system("runtime"))?
+        .map_err(system_error("runtime"))?
         .block_on(serve(settings))
 }
 
@@ -68,7 +68,7 @@
     let node = Arc::new(build_node(settings));
     let (rpc_address, rpc) = rpc::serve(Arc::clone(&node))
         .await
-        .map_err(system("--rpc-listen"))?;
+        .map_err(system_error("--rpc-listen"))?;
     node.set_rpc_address(rpc_address);
     log::info!(target: "start", vm:% = node.vm(), zone:% = node.settings.zone,
         listen:% = listen, rpc:% = rpc_address, health:% = health_listen,
@@ -79,7 +79,7 @@
     let role = tokio::spawn(role::run(Arc::clone(&node)));
     tokio::spawn(serve_router(health, health::health_router(&node)));
     tokio::spawn(serve_router(metrics, health::metrics_router(&node)));
-    tokio::spawn(shutdown::log_hang_ups(node.vm().clone()));
+    tokio::spawn(shutdown::log_hangup_signals(node.vm().clone()));
 
     let shutdown = Shutdown {
         vm: node.vm().clone(),
@@ -89,13 +89,13 @@
     };
     let server =
         viz::Server::with_builder(callers, caller_api::router(&node), connection_builder())
-            .signal(shutdown.clone().asked());
+            .signal(shutdown.clone().stop_requested());
     let drained = shutdown.drain(tokio::spawn(server.into_future())).await;
     role::wait_until_released(&node).await;
     role.abort();
     let _ = rpc.stop();
-    if drained? == Drained::CutOff {
-        return Err(RunError::CutOff);
+    if drained? == DrainOutcome::TimedOut {
+        return Err(RunError::CallsAborted);
     }
     log::info!(target: "stop", vm:% = node.vm(); "stopped; no calls were open");
     Ok(())
@@ -105,8 +105,10 @@
     address: SocketAddr,
     flag: &'static str,
 ) -> Result<(NoDelayListener, SocketAddr), RunError> {
-    let listener = TcpListener::bind(address).await.map_err(system(flag))?;
-    let bound = listener.local_addr().map_err(system(flag))?;
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(system_error(flag))?;
+    let bound = listener.local_addr().map_err(system_error(flag))?;
     Ok((NoDelayListener(listener), bound))
 }
 
--- a/crates/stairstalld/src/batch/settings.rs
+++ b/crates/stairstalld/src/batch/settings.rs
@@ -7,7 +7,7 @@
 use stairstall_core::batch::{Bounds, Policy, VmLimits};
 use stairstall_core::{VmId, ZoneId};
 
-use crate::settings::{Checks, Mistake, Mistakes, WIDTH, text};
+use crate::settings::{HELP_WIDTH, InvalidSetting, InvalidSettings, Validator, string_option};
 
 mod policy;
 
@@ -101,10 +101,10 @@
 
 macro_rules! flag {
     ($name:literal, $env:literal, $help:literal) => {
-        text($name, $env, $help).fallback(String::new())
+        string_option($name, $env, $help).fallback(String::new())
     };
     ($name:literal, $env:literal, $help:literal, $default:literal) => {
-        text($name, $env, $help).fallback($default.to_owned())
+        string_option($name, $env, $help).fallback($default.to_owned())
     };
 }
 
@@ -260,14 +260,14 @@
     /// # Errors
     ///
     /// Returns every setting that is not allowed.
-    pub fn from_process() -> Result<Self, Mistakes> {
+    pub fn from_process() -> Result<Self, InvalidSettings> {
         let arguments: Vec<String> = std::env::args().skip(2).collect();
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         match parser().run_inner(arguments.as_slice()) {
             Ok(raw) => Self::check(&raw),
-            Err(ParseFailure::Stderr(doc)) => Err(Mistakes::unreadable(doc.to_string())),
+            Err(ParseFailure::Stderr(doc)) => Err(InvalidSettings::unreadable(doc.to_string())),
             Err(help) => {
-                help.print_message(WIDTH);
+                help.print_message(HELP_WIDTH);
                 std::process::exit(0);
             }
         }
@@ -278,25 +278,25 @@
     /// # Errors
     ///
     /// Returns every setting that is not allowed, or why the arguments can't be parsed.
-    pub fn from_arguments(arguments: &[&str]) -> Result<Self, Mistakes> {
+    pub fn from_arguments(arguments: &[&str]) -> Result<Self, InvalidSettings> {
         match parser().run_inner(arguments) {
             Ok(raw) => Self::check(&raw),
-            Err(failure) => Err(Mistakes::unreadable(failure.unwrap_stderr())),
+            Err(failure) => Err(InvalidSettings::unreadable(failure.unwrap_stderr())),
         }
     }
 
-    fn check(raw: &RawSettings) -> Result<Self, Mistakes> {
-        let mut checks = Checks::default();
+    fn check(raw: &RawSettings) -> Result<Self, InvalidSettings> {
+        let mut checks = Validator::default();
         let settings = Self::read(raw, &mut checks);
         match settings {
             Some(settings) if checks.0.is_empty() => Ok(settings),
-            _ => Err(Mistakes(checks.0)),
+            _ => Err(InvalidSettings(checks.0)),
         }
     }
 
-    /// Checks every field before it returns at the first invalid one, so that all errors are
+    /// Validator every field before it returns at the first invalid one, so that all errors are
     /// reported at once.
-    fn read(raw: &RawSettings, checks: &mut Checks) -> Option<Self> {
+    fn read(raw: &RawSettings, checks: &mut Validator) -> Option<Self> {
         let vm = checks.name("--vm", &raw.vm);
         let zone = checks.name("--zone", &raw.zone);
         let listen = checks.address("--listen", &raw.listen);
@@ -336,7 +336,7 @@
         })
     }
 
-    fn read_bounds(raw: &RawSettings, checks: &mut Checks) -> Option<Bounds> {
+    fn read_bounds(raw: &RawSettings, checks: &mut Validator) -> Option<Bounds> {
         let hold_max = checks.millis("--hold-max-ms", &raw.hold_max_ms, 500, DAY_MS);
         let stop_max = checks.millis("--stop-max-ms", &raw.stop_max_ms, 1, DAY_MS);
         let reclaim = checks.millis("--reclaim-ms", &raw.reclaim_ms, 1, DAY_MS);
@@ -367,7 +367,7 @@
     clippy::cast_sign_loss,
     reason = "checked to be between 0 and a million"
 )]
-fn parse_cpu_percent(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
+fn parse_cpu_percent(checks: &mut Validator, flag: &'static str, value: &str) -> Option<u32> {
     let number = parse_positive(checks, flag, value)?;
     let scaled = if number <= 1.0 {
         number * 100.0
@@ -383,17 +383,17 @@
     clippy::cast_sign_loss,
     reason = "checked to be between 0 and a million"
 )]
-fn parse_rounded_up(checks: &mut Checks, flag: &'static str, value: &str) -> Option<u32> {
+fn parse_rounded_up(checks: &mut Validator, flag: &'static str, value: &str) -> Option<u32> {
     Some(parse_positive(checks, flag, value)?.ceil() as u32)
 }
 
-fn parse_positive(checks: &mut Checks, flag: &'static str, value: &str) -> Option<f64> {
+fn parse_positive(checks: &mut Validator, flag: &'static str, value: &str) -> Option<f64> {
     let found = value
         .parse::<f64>()
         .ok()
         .filter(|n| *n > 0.0 && *n <= MAX_CAPACITY);
     if found.is_none() {
-        checks.0.push(Mistake {
+        checks.0.push(InvalidSetting {
             flag,
             value: value.to_owned(),
             allowed: "a number over 0 and at most a million".to_owned(),
--- a/crates/stairstalld/src/batch/settings/policy.rs
+++ b/crates/stairstalld/src/batch/settings/policy.rs
@@ -3,10 +3,10 @@
 use serde_json::Value;
 use stairstall_core::batch::Policy;
 
-use crate::settings::{Checks, Mistake};
+use crate::settings::{InvalidSetting, Validator};
 
 /// Applies overrides such as `reports.shortest_wait=500` to the default policy.
-pub(super) fn read(changes: &[String], checks: &mut Checks) -> Option<Policy> {
+pub(super) fn read(changes: &[String], checks: &mut Validator) -> Option<Policy> {
     let mut policy = Policy::default();
     let mut is_valid = true;
     for change in changes {
@@ -25,8 +25,8 @@
     is_valid.then_some(policy)
 }
 
-fn add_mistake(checks: &mut Checks, value: &str, allowed: String) {
-    checks.0.push(Mistake {
+fn add_mistake(checks: &mut Validator, value: &str, allowed: String) {
+    checks.0.push(InvalidSetting {
         flag: "--policy",
         value: value.to_owned(),
         allowed,
--- a/crates/stairstalld/src/call.rs
+++ b/crates/stairstalld/src/call.rs
@@ -13,11 +13,11 @@
 use stairstall_core::protocol::header;
 use viz::{Request, Response, StatusCode};
 
-use crate::answer::{Failure, set};
 use crate::clock::millis;
 use crate::daemon::{Daemon, lock};
 use crate::dispatch::{NoSlot, Permit, Wanted};
 use crate::incoming::read_body;
+use crate::response::{ErrorResponse, set};
 use attempt::Attempted;
 use claims::Claimed;
 use parse::Call;
@@ -58,9 +58,9 @@
     response
 }
 
-fn lost_task() -> Failure {
+fn lost_task() -> ErrorResponse {
     let status = StatusCode::INTERNAL_SERVER_ERROR;
-    Failure::new(
+    ErrorResponse::new(
         status,
         Verdict::MayHaveRun,
         "the request's task ended without an answer",
@@ -84,7 +84,7 @@
             call,
             None,
             Verdict::NotRun,
-            Failure::unavailable(error, RETRY_AFTER),
+            ErrorResponse::unavailable(error, RETRY_AFTER),
         );
     }
     let mut wanted = call.wanted();
@@ -147,24 +147,26 @@
         "routed to the minion with the least in flight for its share");
 }
 
-fn no_slot_failure(no_slot: NoSlot) -> Failure {
+fn no_slot_failure(no_slot: NoSlot) -> ErrorResponse {
     match no_slot {
         NoSlot::Refused(refusal) => {
             let error = refusal.to_string();
             let status = StatusCode::TOO_MANY_REQUESTS;
-            Failure::new(status, refusal.verdict(), error).with_retry_after(refusal.retry_after())
+            ErrorResponse::new(status, refusal.verdict(), error)
+                .with_retry_after(refusal.retry_after())
         }
         NoSlot::Expired => {
             let error = "the deadline passed while waiting for a slot";
-            Failure::new(StatusCode::GATEWAY_TIMEOUT, Verdict::NotRun, error)
+            ErrorResponse::new(StatusCode::GATEWAY_TIMEOUT, Verdict::NotRun, error)
                 .with_retry_after(RETRY_AFTER)
         }
-        NoSlot::NoMinion => Failure::unavailable("no minion takes work now", RETRY_AFTER),
+        NoSlot::NoMinion => ErrorResponse::unavailable("no minion takes work now", RETRY_AFTER),
     }
 }
 
-fn failed_failure(error: String) -> Failure {
-    Failure::new(StatusCode::BAD_GATEWAY, Verdict::MayHaveRun, error).with_retry_after(RETRY_AFTER)
+fn failed_failure(error: String) -> ErrorResponse {
+    ErrorResponse::new(StatusCode::BAD_GATEWAY, Verdict::MayHaveRun, error)
+        .with_retry_after(RETRY_AFTER)
 }
 
 /// Answers a request for good, at once, with all that is known.
@@ -173,7 +175,7 @@
     call: &Call,
     claimed: Option<claims::Claim>,
     verdict: Verdict,
-    failure: Failure,
+    failure: ErrorResponse,
 ) -> Response {
     if verdict == Verdict::NotRun
         && let Some(claim) = claimed
--- a/crates/stairstalld/src/call/attempt.rs
+++ b/crates/stairstalld/src/call/attempt.rs
@@ -13,9 +13,9 @@
 use super::body::Tracked;
 use super::claims::Claim;
 use super::parse::{Call, end_to_end};
-use crate::answer::set;
 use crate::daemon::Daemon;
 use crate::dispatch::Permit;
+use crate::response::set;
 
 /// What became of an attempt.
 pub(super) enum Attempted {
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -14,9 +14,9 @@
 use viz::{Body, Response, StatusCode};
 
 use super::parse::Call;
-use crate::answer::{Failure, set};
 use crate::daemon::Daemon;
 use crate::keys;
+use crate::response::{ErrorResponse, set};
 use crate::retention::KEPT_FOR;
 
 /// Longest answer that is kept for callers that lost theirs, in bytes.
@@ -62,7 +62,7 @@
     release_later(daemon.store.clone(), key, mark);
     let status = StatusCode::GATEWAY_TIMEOUT;
     let error = "the deadline passed while the request was being claimed";
-    let failure = Failure::new(status, Verdict::NotRun, error);
+    let failure = ErrorResponse::new(status, Verdict::NotRun, error);
     Claimed::Answered(failure.with_request(&call.id).into())
 }
 
@@ -129,7 +129,7 @@
     let error = format!("a not-repeatable request can't be claimed now: {why}");
     log::info!(target: "decision", request:% = call.id, verdict:% = Verdict::NotRun;
         "given up: {error}");
-    let failure = Failure::unavailable(error, UNDER_WAY_RETRY).with_request(&call.id);
+    let failure = ErrorResponse::unavailable(error, UNDER_WAY_RETRY).with_request(&call.id);
     Claimed::Answered(failure.into())
 }
 
@@ -148,7 +148,7 @@
             Some(UNDER_WAY_RETRY),
         )
     };
-    let mut failure = Failure::new(StatusCode::CONFLICT, Verdict::MayHaveRun, error)
+    let mut failure = ErrorResponse::new(StatusCode::CONFLICT, Verdict::MayHaveRun, error)
         .with_field(header::REQUEST_ID)
         .with_request(&call.id);
     if let Some(after) = retry {
--- a/crates/stairstalld/src/call/parse.rs
+++ b/crates/stairstalld/src/call/parse.rs
@@ -9,8 +9,8 @@
 use viz::header::HeaderMap;
 use viz::{Method, Request, RequestExt, StatusCode};
 
-use crate::answer::Failure;
 use crate::daemon::Daemon;
+use crate::response::ErrorResponse;
 
 /// Longest deadline that a caller may ask for.
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 3600);
@@ -63,25 +63,25 @@
     kept
 }
 
-pub(super) fn parse(daemon: &Daemon, request: &Request) -> Result<Call, Failure> {
+pub(super) fn parse(daemon: &Daemon, request: &Request) -> Result<Call, ErrorResponse> {
     let headers = request.headers();
     let configuration = daemon.configuration();
     let id = match optional::<RequestId>(headers, header::REQUEST_ID)? {
         Some(id) => id,
         None => made_up_id(daemon)?,
     };
-    let fail = |failure: Failure| failure.with_request(&id);
+    let fail = |failure: ErrorResponse| failure.with_request(&id);
     let service: ServiceId = request
         .param("service")
-        .map_err(|e| fail(Failure::bad("service", e.to_string())))?;
+        .map_err(|e| fail(ErrorResponse::bad_request("service", e.to_string())))?;
     let Some(service_config) = configuration.services.get(&service) else {
         let error = format!("there is no service {:?}", service.as_str());
-        return Err(fail(Failure::missing(error).with_field("service")));
+        return Err(fail(ErrorResponse::not_found(error).with_field("service")));
     };
     let customer = required::<CustomerId>(headers, header::CUSTOMER).map_err(fail)?;
     let Some(customer_config) = configuration.customers.get(&customer) else {
         let error = format!("there is no customer {:?}", customer.as_str());
-        let failure = Failure::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
+        let failure = ErrorResponse::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
         return Err(fail(failure.with_field(header::CUSTOMER)));
     };
     let class = required::<ClassId>(headers, header::CLASS).map_err(fail)?;
@@ -92,7 +92,7 @@
     let class = effect.class.unwrap_or(class);
     let Some(class_config) = configuration.classes.get(&class) else {
         let error = format!("there is no priority class {:?}", class.as_str());
-        return Err(fail(Failure::bad(header::CLASS, error)));
+        return Err(fail(ErrorResponse::bad_request(header::CLASS, error)));
     };
     let deadline = deadline(headers, service_config.deadline_ms).map_err(fail)?;
     let repeatable = repeatable(headers).map_err(fail)?;
@@ -114,11 +114,11 @@
     })
 }
 
-fn made_up_id(daemon: &Daemon) -> Result<RequestId, Failure> {
+fn made_up_id(daemon: &Daemon) -> Result<RequestId, ErrorResponse> {
     let mark = daemon.next_mark();
     let text = format!("{:016x}-{:x}", mark.instance, mark.serial);
     text.parse()
-        .map_err(|_| Failure::bad(header::REQUEST_ID, "no id could be made up"))
+        .map_err(|_| ErrorResponse::bad_request(header::REQUEST_ID, "no id could be made up"))
 }
 
 fn with_names(labels: Labels, customer: &CustomerId, class: &ClassId) -> Labels {
@@ -127,17 +127,17 @@
     named.unwrap_or(labels)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Failure> {
+fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ErrorResponse> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     value
         .to_str()
         .map(Some)
-        .map_err(|_| Failure::bad(name, format!("{name} is not plain text")))
+        .map_err(|_| ErrorResponse::bad_request(name, format!("{name} is not plain text")))
 }
 
-fn optional<T>(headers: &HeaderMap, name: &str) -> Result<Option<T>, Failure>
+fn optional<T>(headers: &HeaderMap, name: &str) -> Result<Option<T>, ErrorResponse>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
@@ -148,35 +148,36 @@
     value
         .parse()
         .map(Some)
-        .map_err(|e: T::Err| Failure::bad(name, format!("{name}: {e}")))
+        .map_err(|e: T::Err| ErrorResponse::bad_request(name, format!("{name}: {e}")))
 }
 
-fn required<T>(headers: &HeaderMap, name: &str) -> Result<T, Failure>
+fn required<T>(headers: &HeaderMap, name: &str) -> Result<T, ErrorResponse>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
 {
-    optional(headers, name)?.ok_or_else(|| Failure::bad(name, format!("{name} is missing")))
+    optional(headers, name)?
+        .ok_or_else(|| ErrorResponse::bad_request(name, format!("{name} is missing")))
 }
 
-fn deadline(headers: &HeaderMap, default_ms: u64) -> Result<Duration, Failure> {
+fn deadline(headers: &HeaderMap, default_ms: u64) -> Result<Duration, ErrorResponse> {
     let millis = optional::<u64>(headers, header::DEADLINE_MS)?.unwrap_or(default_ms);
     let deadline = Duration::from_millis(millis);
     if millis == 0 || deadline > MAX_DEADLINE {
         let most = MAX_DEADLINE.as_millis();
         let error = format!("{} is from 1 to {most}", header::DEADLINE_MS);
-        return Err(Failure::bad(header::DEADLINE_MS, error));
+        return Err(ErrorResponse::bad_request(header::DEADLINE_MS, error));
     }
     Ok(deadline)
 }
 
-fn repeatable(headers: &HeaderMap) -> Result<bool, Failure> {
+fn repeatable(headers: &HeaderMap) -> Result<bool, ErrorResponse> {
     match text(headers, header::REPEATABLE)? {
         None | Some("yes") => Ok(true),
         Some("no") => Ok(false),
         Some(other) => {
             let error = format!("{} is yes or no, not {other:?}", header::REPEATABLE);
-            Err(Failure::bad(header::REPEATABLE, error))
+            Err(ErrorResponse::bad_request(header::REPEATABLE, error))
         }
     }
 }
--- a/crates/stairstalld/src/call/spill.rs
+++ b/crates/stairstalld/src/call/spill.rs
@@ -10,10 +10,10 @@
 use viz::header::CONTENT_LENGTH;
 
 use super::parse::{Call, end_to_end};
-use crate::answer::{Failure, set};
 use crate::clock::millis;
 use crate::daemon::Daemon;
 use crate::dispatch::Wanted;
+use crate::response::{ErrorResponse, set};
 
 /// A shorter wait in this zone is better than the way to another.
 const WORTH_WAITING: Duration = Duration::from_millis(50);
@@ -87,7 +87,7 @@
         return None;
     }
     let status = viz::StatusCode::BAD_GATEWAY;
-    let failure = Failure::new(status, error.verdict(), format!("{}: {error}", peer.zone));
+    let failure = ErrorResponse::new(status, error.verdict(), format!("{}: {error}", peer.zone));
     Some(failure.with_request(&call.id).into())
 }
 
--- a/crates/stairstalld/src/configure.rs
+++ b/crates/stairstalld/src/configure.rs
@@ -10,13 +10,13 @@
 use stairstall_store::{Expect, StoreError, Swap};
 use viz::{Request, RequestExt, Response, StatusCode};
 
-use crate::answer::{Failure, STORE_RETRY, json};
 use crate::api::{query_value, read_json};
 use crate::daemon::Daemon;
 use crate::follow::take_head;
 use crate::jobs::selector_of;
 use crate::keys;
 use crate::peers::{PeerClient, ask_witness, client, holder_address};
+use crate::response::{ErrorResponse, STORE_RETRY, json};
 
 /// How often a change without a base is tried against other operators' changes.
 const APPEND_TRIES: u32 = 8;
@@ -49,13 +49,13 @@
 }
 
 /// Lists resources of a kind whose labels a selector matches.
-pub(crate) fn get(daemon: &Daemon, request: &Request) -> Result<Response, Failure> {
+pub(crate) fn get(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let kind: String = request
         .param("kind")
-        .map_err(|e| Failure::bad("kind", e.to_string()))?;
+        .map_err(|e| ErrorResponse::bad_request("kind", e.to_string()))?;
     let kind: Kind = kind
         .parse()
-        .map_err(|e: String| Failure::missing(e).with_field("kind"))?;
+        .map_err(|e: String| ErrorResponse::not_found(e).with_field("kind"))?;
     let selector = selector_of(request)?;
     let configuration = daemon.configuration();
     let mut resources = configuration.resources(kind);
@@ -73,7 +73,7 @@
 pub(crate) async fn change(
     daemon: &Arc<Daemon>,
     request: &mut Request,
-) -> Result<Response, Failure> {
+) -> Result<Response, ErrorResponse> {
     let change: Change = read_json(daemon, request).await?;
     let dry_run = query_value(request, "dry-run").is_some_and(|v| v == "true");
     for _ in 0..APPEND_TRIES {
@@ -96,7 +96,7 @@
             }
             Err(HeadError::Conflict(revision)) => return Ok(conflict(&head, &change, revision)),
             Err(HeadError::Invalid(error)) => {
-                return Err(Failure::bad("operations", error.to_string()));
+                return Err(ErrorResponse::bad_request("operations", error.to_string()));
             }
         };
         check_guarantees(daemon, &current, &next).await?;
@@ -120,13 +120,14 @@
         }
     }
     let error = "other operators' changes came first each time; try again";
-    Err(Failure::unavailable(error, STORE_RETRY))
+    Err(ErrorResponse::unavailable(error, STORE_RETRY))
 }
 
 /// Reads the newest head and brings it into force here.
-async fn read_head(daemon: &Daemon) -> Result<(Head, Expect), Failure> {
-    let silent =
-        |e: StoreError| Failure::unavailable(format!("the store can't be read: {e}"), STORE_RETRY);
+async fn read_head(daemon: &Daemon) -> Result<(Head, Expect), ErrorResponse> {
+    let silent = |e: StoreError| {
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+    };
     let entry = daemon.store.get(keys::CONFIG_HEAD).await;
     daemon.note_answer(&entry);
     let Some(entry) = entry.map_err(silent)? else {
@@ -134,7 +135,7 @@
     };
     let head: Head = entry.read().ok_or_else(|| {
         let status = StatusCode::INTERNAL_SERVER_ERROR;
-        Failure::new(
+        ErrorResponse::new(
             status,
             Verdict::NotRun,
             "the configuration's head can't be read",
@@ -159,7 +160,7 @@
     };
     let mut response = json(StatusCode::CONFLICT, &body);
     let name = stairstall_core::protocol::header::VERDICT;
-    crate::answer::set(response.headers_mut(), name, body.verdict.as_str());
+    crate::response::set(response.headers_mut(), name, body.verdict.as_str());
     response
 }
 
@@ -170,7 +171,7 @@
     at: Expect,
     next: &Configuration,
     change: &Change,
-) -> Result<Appended, Failure> {
+) -> Result<Appended, ErrorResponse> {
     if head.wants_snapshot() {
         let key = keys::config_snapshot(next.revision);
         // Whoever loses the race below leaves a snapshot that no head names.
@@ -191,12 +192,12 @@
     };
     if error.verdict() == Verdict::NotRun {
         let text = format!("the store can't be reached: {error}");
-        return Err(Failure::unavailable(text, STORE_RETRY));
+        return Err(ErrorResponse::unavailable(text, STORE_RETRY));
     }
     let unknown = |_| {
         let text = "the store does not answer: whether the change is accepted is not known; \
                     send it again with the same id to learn it";
-        Failure::unavailable(text, STORE_RETRY).with_verdict(Verdict::MayHaveRun)
+        ErrorResponse::unavailable(text, STORE_RETRY).with_verdict(Verdict::MayHaveRun)
     };
     let (found, _) = read_head(daemon).await.map_err(unknown)?;
     Ok(found
@@ -209,7 +210,7 @@
     daemon: &Arc<Daemon>,
     current: &Configuration,
     next: &Configuration,
-) -> Result<(), Failure> {
+) -> Result<(), ErrorResponse> {
     let mut zones: Vec<ZoneId> = next.guarantees.values().map(|g| g.zone.clone()).collect();
     zones.sort();
     zones.dedup();
@@ -221,12 +222,12 @@
         match ask_zone(daemon, &zone, WitnessQuestion { guarantees: after }).await {
             Some(WitnessAnswer::Kept) => {}
             Some(WitnessAnswer::NotKept { reason }) => {
-                let failure = Failure::new(StatusCode::CONFLICT, Verdict::NotRun, reason);
+                let failure = ErrorResponse::new(StatusCode::CONFLICT, Verdict::NotRun, reason);
                 return Err(failure.with_field("guarantee"));
             }
             Some(WitnessAnswer::NotHolder) | None => {
                 let error = format!("the placement holder of zone {zone} can't be asked");
-                return Err(Failure::unavailable(error, STORE_RETRY).with_field("guarantee"));
+                return Err(ErrorResponse::unavailable(error, STORE_RETRY).with_field("guarantee"));
             }
         }
     }
--- a/crates/stairstalld/src/incoming.rs
+++ b/crates/stairstalld/src/incoming.rs
@@ -7,17 +7,21 @@
 use stairstall_core::Verdict;
 use viz::{Request, StatusCode};
 
-use crate::answer::Failure;
 use crate::daemon::Daemon;
+use crate::response::ErrorResponse;
 
 /// How long a caller may take to send its body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Reads a request's whole body, within the bounds of size and time.
-pub(crate) async fn read_body(daemon: &Daemon, request: &mut Request) -> Result<Bytes, Failure> {
+pub(crate) async fn read_body(
+    daemon: &Daemon,
+    request: &mut Request,
+) -> Result<Bytes, ErrorResponse> {
     let limit = daemon.settings.max_body_bytes;
     let body = std::mem::take(request.body_mut());
-    let refuse = |status, error| Failure::new(status, Verdict::NotRun, error).with_field("body");
+    let refuse =
+        |status, error| ErrorResponse::new(status, Verdict::NotRun, error).with_field("body");
     let collected = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
     let collected = collected.map_err(|_| {
         let error = format!("the body took longer than {} ms", BODY_TIMEOUT.as_millis());
@@ -28,6 +32,6 @@
             let error = format!("the body is longer than {limit} bytes");
             return refuse(StatusCode::PAYLOAD_TOO_LARGE, error);
         }
-        Failure::bad("body", "the body broke off")
+        ErrorResponse::bad_request("body", "the body broke off")
     })
 }
--- a/crates/stairstalld/src/jobs.rs
+++ b/crates/stairstalld/src/jobs.rs
@@ -9,12 +9,12 @@
 use stairstall_store::{Expect, Swap};
 use viz::{Request, RequestExt, Response, StatusCode};
 
-use crate::answer::{Failure, STORE_RETRY, json};
 use crate::api::{query_value, read_json};
 use crate::clock::unix_millis;
 use crate::daemon::{Daemon, lock};
 use crate::keys;
 use crate::peers::{PeerClient, ask_explanation, client, own_heartbeat};
+use crate::response::{ErrorResponse, STORE_RETRY, json};
 
 /// How often an acceptance is written before the caller is told that it is not known.
 const ACCEPT_WRITES: u32 = 3;
@@ -25,7 +25,7 @@
 pub(crate) async fn submit(
     daemon: &Arc<Daemon>,
     request: &mut Request,
-) -> Result<Response, Failure> {
+) -> Result<Response, ErrorResponse> {
     let spec: JobSpec = read_json(daemon, request).await?;
     check(daemon, &spec)?;
     let zone = choose_zone(daemon, &spec);
@@ -45,18 +45,18 @@
     Ok(json(status, &record))
 }
 
-fn check(daemon: &Daemon, spec: &JobSpec) -> Result<(), Failure> {
+fn check(daemon: &Daemon, spec: &JobSpec) -> Result<(), ErrorResponse> {
     spec.check()
-        .map_err(|e| Failure::bad(e.field(), e.to_string()))?;
+        .map_err(|e| ErrorResponse::bad_request(e.field(), e.to_string()))?;
     let configuration = daemon.configuration();
     if !configuration.customers.contains_key(&spec.customer) {
         let error = format!("there is no customer {:?}", spec.customer.as_str());
-        let failure = Failure::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
+        let failure = ErrorResponse::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
         return Err(failure.with_field("customer"));
     }
     if !configuration.classes.contains_key(&spec.class) {
         let error = format!("there is no priority class {:?}", spec.class.as_str());
-        return Err(Failure::bad("class", error));
+        return Err(ErrorResponse::bad_request("class", error));
     }
     Ok(())
 }
@@ -110,7 +110,10 @@
     holders.max_by_key(|h| room(h)).map(|h| h.zone.clone())
 }
 
-async fn accept(daemon: &Daemon, record: JobRecord) -> Result<(StatusCode, JobRecord), Failure> {
+async fn accept(
+    daemon: &Daemon,
+    record: JobRecord,
+) -> Result<(StatusCode, JobRecord), ErrorResponse> {
     let key = keys::job(&record.spec.key());
     let mut verdict = Verdict::NotRun;
     for _ in 0..ACCEPT_WRITES {
@@ -133,12 +136,12 @@
               submit it again with the same name to learn it"
         }
     };
-    Err(Failure::unavailable(error, STORE_RETRY).with_verdict(verdict))
+    Err(ErrorResponse::unavailable(error, STORE_RETRY).with_verdict(verdict))
 }
 
-fn unreadable() -> Failure {
+fn unreadable() -> ErrorResponse {
     let status = StatusCode::INTERNAL_SERVER_ERROR;
-    Failure::new(
+    ErrorResponse::new(
         status,
         Verdict::MayHaveRun,
         "the job's record can't be read",
@@ -146,7 +149,7 @@
 }
 
 /// Tells a repeated submission from another job of the same name.
-fn existing(asked: &JobRecord, found: JobRecord) -> Result<(StatusCode, JobRecord), Failure> {
+fn existing(asked: &JobRecord, found: JobRecord) -> Result<(StatusCode, JobRecord), ErrorResponse> {
     if found.mark == asked.mark {
         return Ok((StatusCode::CREATED, found));
     }
@@ -157,53 +160,58 @@
         "customer {} has another job {}",
         found.spec.customer, found.spec.id
     );
-    Err(Failure::new(StatusCode::CONFLICT, Verdict::NotRun, error).with_field("id"))
+    Err(ErrorResponse::new(StatusCode::CONFLICT, Verdict::NotRun, error).with_field("id"))
 }
 
 /// Returns the key in a request's path.
-fn key_of(request: &Request) -> Result<JobKey, Failure> {
-    let bad =
-        |field: &'static str| move |e: viz::types::ParamsError| Failure::bad(field, e.to_string());
+fn key_of(request: &Request) -> Result<JobKey, ErrorResponse> {
+    let bad = |field: &'static str| {
+        move |e: viz::types::ParamsError| ErrorResponse::bad_request(field, e.to_string())
+    };
     let customer: String = request.param("customer").map_err(bad("customer"))?;
     let id: String = request.param("id").map_err(bad("id"))?;
     let customer = customer
         .parse()
-        .map_err(|e| Failure::bad("customer", format!("{e}")))?;
-    let id = id.parse().map_err(|e| Failure::bad("id", format!("{e}")))?;
+        .map_err(|e| ErrorResponse::bad_request("customer", format!("{e}")))?;
+    let id = id
+        .parse()
+        .map_err(|e| ErrorResponse::bad_request("id", format!("{e}")))?;
     Ok(JobKey::new(customer, id))
 }
 
-async fn read(daemon: &Daemon, key: &JobKey) -> Result<(JobRecord, u64), Failure> {
+async fn read(daemon: &Daemon, key: &JobKey) -> Result<(JobRecord, u64), ErrorResponse> {
     let entry = daemon.store.get(&keys::job(key)).await;
     daemon.note_answer(&entry);
     let entry = entry.map_err(|e| {
-        Failure::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
             .with_verdict(Verdict::MayHaveRun)
     })?;
-    let missing = || Failure::missing(format!("there is no job {key}, or it ended over a day ago"));
+    let missing =
+        || ErrorResponse::not_found(format!("there is no job {key}, or it ended over a day ago"));
     let entry = entry.ok_or_else(missing)?;
     let record = entry.read().ok_or_else(unreadable)?;
     Ok((record, entry.revision))
 }
 
 /// Tells where a job stands.
-pub(crate) async fn status(daemon: &Daemon, request: &Request) -> Result<Response, Failure> {
+pub(crate) async fn status(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let (record, _) = read(daemon, &key_of(request)?).await?;
     let mut response = json(StatusCode::OK, &record);
     if let Some(verdict) = record.state.verdict() {
         let name = stairstall_core::protocol::header::VERDICT;
-        crate::answer::set(response.headers_mut(), name, verdict.as_str());
+        crate::response::set(response.headers_mut(), name, verdict.as_str());
     }
     Ok(response)
 }
 
 /// Lists jobs whose labels a selector matches.
-pub(crate) async fn list(daemon: &Daemon, request: &Request) -> Result<Response, Failure> {
+pub(crate) async fn list(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let selector = selector_of(request)?;
     let listing = daemon.store.list(keys::JOBS).await;
     daemon.note_answer(&listing);
-    let listing = listing
-        .map_err(|e| Failure::unavailable(format!("the store can't be read: {e}"), STORE_RETRY))?;
+    let listing = listing.map_err(|e| {
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+    })?;
     let records = listing
         .entries
         .iter()
@@ -215,14 +223,14 @@
 }
 
 /// Reads the selector in a request's query; the empty one matches everything.
-pub(crate) fn selector_of(request: &Request) -> Result<Selector, Failure> {
+pub(crate) fn selector_of(request: &Request) -> Result<Selector, ErrorResponse> {
     let text = query_value(request, "selector").unwrap_or_default();
     text.parse()
-        .map_err(|e| Failure::bad("selector", format!("{e}")))
+        .map_err(|e| ErrorResponse::bad_request("selector", format!("{e}")))
 }
 
 /// Asks for a job's end; the placement holder stops it and records the verdict.
-pub(crate) async fn cancel(daemon: &Daemon, request: &Request) -> Result<Response, Failure> {
+pub(crate) async fn cancel(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let key = key_of(request)?;
     for _ in 0..CANCEL_TRIES {
         let (record, revision) = read(daemon, &key).await?;
@@ -244,11 +252,11 @@
         }
     }
     let error = "the job's record could not be changed now; ask again";
-    Err(Failure::unavailable(error, STORE_RETRY).with_verdict(Verdict::MayHaveRun))
+    Err(ErrorResponse::unavailable(error, STORE_RETRY).with_verdict(Verdict::MayHaveRun))
 }
 
 /// Explains where a job stands, from its zone's placement holder where it can be asked.
-pub(crate) async fn explain(daemon: &Daemon, request: &Request) -> Result<Response, Failure> {
+pub(crate) async fn explain(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let key = key_of(request)?;
     if let Some(explanation) = ask_explanation(daemon, key.clone()).await {
         return Ok(json(StatusCode::OK, &explanation));
--- a/crates/stairstalld/src/lib.rs
+++ b/crates/stairstalld/src/lib.rs
@@ -13,7 +13,6 @@
 //! - [`logging`] writes bounded log lines.
 //! - `follow` keeps the configuration and the VM list up to date.
 
-mod answer;
 mod api;
 pub mod batch;
 mod call;
@@ -30,6 +29,7 @@
 pub mod logging;
 mod metrics;
 mod peers;
+mod response;
 mod retention;
 mod serve;
 pub mod settings;
--- a/crates/stairstalld/src/logging.rs
+++ b/crates/stairstalld/src/logging.rs
@@ -16,7 +16,7 @@
 /// Lines that wait to be written, at most.
 const QUEUE_LINES: usize = 2_048;
 /// Lines of one kind a second, at most, where nothing else is set.
-pub const LINES_PER_KIND: u32 = 150;
+pub const DEFAULT_LINES_PER_TARGET: u32 = 150;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
@@ -84,11 +84,11 @@
 
 /// Starts to log to standard output, of each kind at most `lines_per_kind` lines a second.
 pub fn start(filters: &str, lines_per_kind: u32) {
-    start_to(filters, lines_per_kind, Box::new(io::stdout()));
+    start_with_writer(filters, lines_per_kind, Box::new(io::stdout()));
 }
 
 /// Starts to log to `out`, which may block without holding anything else up.
-pub fn start_to(filters: &str, lines_per_kind: u32, out: Box<dyn Write + Send>) {
+pub fn start_with_writer(filters: &str, lines_per_kind: u32, out: Box<dyn Write + Send>) {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     let writing = std::thread::Builder::new().name("log".to_owned());
     if let Err(error) = writing.spawn(move || write_lines(&receiver, out)) {
--- a/crates/stairstalld/src/main.rs
+++ b/crates/stairstalld/src/main.rs
@@ -4,7 +4,7 @@
 
 use stairstalld::batch::settings::BatchSettings;
 use stairstalld::logging;
-use stairstalld::settings::{Mistakes, Settings};
+use stairstalld::settings::{InvalidSettings, Settings};
 
 /// Exit code for settings that are not allowed.
 const EXIT_SETTINGS: u8 = 2;
@@ -21,14 +21,14 @@
     }
     start(
         Settings::from_process(),
-        |settings| logging::start(&settings.log, logging::LINES_PER_KIND),
+        |settings| logging::start(&settings.log, logging::DEFAULT_LINES_PER_TARGET),
         stairstalld::run,
     )
 }
 
 /// Runs a daemon whose settings are allowed.
 fn start<S>(
-    settings: Result<S, Mistakes>,
+    settings: Result<S, InvalidSettings>,
     start_logging: impl FnOnce(&S),
     run: impl FnOnce(S) -> Result<(), stairstalld::RunError>,
 ) -> ExitCode {
--- a/crates/stairstalld/src/answer.rs
+++ b/crates/stairstalld/src/response.rs
@@ -16,12 +16,12 @@
 
 /// An error as a caller sees it.
 #[derive(Debug, Clone)]
-pub(crate) struct Failure {
+pub(crate) struct ErrorResponse {
     pub(crate) status: StatusCode,
     pub(crate) body: ErrorBody,
 }
 
-impl Failure {
+impl ErrorResponse {
     pub(crate) fn new(status: StatusCode, verdict: Verdict, error: impl Into<String>) -> Self {
         let body = ErrorBody {
             verdict,
@@ -34,12 +34,12 @@
     }
 
     /// A request that was refused for its form; nothing ran.
-    pub(crate) fn bad(field: &str, error: impl Into<String>) -> Self {
+    pub(crate) fn bad_request(field: &str, error: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, Verdict::NotRun, error).with_field(field)
     }
 
     /// Something that is not there; nothing ran.
-    pub(crate) fn missing(error: impl Into<String>) -> Self {
+    pub(crate) fn not_found(error: impl Into<String>) -> Self {
         Self::new(StatusCode::NOT_FOUND, Verdict::NotRun, error)
     }
 
@@ -70,8 +70,8 @@
     }
 }
 
-impl From<Failure> for Response {
-    fn from(failure: Failure) -> Self {
+impl From<ErrorResponse> for Response {
+    fn from(failure: ErrorResponse) -> Self {
         let mut response = json(failure.status, &failure.body);
         let headers = response.headers_mut();
         if leaves_body_unread(failure.status) {
--- a/crates/stairstalld/src/serve.rs
+++ b/crates/stairstalld/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::listener::NoDelayListener;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
-use crate::shutdown::{self, Drained, Shutdown};
+use crate::shutdown::{self, DrainOutcome, Shutdown};
 use crate::{api, follow, holder, peers};
 
 /// How long a caller may take to send a request's head.
@@ -35,17 +35,17 @@
             source(source)
         }
         /// Requests in flight took longer than allowed.
-        Cut(in_flight: usize) {
+        RequestsAborted(in_flight: usize) {
             display("stopped with {in_flight} requests in flight: the drain limit was reached")
         }
         /// Calls took longer than allowed.
-        CutOff {
+        CallsAborted {
             display("stopped before all calls had their answers: the drain limit was reached")
         }
     }
 }
 
-pub(crate) fn system(what: &'static str) -> impl Fn(std::io::Error) -> RunError {
+pub(crate) fn system_error(what: &'static str) -> impl Fn(std::io::Error) -> RunError {
     move |source| RunError::System(what, source)
 }
 
@@ -59,21 +59,21 @@
         .enable_all()
         .build();
     runtime
-        .map_err(system("runtime"))?
+        .map_err(system_error("runtime"))?
         .block_on(serve(settings))
 }
 
 async fn serve(settings: Settings) -> Result<(), RunError> {
     let listener = TcpListener::bind(settings.listen)
         .await
-        .map_err(system("--listen"))?;
-    let address = listener.local_addr().map_err(system("--listen"))?;
-    let metrics = Metrics::new(settings.statsd).map_err(system("--statsd"))?;
+        .map_err(system_error("--listen"))?;
+    let address = listener.local_addr().map_err(system_error("--listen"))?;
+    let metrics = Metrics::new(settings.statsd).map_err(system_error("--statsd"))?;
     let (queries, inbox) = mpsc::channel(QUERIES);
     let daemon = Arc::new(Daemon::new(settings, address, metrics, queries));
     let (rpc_address, rpc) = peers::serve(Arc::clone(&daemon))
         .await
-        .map_err(system("--rpc-listen"))?;
+        .map_err(system_error("--rpc-listen"))?;
     log::info!(target: "start", vm:% = daemon.me(), zone:% = daemon.settings.zone,
         listen:% = address, rpc:% = rpc_address; "serving");
     start_background(&daemon, inbox);
@@ -83,7 +83,7 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT);
-    tokio::spawn(shutdown::log_hang_ups(daemon.me().clone()));
+    tokio::spawn(shutdown::log_hangup_signals(daemon.me().clone()));
     let shutdown = Shutdown {
         vm: daemon.me().clone(),
         leaving: daemon.leaving.clone(),
@@ -92,7 +92,7 @@
     };
     let server =
         viz::Server::with_builder(NoDelayListener(listener), api::router(&daemon), builder)
-            .signal(shutdown.clone().asked());
+            .signal(shutdown.clone().stop_requested());
     let serving = tokio::spawn(server.into_future());
     let result = drain(&daemon, &shutdown, serving).await;
     let _ = rpc.stop();
@@ -119,8 +119,8 @@
     shutdown: &Shutdown,
     serving: JoinHandle<std::io::Result<()>>,
 ) -> Result<(), RunError> {
-    if shutdown.drain(serving).await? == Drained::CutOff {
-        return Err(RunError::Cut(daemon.dispatcher.in_flight()));
+    if shutdown.drain(serving).await? == DrainOutcome::TimedOut {
+        return Err(RunError::RequestsAborted(daemon.dispatcher.in_flight()));
     }
     // Not-repeatable requests are seen to their end also after their callers left.
     while daemon.dispatcher.in_flight() > 0 {
--- a/crates/stairstalld/src/settings.rs
+++ b/crates/stairstalld/src/settings.rs
@@ -8,7 +8,7 @@
 use stairstall_core::{VmId, ZoneId};
 
 /// Width of help, in characters.
-pub(crate) const WIDTH: usize = 100;
+pub(crate) const HELP_WIDTH: usize = 100;
 
 /// Settings as they were given, unchecked.
 #[derive(Debug, Clone)]
@@ -61,7 +61,7 @@
 
 /// One setting that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct InvalidSetting {
     /// The flag.
     pub flag: &'static str,
     /// The value as given.
@@ -72,12 +72,12 @@
 
 /// Every setting that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistakes(pub Vec<Mistake>);
+pub struct InvalidSettings(pub Vec<InvalidSetting>);
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for mistake in &self.0 {
-            let Mistake {
+            let InvalidSetting {
                 flag,
                 value,
                 allowed,
@@ -93,12 +93,12 @@
     }
 }
 
-impl std::error::Error for Mistakes {}
+impl std::error::Error for InvalidSettings {}
 
-impl Mistakes {
+impl InvalidSettings {
     /// A command line that can't be read at all.
     pub(crate) fn unreadable(allowed: String) -> Self {
-        Self(vec![Mistake {
+        Self(vec![InvalidSetting {
             flag: "command line",
             value: String::new(),
             allowed,
@@ -106,7 +106,7 @@
     }
 }
 
-pub(crate) fn text(
+pub(crate) fn string_option(
     flag: &'static str,
     env: &'static str,
     help: &'static str,
@@ -115,70 +115,70 @@
 }
 
 fn parser() -> OptionParser<Raw> {
-    let vm = text("vm", "STAIRSTALL_VM", "Name of this VM").fallback(String::new());
-    let zone =
-        text("zone", "STAIRSTALL_ZONE", "Availability zone of this VM").fallback(String::new());
-    let listen = text(
+    let vm = string_option("vm", "STAIRSTALL_VM", "Name of this VM").fallback(String::new());
+    let zone = string_option("zone", "STAIRSTALL_ZONE", "Availability zone of this VM")
+        .fallback(String::new());
+    let listen = string_option(
         "listen",
         "STAIRSTALL_LISTEN",
         "IP:PORT for callers and operators",
     )
     .fallback(String::new());
-    let rpc_listen = text(
+    let rpc_listen = string_option(
         "rpc-listen",
         "STAIRSTALL_RPC_LISTEN",
         "IP:PORT for other daemons",
     )
     .fallback(String::new());
-    let store = text(
+    let store = string_option(
         "store",
         "STAIRSTALL_STORE",
         "IP:PORT of the platform's store",
     )
     .fallback(String::new());
-    let vm_list = text(
+    let vm_list = string_option(
         "vm-list",
         "STAIRSTALL_VM_LIST",
         "IP:PORT of the platform's list of VMs",
     )
     .fallback(String::new());
-    let statsd = text(
+    let statsd = string_option(
         "statsd",
         "STAIRSTALL_STATSD",
         "IP:PORT that metrics go to over UDP",
     )
     .optional();
-    let store_timeout_ms = text(
+    let store_timeout_ms = string_option(
         "store-timeout-ms",
         "STAIRSTALL_STORE_TIMEOUT_MS",
         "Longest call to the store",
     )
     .fallback("1000".to_owned());
-    let drain_delay_ms = text(
+    let drain_delay_ms = string_option(
         "drain-delay-ms",
         "STAIRSTALL_DRAIN_DELAY_MS",
         "How long requests are still taken after a stop was asked for",
     )
     .fallback("5000".to_owned());
-    let drain_limit_ms = text(
+    let drain_limit_ms = string_option(
         "drain-limit-ms",
         "STAIRSTALL_DRAIN_LIMIT_MS",
         "How long requests in flight may take after that",
     )
     .fallback("900000".to_owned());
-    let max_body_bytes = text(
+    let max_body_bytes = string_option(
         "max-body-bytes",
         "STAIRSTALL_MAX_BODY_BYTES",
         "Longest request body",
     )
     .fallback("1048576".to_owned());
-    let max_waiting = text(
+    let max_waiting = string_option(
         "max-waiting",
         "STAIRSTALL_MAX_WAITING",
         "Most requests of a service that wait",
     )
     .fallback("1000".to_owned());
-    let log = text(
+    let log = string_option(
         "log",
         "STAIRSTALL_LOG",
         "Log filter, as in 'info' or 'stairstalld=debug'",
@@ -206,11 +206,11 @@
 
 /// Collects mistakes while settings are read one by one.
 #[derive(Debug, Default)]
-pub(crate) struct Checks(pub(crate) Vec<Mistake>);
+pub(crate) struct Validator(pub(crate) Vec<InvalidSetting>);
 
-impl Checks {
+impl Validator {
     fn refuse(&mut self, flag: &'static str, value: &str, allowed: impl Into<String>) {
-        self.0.push(Mistake {
+        self.0.push(InvalidSetting {
             flag,
             value: value.to_owned(),
             allowed: allowed.into(),
@@ -305,12 +305,12 @@
     /// # Errors
     ///
     /// Returns every setting that is not allowed.
-    pub fn from_process() -> Result<Self, Mistakes> {
+    pub fn from_process() -> Result<Self, InvalidSettings> {
         match parser().run_inner(bpaf::Args::current_args()) {
             Ok(raw) => Self::check(&raw),
-            Err(ParseFailure::Stderr(doc)) => Err(Mistakes::unreadable(doc.to_string())),
+            Err(ParseFailure::Stderr(doc)) => Err(InvalidSettings::unreadable(doc.to_string())),
             Err(help) => {
-                help.print_message(WIDTH);
+                help.print_message(HELP_WIDTH);
                 std::process::exit(0);
             }
         }
@@ -321,11 +321,11 @@
     /// # Errors
     ///
     /// Returns every setting that is not allowed, or that the arguments can't be read.
-    pub fn from_arguments(arguments: &[&str]) -> Result<Self, Mistakes> {
+    pub fn from_arguments(arguments: &[&str]) -> Result<Self, InvalidSettings> {
         let raw = parser().run_inner(arguments).map_err(|failure| {
             let value = arguments.join(" ");
             let allowed = failure.unwrap_stderr();
-            Mistakes(vec![Mistake {
+            InvalidSettings(vec![InvalidSetting {
                 flag: "arguments",
                 value,
                 allowed,
@@ -334,17 +334,17 @@
         Self::check(&raw)
     }
 
-    fn check(raw: &Raw) -> Result<Self, Mistakes> {
-        let mut checks = Checks::default();
+    fn check(raw: &Raw) -> Result<Self, InvalidSettings> {
+        let mut checks = Validator::default();
         let settings = Self::read(raw, &mut checks);
         match settings {
             Some(settings) if checks.0.is_empty() => Ok(settings),
-            _ => Err(Mistakes(checks.0)),
+            _ => Err(InvalidSettings(checks.0)),
         }
     }
 
     /// Reads every field before the first missing one can end the reading.
-    fn read(raw: &Raw, checks: &mut Checks) -> Option<Self> {
+    fn read(raw: &Raw, checks: &mut Validator) -> Option<Self> {
         let day = 24 * 3600 * 1000;
         let vm = checks.name("--vm", &raw.vm);
         let zone = checks.name("--zone", &raw.zone);
--- a/crates/stairstalld/src/shutdown.rs
+++ b/crates/stairstalld/src/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::serve::{RunError, system};
+use crate::serve::{RunError, system_error};
 
 /// How a daemon stops.
 #[derive(Debug, Clone)]
@@ -24,16 +24,16 @@
 
 /// Whether a server finished what was in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Drained {
+pub(crate) enum DrainOutcome {
     /// Nothing was cut off.
-    Whole,
+    Completed,
     /// The limit was reached before.
-    CutOff,
+    TimedOut,
 }
 
 impl Shutdown {
     /// Ends once a stop was asked for and the balancer has had time to notice.
-    pub(crate) async fn asked(self) {
+    pub(crate) async fn stop_requested(self) {
         let (Ok(mut terminate), Ok(mut interrupt)) = (
             signal(SignalKind::terminate()),
             signal(SignalKind::interrupt()),
@@ -60,7 +60,7 @@
     pub(crate) async fn drain(
         &self,
         mut served: JoinHandle<std::io::Result<()>>,
-    ) -> Result<Drained, RunError> {
+    ) -> Result<DrainOutcome, RunError> {
         let mut leaving = self.leaving.subscribe();
         let limit = async {
             let _ = leaving.wait_for(|leaving| *leaving).await;
@@ -68,16 +68,16 @@
         };
         tokio::select! {
             ended = &mut served => match ended {
-                Ok(result) => result.map(|()| Drained::Whole).map_err(system("serving")),
+                Ok(result) => result.map(|()| DrainOutcome::Completed).map_err(system_error("serving")),
                 Err(error) => Err(RunError::System("serving", std::io::Error::other(error))),
             },
-            () = limit => Ok(Drained::CutOff),
+            () = limit => Ok(DrainOutcome::TimedOut),
         }
     }
 }
 
 /// Says of each hang-up that settings hold until the next start: they are flags and environment.
-pub(crate) async fn log_hang_ups(vm: VmId) {
+pub(crate) async fn log_hangup_signals(vm: VmId) {
     let Ok(mut hang_ups) = signal(SignalKind::hangup()) else {
         log::error!(target: "reload", "hang-ups can't be received");
         return;
--- a/crates/stairstalld/tests/logging.rs
+++ b/crates/stairstalld/tests/logging.rs
@@ -37,7 +37,7 @@
         lines: sender,
         is_released: false,
     };
-    logging::start_to("info", logging::LINES_PER_KIND, Box::new(out));
+    logging::start_with_writer("info", logging::DEFAULT_LINES_PER_TARGET, Box::new(out));
     let began = Instant::now();
     for number in 0..20_000 {
         log::info!(target: "storm", number; "a line");
