--- a/crates/stairstalld/src/batch/serve.rs
+++ b/crates/stairstalld/src/batch/serve.rs
@@ -29,8 +29,8 @@
 ///
 /// # Errors
 ///
-/// Returns why the daemon could not start, or [`RunError::CallsAborted`] if calls were still open at the
-/// drain limit.
+/// Returns why the daemon could not start, or [`RunError::CallsAborted`] if calls were still open at
+/// the drain limit.
 pub fn run(settings: BatchSettings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/stairstalld/src/batch/settings.rs
+++ b/crates/stairstalld/src/batch/settings.rs
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Validator every field before it returns at the first invalid one, so that all errors are
+    /// Checks every field before it returns at the first invalid one, so that all errors are
     /// reported at once.
     fn read(raw: &RawSettings, checks: &mut Validator) -> Option<Self> {
         let vm = checks.name("--vm", &raw.vm);
