--- a/crates/stairstalld/src/api.rs
+++ b/crates/stairstalld/src/api.rs
@@ -1,4 +1,5 @@
-//! The HTTP interface for callers and operators; docs/INTERFACE.md describes it.
+//! Routes and general handlers of the HTTP interface for callers and operators. docs/INTERFACE.md
+//! describes it.
 
 use std::sync::Arc;
 
@@ -14,10 +15,10 @@
 use crate::daemon::{Daemon, lock};
 use crate::incoming::read_body;
 use crate::peers::own_heartbeat;
-use crate::response::{ErrorResponse, STORE_RETRY, json};
+use crate::response::{ErrorResponse, STORE_RETRY_AFTER, json};
 use crate::{call, configure, jobs, keys};
 
-/// What the balancer and operators see of one daemon.
+/// State of one daemon, as operators read it from `/v1/status`.
 #[derive(Debug, Serialize)]
 struct Status {
     daemon: Heartbeat,
@@ -27,24 +28,25 @@
     store_calls: u64,
 }
 
+/// Reply to the load balancer's health checks.
 #[derive(Debug, Serialize)]
 struct Health {
     state: &'static str,
     revision: Revision,
 }
 
-/// Makes a route's handler of a function of the daemon and the request.
+/// Turns a function of the daemon and the request into a route handler.
 macro_rules! route {
     ($daemon:expr, $call:expr) => {{
         let daemon = Arc::clone($daemon);
         move |request: Request| {
             let daemon = Arc::clone(&daemon);
-            async move { Ok::<Response, viz::Error>(settle($call(daemon, request).await)) }
+            async move { Ok::<Response, viz::Error>(into_response($call(daemon, request).await)) }
         }
     }};
 }
 
-/// Returns the routes of one daemon.
+/// Returns the HTTP routes of a daemon.
 pub(crate) fn router(daemon: &Arc<Daemon>) -> Router {
     let calls = Arc::clone(daemon);
     let call = move |request: Request| {
@@ -97,13 +99,13 @@
         )
         .get(
             "/v1/requests/:customer/:id",
-            route!(daemon, async |d: Arc<Daemon>, r| claimed(&d, &r).await),
+            route!(daemon, async |d: Arc<Daemon>, r| claim_record(&d, &r).await),
         )
         .any("/call/:service", call.clone())
         .any("/call/:service/*", call)
 }
 
-fn settle(result: std::result::Result<Response, ErrorResponse>) -> Response {
+fn into_response(result: std::result::Result<Response, ErrorResponse>) -> Response {
     result.unwrap_or_else(Into::into)
 }
 
@@ -137,8 +139,8 @@
     json(StatusCode::OK, &status)
 }
 
-/// Tells what is kept of a not-repeatable request.
-async fn claimed(
+/// Returns the stored claim of a not-repeatable request.
+async fn claim_record(
     daemon: &Daemon,
     request: &Request,
 ) -> std::result::Result<Response, ErrorResponse> {
@@ -149,17 +151,17 @@
         .param("id")
         .map_err(|e| ErrorResponse::bad_request("id", e.to_string()))?;
     let entry = daemon.store.get(&keys::claim(&customer, &id)).await;
-    daemon.note_answer(&entry);
+    daemon.record_store_result(&entry);
     let entry = entry.map_err(|e| {
-        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY_AFTER)
             .with_verdict(Verdict::MayHaveRun)
     })?;
     let record = entry.and_then(|entry| entry.read::<ClaimRecord>());
-    let missing = || ErrorResponse::not_found(format!("no not-repeatable request {id} is known"));
-    Ok(json(StatusCode::OK, &record.ok_or_else(missing)?))
+    let not_found = || ErrorResponse::not_found(format!("no not-repeatable request {id} is known"));
+    Ok(json(StatusCode::OK, &record.ok_or_else(not_found)?))
 }
 
-/// Returns one value of a request's query, decoded.
+/// Returns the decoded value of a query parameter.
 pub(crate) fn query_value(request: &Request, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     form_urlencoded::parse(query.as_bytes())
@@ -167,7 +169,7 @@
         .map(|(_, value)| value.into_owned())
 }
 
-/// Reads a JSON body; a mistake names the field.
+/// Reads a JSON body; an error names the invalid field.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     daemon: &Daemon,
     request: &mut Request,
@@ -187,13 +189,13 @@
     Ok(value)
 }
 
-/// Names the field that an error is about; an unknown one stands in its text.
+/// Returns the name of the invalid field; serde reports an unknown field in the error's text only.
 fn field_of(path: &str, error: &serde_json::Error) -> String {
     let text = error.to_string();
     let quoted = text.split('`').nth(1).filter(|_| text.contains("field"));
     match (path, quoted) {
         (".", Some(name)) => name.to_owned(),
-        // What is not JSON at all has no path.
+        // A body that is not JSON has no path.
         (".", None) | ("?", _) => "body".to_owned(),
         (path, Some(name)) if !path.ends_with(name) => format!("{path}.{name}"),
         (path, _) => path.to_owned(),
--- a/crates/stairstalld/src/call.rs
+++ b/crates/stairstalld/src/call.rs
@@ -1,4 +1,4 @@
-//! The request path: from a caller to a minion and back.
+//! The request path: routes a caller's request to a minion and returns the minion's response.
 
 mod attempt;
 mod body;
@@ -15,50 +15,51 @@
 
 use crate::clock::millis;
 use crate::daemon::{Daemon, lock};
-use crate::dispatch::{NoSlot, Permit, Wanted};
+use crate::dispatch::{NoSlot, Permit, SlotRequest};
 use crate::incoming::read_body;
-use crate::response::{ErrorResponse, set};
+use crate::response::{ErrorResponse, set_header};
 use attempt::Attempted;
-use claims::Claimed;
+use claims::ClaimOutcome;
 use parse::Call;
 
-/// Most minions that one request is sent to.
+/// Maximum number of minions that one request is sent to.
 const MAX_ATTEMPTS: usize = 4;
-/// How long the store may be silent before not-repeatable requests are refused at once.
-const STORE_SILENCE: Duration = Duration::from_secs(2);
-/// How soon it is worth coming back after a fault.
+/// How long the store may not answer before not-repeatable requests are refused at once.
+const STORE_SILENCE_LIMIT: Duration = Duration::from_secs(2);
+/// Retry-after for requests that failed or got no slot.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves one request.
+/// Serves one request of a caller.
 pub(crate) async fn serve(daemon: Arc<Daemon>, mut request: Request) -> Response {
     let started = daemon.clock.now();
     let call = match parse::parse(&daemon, &request) {
         Ok(call) => call,
-        Err(failure) => return failure.into(),
+        Err(error) => return error.into(),
     };
     let body = match read_body(&daemon, &mut request).await {
         Ok(body) => body,
-        Err(failure) => return failure.with_request(&call.id).into(),
+        Err(error) => return error.with_request(&call.id).into(),
     };
     let call = Arc::new(call.with_body(body));
     lock(&daemon.retries).note_request();
     let mut response = if call.repeatable {
         answer(&daemon, &call).await
     } else {
-        // Not-repeatable work is seen to its end also when its caller goes away.
+        // The attempts run in a task of their own, so that a not-repeatable request completes even
+        // if its caller disconnects.
         let (daemon, call) = (Arc::clone(&daemon), Arc::clone(&call));
         let task = tokio::spawn(async move { answer(&daemon, &call).await });
-        task.await.unwrap_or_else(|_| lost_task().into())
+        task.await.unwrap_or_else(|_| task_failed().into())
     };
-    set(response.headers_mut(), header::REQUEST_ID, call.id.as_str());
-    set(response.headers_mut(), header::DAEMON, daemon.me().as_str());
+    set_header(response.headers_mut(), header::REQUEST_ID, call.id.as_str());
+    set_header(response.headers_mut(), header::DAEMON, daemon.vm().as_str());
     daemon
         .metrics
         .time("call.head", daemon.clock.now() - started);
     response
 }
 
-fn lost_task() -> ErrorResponse {
+fn task_failed() -> ErrorResponse {
     let status = StatusCode::INTERNAL_SERVER_ERROR;
     ErrorResponse::new(
         status,
@@ -67,14 +68,15 @@
     )
 }
 
-/// Tries minions until one answers, the verdict forbids it, or the budget is used up.
+/// Sends a request to minions until one responds, or the verdict or the retry budget forbids
+/// another attempt.
 async fn answer(daemon: &Arc<Daemon>, call: &Arc<Call>) -> Response {
     if !call.repeatable
         && let Some(silent) = daemon
             .store_silent_for()
-            .filter(|silent| *silent >= STORE_SILENCE)
+            .filter(|silent| *silent >= STORE_SILENCE_LIMIT)
     {
-        // A claim would only hold a slot until it failed.
+        // A claim would fail, and would occupy a slot until then.
         let error = format!(
             "the store has been silent for {} ms: no claim can be made",
             millis(silent)
@@ -87,32 +89,32 @@
             ErrorResponse::unavailable(error, RETRY_AFTER),
         );
     }
-    let mut wanted = call.wanted();
+    let mut slot_request = call.slot_request();
     let mut verdict = Verdict::NotRun;
     let mut claimed = None;
     for attempt in 1..=MAX_ATTEMPTS {
         if attempt == 1
-            && let Some(response) = spill::before_waiting(daemon, call, &wanted).await
+            && let Some(response) = spill::before_waiting(daemon, call, &slot_request).await
         {
             return response;
         }
-        let permit = match daemon.dispatcher.acquire(wanted.clone()).await {
+        let permit = match daemon.dispatcher.acquire(slot_request.clone()).await {
             Ok(permit) => permit,
             Err(no_slot) => {
-                return give_up(daemon, call, claimed, verdict, no_slot_failure(no_slot));
+                return give_up(daemon, call, claimed, verdict, no_slot_error(no_slot));
             }
         };
-        log_decision(daemon, call, &permit, attempt);
+        log_route(daemon, call, &permit, attempt);
         if !call.repeatable && claimed.is_none() {
             match claims::claim(daemon, call).await {
-                Claimed::Held(claim) => claimed = Some(claim),
-                Claimed::Answered(response) => {
+                ClaimOutcome::Held(claim) => claimed = Some(claim),
+                ClaimOutcome::Answered(response) => {
                     permit.finish(stairstall_core::routing::Outcome::Answered);
                     return response;
                 }
             }
         }
-        wanted.avoid.push(permit.pick.minion.clone());
+        slot_request.avoid.push(permit.pick.minion.clone());
         let failed = match attempt::attempt(daemon, call, permit, claimed.take()).await {
             Attempted::Answered(response) => return *response,
             Attempted::Failed(failed) => failed,
@@ -121,11 +123,17 @@
         verdict = verdict.and(failed.verdict);
         log::info!(target: "decision", request:% = call.id, verdict:% = failed.verdict, attempt;
             "attempt failed: {}", failed.error);
-        let more = failed.verdict.allows_retry(call.repeatable)
+        let may_retry = failed.verdict.allows_retry(call.repeatable)
             && attempt < MAX_ATTEMPTS
             && lock(&daemon.retries).try_retry(daemon.clock.now());
-        if !more {
-            return give_up(daemon, call, claimed, verdict, failed_failure(failed.error));
+        if !may_retry {
+            return give_up(
+                daemon,
+                call,
+                claimed,
+                verdict,
+                attempts_failed(failed.error),
+            );
         }
         daemon.metrics.count("call.retry");
     }
@@ -134,20 +142,20 @@
         call,
         claimed,
         verdict,
-        failed_failure("no minion took it".to_owned()),
+        attempts_failed("no minion took it".to_owned()),
     )
 }
 
-fn log_decision(daemon: &Daemon, call: &Call, permit: &Permit, attempt: usize) {
+fn log_route(daemon: &Daemon, call: &Call, permit: &Permit, attempt: usize) {
     let pick = &permit.pick;
     log::info!(target: "decision",
         request:% = call.id, customer:% = call.flow.customer, class:% = call.flow.class,
         service:% = call.service, minion:% = pick.minion, zone:% = daemon.settings.zone, attempt,
         in_flight = pick.in_flight, share = pick.share, passed_over = pick.passed_over;
-        "routed to the minion with the least in flight for its share");
+        "routed to the minion with the fewest requests in flight for its share");
 }
 
-fn no_slot_failure(no_slot: NoSlot) -> ErrorResponse {
+fn no_slot_error(no_slot: NoSlot) -> ErrorResponse {
     match no_slot {
         NoSlot::Refused(refusal) => {
             let error = refusal.to_string();
@@ -164,40 +172,41 @@
     }
 }
 
-fn failed_failure(error: String) -> ErrorResponse {
+fn attempts_failed(error: String) -> ErrorResponse {
     ErrorResponse::new(StatusCode::BAD_GATEWAY, Verdict::MayHaveRun, error)
         .with_retry_after(RETRY_AFTER)
 }
 
-/// Answers a request for good, at once, with all that is known.
+/// Ends a request with an error response. If the request did not run, its claim is released.
 fn give_up(
     daemon: &Arc<Daemon>,
     call: &Call,
     claimed: Option<claims::Claim>,
     verdict: Verdict,
-    failure: ErrorResponse,
+    error: ErrorResponse,
 ) -> Response {
     if verdict == Verdict::NotRun
         && let Some(claim) = claimed
     {
         claim.release(daemon);
     }
-    let mut failure = failure.with_verdict(verdict).with_request(&call.id);
-    if verdict == Verdict::NotRun && failure.status == StatusCode::BAD_GATEWAY {
-        failure.status = StatusCode::SERVICE_UNAVAILABLE;
+    let mut error = error.with_verdict(verdict).with_request(&call.id);
+    if verdict == Verdict::NotRun && error.status == StatusCode::BAD_GATEWAY {
+        error.status = StatusCode::SERVICE_UNAVAILABLE;
     }
     daemon.metrics.count(match verdict {
         Verdict::NotRun => "call.gave_up.not_run",
         _ => "call.gave_up.may_have_run",
     });
     log::info!(target: "decision", request:% = call.id, verdict:% = verdict,
-        status = failure.status.as_u16(); "given up: {}", failure.body.error);
-    failure.into()
+        status = error.status.as_u16(); "request ended without a response: {}", error.body.error);
+    error.into()
 }
 
 impl Call {
-    fn wanted(&self) -> Wanted {
-        Wanted {
+    /// Returns what the dispatcher needs to know to assign a slot.
+    fn slot_request(&self) -> SlotRequest {
+        SlotRequest {
             service: self.service.clone(),
             slots: self.slots,
             flow: self.flow.clone(),
--- a/crates/stairstalld/src/call/attempt.rs
+++ b/crates/stairstalld/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one minion, with its verdict.
+//! Sends a request to one minion and determines the verdict.
 
 use std::sync::Arc;
 
@@ -10,29 +10,30 @@
 use viz::header::CONTENT_LENGTH;
 use viz::{Response, StatusCode};
 
-use super::body::Tracked;
+use super::body::TrackedBody;
 use super::claims::Claim;
 use super::parse::{Call, end_to_end};
 use crate::daemon::Daemon;
 use crate::dispatch::Permit;
-use crate::response::set;
+use crate::response::set_header;
 
-/// What became of an attempt.
+/// Outcome of an attempt.
 pub(super) enum Attempted {
-    /// The head of the answer is there; the body follows.
+    /// The head of the minion's response has arrived; the body is streamed.
     Answered(Box<Response>),
-    /// There is no answer.
+    /// There is no response.
     Failed(Failed),
 }
 
-/// An attempt without an answer.
+/// An attempt without a response.
 pub(super) struct Failed {
     pub(super) verdict: Verdict,
     pub(super) error: String,
-    /// The claim, still held.
+    /// The claim, which the daemon still holds.
     pub(super) claim: Option<Claim>,
 }
 
+/// Sends a request to the minion whose slot `permit` holds.
 pub(super) async fn attempt(
     daemon: &Arc<Daemon>,
     call: &Arc<Call>,
@@ -57,13 +58,13 @@
             claim,
         );
     }
-    let left = call.deadline.since(daemon.clock.now());
-    if left.is_zero() {
+    let remaining = call.deadline.since(daemon.clock.now());
+    if remaining.is_zero() {
         permit.finish(Outcome::Abandoned);
         let error = "the deadline passed before it was sent".to_owned();
         return failed(Verdict::NotRun, error, claim);
     }
-    let request = match request_to(call, &permit) {
+    let request = match build_request(call, &permit) {
         Ok(request) => request,
         Err(error) => {
             permit.finish(Outcome::Answered);
@@ -74,7 +75,7 @@
             );
         }
     };
-    match daemon.http.send(request, left).await {
+    match daemon.http.send(request, remaining).await {
         Ok(response) => match refusal(&response) {
             Some(outcome) => {
                 permit.finish(outcome);
@@ -84,7 +85,9 @@
                     claim,
                 )
             }
-            None => Attempted::Answered(Box::new(pass_on(daemon, call, response, permit, claim))),
+            None => Attempted::Answered(Box::new(forward_response(
+                daemon, call, response, permit, claim,
+            ))),
         },
         Err(error) => {
             permit.finish(Outcome::Fault);
@@ -93,7 +96,7 @@
     }
 }
 
-fn request_to(
+fn build_request(
     call: &Call,
     permit: &Permit,
 ) -> Result<hyper::Request<RequestBody>, hyper::http::Error> {
@@ -103,27 +106,27 @@
         .body(RequestBody::from(call.body.clone()))?;
     *request.headers_mut() = call.headers.clone();
     request.headers_mut().remove(CONTENT_LENGTH);
-    set(request.headers_mut(), header::REQUEST_ID, call.id.as_str());
+    set_header(request.headers_mut(), header::REQUEST_ID, call.id.as_str());
     Ok(request)
 }
 
-/// Tells whether the minion said that it did not start the request.
+/// Returns why the minion refused the request, if it says that it did not start it.
 fn refusal(response: &hyper::Response<Incoming>) -> Option<Outcome> {
-    let says = |name: &str, value: &str| response.headers().get(name).is_some_and(|v| v == value);
+    let has = |name: &str, value: &str| response.headers().get(name).is_some_and(|v| v == value);
     let refused = response.status() == StatusCode::SERVICE_UNAVAILABLE
-        && says(header::VERDICT, Verdict::NotRun.as_str());
+        && has(header::VERDICT, Verdict::NotRun.as_str());
     if !refused {
         return None;
     }
-    Some(if says(header::LEAVING, "1") {
+    Some(if has(header::LEAVING, "1") {
         Outcome::Leaving
     } else {
         Outcome::Busy
     })
 }
 
-/// Passes the minion's answer on; the slot is held until its end.
-fn pass_on(
+/// Forwards the minion's response; the slot is held until the end of its body.
+fn forward_response(
     daemon: &Arc<Daemon>,
     call: &Arc<Call>,
     response: hyper::Response<Incoming>,
@@ -133,16 +136,21 @@
     let (head, body) = response.into_parts();
     let minion = permit.pick.minion.clone();
     let deadline = daemon.clock.instant(call.deadline);
-    let keeper = claim.map(|claim| claim.keeper(daemon, head.status.as_u16(), &head.headers));
-    let tracked = Tracked::new(body, permit, deadline, call.id.clone());
-    let body = match keeper {
+    let recorder =
+        claim.map(|claim| claim.response_recorder(daemon, head.status.as_u16(), &head.headers));
+    let tracked = TrackedBody::new(body, permit, deadline, call.id.clone());
+    let body = match recorder {
         None => viz::Body::wrap(tracked),
-        Some(keeper) => tracked.seen_to_the_end(keeper),
+        Some(recorder) => tracked.read_to_end(recorder),
     };
-    let mut answer = Response::new(body);
-    *answer.status_mut() = head.status;
-    *answer.headers_mut() = end_to_end(&head.headers);
-    set(answer.headers_mut(), header::VERDICT, Verdict::Ran.as_str());
-    set(answer.headers_mut(), header::MINION, minion.as_str());
-    answer
+    let mut forwarded = Response::new(body);
+    *forwarded.status_mut() = head.status;
+    *forwarded.headers_mut() = end_to_end(&head.headers);
+    set_header(
+        forwarded.headers_mut(),
+        header::VERDICT,
+        Verdict::Ran.as_str(),
+    );
+    set_header(forwarded.headers_mut(), header::MINION, minion.as_str());
+    forwarded
 }
--- a/crates/stairstalld/src/call/body.rs
+++ b/crates/stairstalld/src/call/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers, watched to their end.
+//! Bodies of minions' responses, tracked until they end.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,43 +14,43 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep};
 
-use super::claims::Keeper;
+use super::claims::ResponseRecorder;
 use crate::dispatch::Permit;
 
-/// Pieces of an answer that wait for a slow caller.
-const PIECES_AHEAD: usize = 8;
+/// Number of chunks buffered for a slow caller.
+const BUFFERED_CHUNKS: usize = 8;
 
 quick_error! {
-    /// Why an answer ends before it is whole; the caller's connection is broken off,
-    /// so that it can't take the part for the whole.
+    /// Why a response body is incomplete. The caller's connection is aborted, so that the caller
+    /// can't mistake the part for a complete response.
     #[derive(Debug)]
-    pub enum Cut {
-        /// The minion broke off.
+    pub enum BodyAborted {
+        /// The minion aborted its response.
         Minion(source: hyper::Error) {
-            display("the minion broke off: {source}")
+            display("the minion aborted its response: {source}")
             source(source)
         }
         /// The deadline passed.
         Deadline {
-            display("the deadline passed before the end of the answer")
+            display("the deadline passed before the end of the response")
         }
-        /// The task that read the answer is gone.
-        Gone {
-            display("the answer's reader is gone")
+        /// The task that reads the response ended early.
+        ReaderGone {
+            display("the task that reads the response ended early")
         }
     }
 }
 
-/// A minion's answer; its slot is held until the end.
+/// Body of a minion's response; it holds the minion's slot until it ends.
 #[derive(Debug)]
-pub(super) struct Tracked {
+pub(super) struct TrackedBody {
     body: Incoming,
     permit: Option<Permit>,
     deadline: Pin<Box<Sleep>>,
     request: RequestId,
 }
 
-impl Tracked {
+impl TrackedBody {
     pub(super) fn new(
         body: Incoming,
         permit: Permit,
@@ -76,24 +76,26 @@
         }
     }
 
-    fn cut(&mut self, cut: Cut) -> Cut {
+    /// Logs an incomplete body and releases the slot.
+    fn abort(&mut self, reason: BodyAborted) -> BodyAborted {
         log::warn!(target: "decision", request:% = self.request, verdict = "may-have-run";
-            "answer cut: {cut}");
+            "response aborted: {reason}");
         self.finish(Outcome::Fault);
-        cut
+        reason
     }
 
-    /// Returns a body fed by a task that reads on when the caller goes away.
-    pub(super) fn seen_to_the_end(mut self, mut keeper: Keeper) -> viz::Body {
-        let (sender, receiver) = mpsc::channel(PIECES_AHEAD);
+    /// Returns a body that a task feeds; the task reads to the end even if the caller disconnects,
+    /// and stores the response with its claim.
+    pub(super) fn read_to_end(mut self, mut recorder: ResponseRecorder) -> viz::Body {
+        let (sender, receiver) = mpsc::channel(BUFFERED_CHUNKS);
         tokio::spawn(async move {
             let mut caller = Some(sender);
             while let Some(frame) = self.frame().await {
                 let frame = match frame {
                     Ok(frame) => frame,
-                    Err(cut) => {
+                    Err(reason) => {
                         if let Some(caller) = caller {
-                            let _ = caller.send(Err(cut)).await;
+                            let _ = caller.send(Err(reason)).await;
                         }
                         return;
                     }
@@ -101,37 +103,37 @@
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
-                keeper.add(&data);
+                recorder.add(&data);
                 if let Some(sender) = &caller
-                    && sender.send(Ok(Piece::Data(data))).await.is_err()
+                    && sender.send(Ok(Chunk::Data(data))).await.is_err()
                 {
                     caller = None;
                 }
             }
             if let Some(caller) = caller {
-                // The caller need not wait until the answer is kept.
-                let _ = caller.send(Ok(Piece::End)).await;
+                // The caller does not wait until the response is stored.
+                let _ = caller.send(Ok(Chunk::End)).await;
             }
-            keeper.keep().await;
+            recorder.store().await;
         });
-        viz::Body::wrap(Fed {
+        viz::Body::wrap(ChannelBody {
             receiver,
             ended: false,
         })
     }
 }
 
-impl Body for Tracked {
+impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         if self.permit.is_some() && self.deadline.as_mut().poll(cx).is_ready() {
-            let cut = self.cut(Cut::Deadline);
-            return Poll::Ready(Some(Err(cut)));
+            let reason = self.abort(BodyAborted::Deadline);
+            return Poll::Ready(Some(Err(reason)));
         }
         match Pin::new(&mut self.body).poll_frame(cx) {
             Poll::Pending => Poll::Pending,
@@ -142,8 +144,8 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                let cut = self.cut(Cut::Minion(error));
-                Poll::Ready(Some(Err(cut)))
+                let reason = self.abort(BodyAborted::Minion(error));
+                Poll::Ready(Some(Err(reason)))
             }
             Poll::Ready(None) => {
                 self.finish(Outcome::Answered);
@@ -161,41 +163,41 @@
     }
 }
 
-/// A body whose pieces another task reads.
+/// Body whose chunks another task reads from the minion.
 #[derive(Debug)]
-struct Fed {
-    receiver: mpsc::Receiver<Result<Piece, Cut>>,
+struct ChannelBody {
+    receiver: mpsc::Receiver<Result<Chunk, BodyAborted>>,
     ended: bool,
 }
 
-/// What a reading task passes on.
+/// Message from the reading task.
 #[derive(Debug)]
-enum Piece {
+enum Chunk {
     Data(Bytes),
-    /// The answer is whole; a channel that closes without this one was cut.
+    /// The response is complete; if the channel closes without this message, it is not.
     End,
 }
 
-impl Body for Fed {
+impl Body for ChannelBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         if self.ended {
             return Poll::Ready(None);
         }
         match self.receiver.poll_recv(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(Ok(Piece::Data(data)))) => Poll::Ready(Some(Ok(Frame::data(data)))),
-            Poll::Ready(Some(Ok(Piece::End))) => {
+            Poll::Ready(Some(Ok(Chunk::Data(data)))) => Poll::Ready(Some(Ok(Frame::data(data)))),
+            Poll::Ready(Some(Ok(Chunk::End))) => {
                 self.ended = true;
                 Poll::Ready(None)
             }
-            Poll::Ready(Some(Err(cut))) => Poll::Ready(Some(Err(cut))),
-            Poll::Ready(None) => Poll::Ready(Some(Err(Cut::Gone))),
+            Poll::Ready(Some(Err(reason))) => Poll::Ready(Some(Err(reason))),
+            Poll::Ready(None) => Poll::Ready(Some(Err(BodyAborted::ReaderGone))),
         }
     }
 
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -1,4 +1,4 @@
-//! Claims in the store for not-repeatable requests.
+//! Claims in the store, which make a not-repeatable request run at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,21 +16,22 @@
 use super::parse::Call;
 use crate::daemon::Daemon;
 use crate::keys;
-use crate::response::{ErrorResponse, set};
-use crate::retention::KEPT_FOR;
+use crate::response::{ErrorResponse, set_header};
+use crate::retention::RETENTION;
 
-/// Longest answer that is kept for callers that lost theirs, in bytes.
-const MAX_KEPT_BYTES: usize = 32 * 1024;
-/// Pause between two writes of the same claim.
-const WRITE_PAUSE: Duration = Duration::from_millis(50);
-/// How often a record that is no longer needed is tried to be removed.
-const RELEASE_TRIES: u32 = 40;
-/// Longest pause between two of these tries.
-const RELEASE_PAUSE: Duration = Duration::from_secs(5);
-/// How often an answer is tried to be kept.
-const KEEP_TRIES: u32 = 5;
-/// How soon it is worth asking again for a request that is under way.
-const UNDER_WAY_RETRY: Duration = Duration::from_secs(1);
+/// Longest response body that is stored for callers that lost their connection, in bytes.
+const MAX_STORED_BYTES: usize = 32 * 1024;
+/// Delay before a claim is written again, and the first delay between attempts to remove one.
+const WRITE_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of attempts to remove a claim that is no longer needed.
+const RELEASE_ATTEMPTS: u32 = 40;
+/// Maximum delay between two of these attempts.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(5);
+/// Maximum number of attempts to store a response.
+const STORE_ATTEMPTS: u32 = 5;
+/// Retry-after for requests that are in progress or could not be claimed, and the delay between
+/// two attempts to store a response.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// A claim that this daemon holds.
 #[derive(Debug)]
@@ -41,77 +42,81 @@
     attempt: ClaimAttempt,
 }
 
-/// What became of an attempt to claim.
-pub(super) enum Claimed {
+/// Outcome of claiming a request.
+pub(super) enum ClaimOutcome {
     /// The request may be sent.
     Held(Claim),
-    /// It may not; this is the answer.
+    /// The request may not be sent; this is the response.
     Answered(Response),
 }
 
-/// Claims the request's id before its first byte leaves.
-pub(super) async fn claim(daemon: &Arc<Daemon>, call: &Call) -> Claimed {
+/// Claims the request's id before any of the request is sent to a minion.
+pub(super) async fn claim(daemon: &Arc<Daemon>, call: &Call) -> ClaimOutcome {
     let key = keys::claim(&call.flow.customer, &call.id);
-    let attempt = ClaimAttempt::new(daemon.next_mark(), daemon.clock.now(), KEPT_FOR);
+    let attempt = ClaimAttempt::new(daemon.next_mark(), daemon.clock.now(), RETENTION);
     let mark = attempt.mark().clone();
     let deadline = daemon.clock.instant(call.deadline);
-    let writing = write(daemon, call, key.clone(), attempt);
-    if let Ok(claimed) = tokio::time::timeout_at(deadline, writing).await {
+    let write = write_claim(daemon, call, key.clone(), attempt);
+    if let Ok(claimed) = tokio::time::timeout_at(deadline, write).await {
         return claimed;
     }
-    release_later(daemon.store.clone(), key, mark);
+    release_in_background(daemon.store.clone(), key, mark);
     let status = StatusCode::GATEWAY_TIMEOUT;
     let error = "the deadline passed while the request was being claimed";
     let failure = ErrorResponse::new(status, Verdict::NotRun, error);
-    Claimed::Answered(failure.with_request(&call.id).into())
+    ClaimOutcome::Answered(failure.with_request(&call.id).into())
 }
 
-async fn write(
+/// Writes the claim, and retries until it is held, refused or given up.
+async fn write_claim(
     daemon: &Arc<Daemon>,
     call: &Call,
     key: String,
     mut attempt: ClaimAttempt,
-) -> Claimed {
+) -> ClaimOutcome {
     loop {
         let lease = match daemon.retention.lease().await {
             Ok(lease) => lease,
             Err(error) => {
-                daemon.note_store(false);
-                return no_claim(call, &error.to_string());
+                daemon.record_store_answer(false);
+                return claim_failed(call, &error.to_string());
             }
         };
         let swapped = daemon
             .store
             .swap(&key, Expect::Absent, &attempt.record(), Some(lease))
             .await;
-        daemon.note_answer(&swapped);
+        daemon.record_store_result(&swapped);
         if matches!(swapped, Err(StoreError::Status(_))) {
-            daemon.retention.forget(lease).await;
+            daemon.retention.discard(lease).await;
         }
         let (answer, revision) = read_answer(swapped);
         match attempt.on_answer(answer) {
             ClaimStep::Held => {
                 log::info!(target: "decision", request:% = call.id, customer:% = call.flow.customer;
-                    "claimed: nobody else may run it");
-                return Claimed::Held(Claim {
+                    "claimed: no other daemon may run this request");
+                return ClaimOutcome::Held(Claim {
                     key,
                     revision,
                     lease,
                     attempt,
                 });
             }
-            ClaimStep::WriteAgain => tokio::time::sleep(WRITE_PAUSE).await,
-            ClaimStep::Taken(record) => return Claimed::Answered(taken(call, &record)),
+            ClaimStep::WriteAgain => tokio::time::sleep(WRITE_DELAY).await,
+            ClaimStep::Taken(record) => {
+                return ClaimOutcome::Answered(already_claimed(call, &record));
+            }
             ClaimStep::GivenUp { may_stand } => {
                 if may_stand {
-                    release_later(daemon.store.clone(), key, attempt.mark().clone());
+                    release_in_background(daemon.store.clone(), key, attempt.mark().clone());
                 }
-                return no_claim(call, "the platform's store does not answer");
+                return claim_failed(call, "the platform's store does not answer");
             }
         }
     }
 }
 
+/// Returns what the store's answer means for the claim, and the revision of the record.
 fn read_answer(swapped: Result<Swap, StoreError>) -> (ClaimAnswer, u64) {
     match swapped {
         Ok(Swap::Applied(revision)) => (ClaimAnswer::Applied, revision),
@@ -125,18 +130,18 @@
     }
 }
 
-fn no_claim(call: &Call, why: &str) -> Claimed {
-    let error = format!("a not-repeatable request can't be claimed now: {why}");
+fn claim_failed(call: &Call, reason: &str) -> ClaimOutcome {
+    let error = format!("a not-repeatable request can't be claimed now: {reason}");
     log::info!(target: "decision", request:% = call.id, verdict:% = Verdict::NotRun;
-        "given up: {error}");
-    let failure = ErrorResponse::unavailable(error, UNDER_WAY_RETRY).with_request(&call.id);
-    Claimed::Answered(failure.into())
+        "request ended without a response: {error}");
+    let failure = ErrorResponse::unavailable(error, RETRY_DELAY).with_request(&call.id);
+    ClaimOutcome::Answered(failure.into())
 }
 
-/// Answers a request whose id was claimed before.
-fn taken(call: &Call, record: &ClaimRecord) -> Response {
+/// Returns the response to a request whose id was claimed before.
+fn already_claimed(call: &Call, record: &ClaimRecord) -> Response {
     log::info!(target: "decision", request:% = call.id, claimed_by:% = record.mark.daemon,
-        finished = record.finished; "not routed: its id was claimed before");
+        finished = record.finished; "not routed: the request id was claimed before");
     if let Some(response) = record.answer.as_ref().and_then(replay) {
         return response;
     }
@@ -145,7 +150,7 @@
     } else {
         (
             "a request of this id is under way, or its daemon was lost",
-            Some(UNDER_WAY_RETRY),
+            Some(RETRY_DELAY),
         )
     };
     let mut failure = ErrorResponse::new(StatusCode::CONFLICT, Verdict::MayHaveRun, error)
@@ -157,38 +162,44 @@
     failure.into()
 }
 
-/// Gives the kept answer again.
-fn replay(kept: &KeptAnswer) -> Option<Response> {
-    let body = STANDARD.decode(&kept.body).ok()?;
+/// Returns the stored response for a repeated request.
+fn replay(stored: &KeptAnswer) -> Option<Response> {
+    let body = STANDARD.decode(&stored.body).ok()?;
     let mut response = Response::new(Body::from(Full::from(body)));
-    *response.status_mut() = StatusCode::from_u16(kept.status).ok()?;
-    if let Some(kind) = kept.content_type.as_ref().and_then(|t| t.parse().ok()) {
-        response.headers_mut().insert(CONTENT_TYPE, kind);
+    *response.status_mut() = StatusCode::from_u16(stored.status).ok()?;
+    if let Some(content_type) = stored.content_type.as_ref().and_then(|t| t.parse().ok()) {
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
-    set(
+    set_header(
         response.headers_mut(),
         header::VERDICT,
         Verdict::Ran.as_str(),
     );
-    set(response.headers_mut(), header::REPLAYED, "1");
+    set_header(response.headers_mut(), header::REPLAYED, "1");
     Some(response)
 }
 
 impl Claim {
-    /// Tells whether the request may leave now; the process may have been paused since.
+    /// Returns whether the request may still be sent: the claim may be too old, for example after
+    /// a pause of the process.
     pub(super) fn may_send(&self, now: Timestamp) -> bool {
         self.attempt.may_send(now)
     }
 
-    /// Removes the record of a request that did not run, so that it may be tried again.
+    /// Removes the claim of a request that did not run, so that the caller may retry it.
     pub(super) fn release(self, daemon: &Daemon) {
-        release_later(daemon.store.clone(), self.key, self.attempt.mark().clone());
+        release_in_background(daemon.store.clone(), self.key, self.attempt.mark().clone());
     }
 
-    /// Returns what keeps the answer once it is whole.
-    pub(super) fn keeper(self, daemon: &Daemon, status: u16, headers: &HeaderMap) -> Keeper {
+    /// Returns a recorder that stores the response with the claim once it is complete.
+    pub(super) fn response_recorder(
+        self,
+        daemon: &Daemon,
+        status: u16,
+        headers: &HeaderMap,
+    ) -> ResponseRecorder {
         let content_type = headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-        Keeper {
+        ResponseRecorder {
             store: daemon.store.clone(),
             claim: self,
             status,
@@ -198,22 +209,22 @@
     }
 }
 
-/// Removes a record with our mark, however long the store takes to answer.
-fn release_later(store: Store, key: String, mark: Mark) {
+/// Removes the record with this mark in the background, and retries while the store fails.
+fn release_in_background(store: Store, key: String, mark: Mark) {
     tokio::spawn(async move {
-        let mut pause = WRITE_PAUSE;
-        for _ in 0..RELEASE_TRIES {
+        let mut delay = WRITE_DELAY;
+        for _ in 0..RELEASE_ATTEMPTS {
             if let Ok(true) = try_release(&store, &key, &mark).await {
                 return;
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(RELEASE_PAUSE);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RELEASE_DELAY);
         }
-        log::warn!(target: "claim", key:% = key; "a claim of a request that did not run stays");
+        log::warn!(target: "claim", key:% = key; "could not remove the claim of a request that did not run");
     });
 }
 
-/// Returns true once no record with our mark stands.
+/// Returns true once no record with this mark is stored.
 async fn try_release(store: &Store, key: &str, mark: &Mark) -> Result<bool, StoreError> {
     let Some(entry) = store.get(key).await? else {
         return Ok(true);
@@ -226,18 +237,18 @@
     Ok(matches!(deleted, Swap::Applied(_)))
 }
 
-/// Collects an answer, and keeps it for callers that lost theirs.
+/// Collects a response and stores it with the claim, for callers that lost their connection.
 #[derive(Debug)]
-pub(super) struct Keeper {
+pub(super) struct ResponseRecorder {
     store: Store,
     claim: Claim,
     status: u16,
     content_type: Option<String>,
-    /// None once the answer is too long to keep.
+    /// None once the response is longer than [`MAX_STORED_BYTES`].
     body: Option<Vec<u8>>,
 }
 
-impl Keeper {
+impl ResponseRecorder {
     pub(super) fn add(&mut self, data: &[u8]) {
         if let Some(body) = &mut self.body {
             body.extend_from_slice(data);
@@ -245,14 +256,15 @@
         if self
             .body
             .as_ref()
-            .is_some_and(|body| body.len() > MAX_KEPT_BYTES)
+            .is_some_and(|body| body.len() > MAX_STORED_BYTES)
         {
             self.body = None;
         }
     }
 
-    /// Writes the answer into the claim's record; without the store it stays unfinished.
-    pub(super) async fn keep(self) {
+    /// Writes the response into the claim's record. If the store does not answer, the record stays
+    /// unfinished.
+    pub(super) async fn store(self) {
         let answer = self.body.as_ref().map(|body| KeptAnswer {
             status: self.status,
             content_type: self.content_type.clone(),
@@ -264,13 +276,13 @@
             ..self.claim.attempt.record()
         };
         let expect = Expect::Revision(self.claim.revision);
-        for _ in 0..KEEP_TRIES {
+        for _ in 0..STORE_ATTEMPTS {
             let (key, lease) = (&self.claim.key, Some(self.claim.lease));
             if self.store.swap(key, expect, &record, lease).await.is_ok() {
                 return;
             }
-            tokio::time::sleep(UNDER_WAY_RETRY).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        log::warn!(target: "claim", key:% = self.claim.key; "an answer could not be kept");
+        log::warn!(target: "claim", key:% = self.claim.key; "could not store a response");
     }
 }
--- a/crates/stairstalld/src/call/parse.rs
+++ b/crates/stairstalld/src/call/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a request's headers; every mistake names its header.
+//! Parses a request's path and headers; an error names the invalid header.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use crate::daemon::Daemon;
 use crate::response::ErrorResponse;
 
-/// Longest deadline that a caller may ask for.
+/// Longest deadline that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 3600);
-/// Headers that belong to one connection and are not passed on.
+/// Headers that belong to one connection and are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -27,7 +27,7 @@
     "host",
 ];
 
-/// A request with all that routing needs.
+/// A parsed request of a caller, with everything that routing needs.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) id: RequestId,
@@ -37,11 +37,12 @@
     pub(super) weight: u32,
     pub(super) deadline: Timestamp,
     pub(super) repeatable: bool,
-    pub(super) hopped: bool,
+    /// Whether another daemon forwarded the request; such a request is not forwarded again.
+    pub(super) is_forwarded: bool,
     pub(super) method: Method,
-    /// Path and query at the minion.
+    /// Path and query that the minion gets.
     pub(super) path: String,
-    /// Path and query at a daemon.
+    /// Path and query of the original request, for another daemon.
     pub(super) full_path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
@@ -54,23 +55,24 @@
     }
 }
 
-/// Returns the headers that are passed on to the next party.
+/// Returns the headers without those that belong to one connection.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     for name in HOP_BY_HOP {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
+/// Parses everything but the body of a request.
 pub(super) fn parse(daemon: &Daemon, request: &Request) -> Result<Call, ErrorResponse> {
     let headers = request.headers();
     let configuration = daemon.configuration();
     let id = match optional::<RequestId>(headers, header::REQUEST_ID)? {
         Some(id) => id,
-        None => made_up_id(daemon)?,
+        None => generate_id(daemon)?,
     };
-    let fail = |failure: ErrorResponse| failure.with_request(&id);
+    let fail = |error: ErrorResponse| error.with_request(&id);
     let service: ServiceId = request
         .param("service")
         .map_err(|e| fail(ErrorResponse::bad_request("service", e.to_string())))?;
@@ -81,14 +83,14 @@
     let customer = required::<CustomerId>(headers, header::CUSTOMER).map_err(fail)?;
     let Some(customer_config) = configuration.customers.get(&customer) else {
         let error = format!("there is no customer {:?}", customer.as_str());
-        let failure = ErrorResponse::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
-        return Err(fail(failure.with_field(header::CUSTOMER)));
+        let forbidden = ErrorResponse::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
+        return Err(fail(forbidden.with_field(header::CUSTOMER)));
     };
     let class = required::<ClassId>(headers, header::CLASS).map_err(fail)?;
     let labels = optional::<Labels>(headers, header::LABELS)
         .map_err(fail)?
         .unwrap_or_default();
-    let effect = configuration.effect_on(&with_names(labels, &customer, &class));
+    let effect = configuration.effect_on(&with_identity_labels(labels, &customer, &class));
     let class = effect.class.unwrap_or(class);
     let Some(class_config) = configuration.classes.get(&class) else {
         let error = format!("there is no priority class {:?}", class.as_str());
@@ -105,7 +107,7 @@
         service,
         deadline: daemon.clock.now() + deadline,
         repeatable,
-        hopped: headers.contains_key(header::HOP),
+        is_forwarded: headers.contains_key(header::HOP),
         method: request.method().clone(),
         path,
         full_path,
@@ -114,14 +116,15 @@
     })
 }
 
-fn made_up_id(daemon: &Daemon) -> Result<RequestId, ErrorResponse> {
+fn generate_id(daemon: &Daemon) -> Result<RequestId, ErrorResponse> {
     let mark = daemon.next_mark();
     let text = format!("{:016x}-{:x}", mark.instance, mark.serial);
     text.parse()
         .map_err(|_| ErrorResponse::bad_request(header::REQUEST_ID, "no id could be made up"))
 }
 
-fn with_names(labels: Labels, customer: &CustomerId, class: &ClassId) -> Labels {
+/// Adds the customer and the class as labels, for rules that select by them.
+fn with_identity_labels(labels: Labels, customer: &CustomerId, class: &ClassId) -> Labels {
     let named = labels.clone().with("customer", customer.as_str());
     let named = named.and_then(|l| l.with("class", class.as_str()));
     named.unwrap_or(labels)
@@ -164,8 +167,8 @@
     let millis = optional::<u64>(headers, header::DEADLINE_MS)?.unwrap_or(default_ms);
     let deadline = Duration::from_millis(millis);
     if millis == 0 || deadline > MAX_DEADLINE {
-        let most = MAX_DEADLINE.as_millis();
-        let error = format!("{} is from 1 to {most}", header::DEADLINE_MS);
+        let max = MAX_DEADLINE.as_millis();
+        let error = format!("{} is from 1 to {max}", header::DEADLINE_MS);
         return Err(ErrorResponse::bad_request(header::DEADLINE_MS, error));
     }
     Ok(deadline)
@@ -182,7 +185,7 @@
     }
 }
 
-/// Returns path and query at the minion, and at a daemon.
+/// Returns the path and query for the minion, and those of the original request.
 fn paths(request: &Request, service: &ServiceId) -> (String, String) {
     let full = request.uri().path_and_query().map_or("/", |p| p.as_str());
     let prefix = format!("/call/{service}");
--- a/crates/stairstalld/src/call/spill.rs
+++ b/crates/stairstalld/src/call/spill.rs
@@ -1,4 +1,4 @@
-//! Passes requests on to another zone when this one is full or has no minion.
+//! Forwards requests to another zone when this one is full or has no minion of the service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,25 +12,26 @@
 use super::parse::{Call, end_to_end};
 use crate::clock::millis;
 use crate::daemon::Daemon;
-use crate::dispatch::Wanted;
-use crate::response::{ErrorResponse, set};
+use crate::dispatch::SlotRequest;
+use crate::response::{ErrorResponse, set_header};
 
-/// A shorter wait in this zone is better than the way to another.
-const WORTH_WAITING: Duration = Duration::from_millis(50);
+/// Shortest expected wait for which a request is forwarded: a shorter wait costs less than
+/// forwarding to another zone.
+const MIN_WAIT_TO_SPILL: Duration = Duration::from_millis(50);
 
-/// Passes a request on if it would wait here and need not elsewhere.
+/// Forwards a request if it would have to wait in this zone and not in another.
 ///
-/// None says that this zone serves it: nothing ran elsewhere, or it may run again.
+/// Returns none if this zone is to serve the request: it did not run elsewhere, or it may run again.
 pub(super) async fn before_waiting(
     daemon: &Arc<Daemon>,
     call: &Arc<Call>,
-    wanted: &Wanted,
+    slot_request: &SlotRequest,
 ) -> Option<Response> {
-    if call.hopped {
+    if call.is_forwarded {
         return None;
     }
-    let wait = daemon.dispatcher.expected_wait(wanted);
-    if wait.is_some_and(|wait| wait < WORTH_WAITING) {
+    let wait = daemon.dispatcher.expected_wait(slot_request);
+    if wait.is_some_and(|wait| wait < MIN_WAIT_TO_SPILL) {
         return None;
     }
     let free = |h: &Heartbeat| {
@@ -47,13 +48,13 @@
     log::info!(target: "decision", request:% = call.id, service:% = call.service,
         zone:% = peer.zone, daemon:% = peer.daemon, free = free(peer),
         passed_over:? = wait;
-        "passed on to another zone: this one is full or has no minion");
+        "forwarded to another zone: this one is full or has no minion");
     daemon.metrics.count("call.spilled");
-    pass_on(daemon, call, peer).await
+    forward(daemon, call, peer).await
 }
 
-async fn pass_on(daemon: &Arc<Daemon>, call: &Arc<Call>, peer: &Heartbeat) -> Option<Response> {
-    let left = call.deadline.since(daemon.clock.now());
+async fn forward(daemon: &Arc<Daemon>, call: &Arc<Call>, peer: &Heartbeat) -> Option<Response> {
+    let remaining = call.deadline.since(daemon.clock.now());
     let mut request = hyper::Request::builder()
         .method(call.method.clone())
         .uri(format!("http://{}{}", peer.address, call.full_path))
@@ -62,24 +63,25 @@
     *request.headers_mut() = call.headers.clone();
     let headers = request.headers_mut();
     headers.remove(CONTENT_LENGTH);
-    set(headers, header::HOP, "1");
-    set(headers, header::REQUEST_ID, call.id.as_str());
-    set(
+    set_header(headers, header::HOP, "1");
+    set_header(headers, header::REQUEST_ID, call.id.as_str());
+    set_header(
         headers,
         header::DEADLINE_MS,
-        &millis(left).max(1).to_string(),
+        &millis(remaining).max(1).to_string(),
     );
-    let error = match daemon.http.send(request, left).await {
+    let error = match daemon.http.send(request, remaining).await {
         Ok(response) => {
-            let says = response.headers().get(header::VERDICT);
-            if says.is_some_and(|v| v == Verdict::NotRun.as_str()) && !call.is_last_resort(daemon) {
+            let verdict = response.headers().get(header::VERDICT);
+            if verdict.is_some_and(|v| v == Verdict::NotRun.as_str()) && !call.lacks_minion(daemon)
+            {
                 return None;
             }
             let (head, body) = response.into_parts();
-            let mut answer = Response::new(viz::Body::Incoming(body));
-            *answer.status_mut() = head.status;
-            *answer.headers_mut() = end_to_end(&head.headers);
-            return Some(answer);
+            let mut forwarded = Response::new(viz::Body::Incoming(body));
+            *forwarded.status_mut() = head.status;
+            *forwarded.headers_mut() = end_to_end(&head.headers);
+            return Some(forwarded);
         }
         Err(error) => error,
     };
@@ -92,8 +94,8 @@
 }
 
 impl Call {
-    /// Tells whether this zone can't serve the request either.
-    fn is_last_resort(&self, daemon: &Daemon) -> bool {
+    /// Returns whether this zone has no minion of the service either.
+    fn lacks_minion(&self, daemon: &Daemon) -> bool {
         let service = &self.service;
         !daemon.dispatcher.serves(service)
     }
--- a/crates/stairstalld/src/clock.rs
+++ b/crates/stairstalld/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clocks.
+//! Clocks: the time since the process started, and the time of day.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,11 +9,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Time since the process started, the time included for which the machine was suspended.
+/// Time since the process started, including time for which the machine was suspended.
 ///
-/// Leases, and how old anything is that was learned, are counted on it. The clock behind [`Instant`]
-/// stands still while a machine is suspended: a planner would take its role's lease for valid that
-/// ran out meanwhile, and give orders beside its successor.
+/// Leases and the age of everything that a daemon knows are measured with it. The clock behind
+/// [`Instant`] stops while a machine is suspended: with it, a planner would still consider the lease
+/// of its role valid after it had expired, and would give orders alongside its successor.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     source: fn() -> Duration,
@@ -22,11 +22,11 @@
 
 impl Clock {
     pub(crate) fn new() -> Self {
-        Self::of(since_boot)
+        Self::with_source(since_boot)
     }
 
-    /// Creates a clock that reads a steady source.
-    fn of(source: fn() -> Duration) -> Self {
+    /// Creates a clock that reads a monotonic source.
+    fn with_source(source: fn() -> Duration) -> Self {
         Self {
             source,
             started: source(),
@@ -38,26 +38,28 @@
         Timestamp::from_millis(millis(since_start))
     }
 
-    /// Returns the instant of a timestamp, to sleep until it; a suspension makes the sleep longer.
+    /// Converts a timestamp to an instant to sleep until. A suspension of the machine lengthens the
+    /// sleep.
     pub(crate) fn instant(&self, at: Timestamp) -> Instant {
         Instant::now() + at.since(self.now())
     }
 }
 
-/// Returns the time since the machine started, the time included for which it was suspended.
+/// Returns the time since the machine started, including time for which it was suspended.
 fn since_boot() -> Duration {
-    let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    // Every Linux since 2.6.39 has it; the clock without suspensions is right but for those.
-    let read = read.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
-    read.map_or(Duration::ZERO, Duration::from)
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+    // Linux has CLOCK_BOOTTIME since 2.6.39. CLOCK_MONOTONIC differs only by suspensions.
+    let time = time.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
+    time.map_or(Duration::ZERO, Duration::from)
 }
 
-/// Returns whole milliseconds.
+/// Returns a duration in whole milliseconds.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns the time of day in milliseconds since the Unix epoch, for people and for order only.
+/// Returns the time of day in milliseconds since the Unix epoch, for display and for ordering
+/// only.
 pub(crate) fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/stairstalld/src/clock/tests.rs
+++ b/crates/stairstalld/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The clock that leases are counted on, across a suspension of the machine.
+//! Tests that leases expire while the machine is suspended.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -15,26 +15,26 @@
 }
 
 #[test]
-fn a_lease_runs_out_while_the_machine_is_suspended() {
-    let clock = Clock::of(source);
+fn lease_expires_while_the_machine_is_suspended() {
+    let clock = Clock::with_source(source);
     let before = Instant::now();
     let lease = Lease::new(clock.now(), Duration::from_secs(1));
     assert!(lease.is_valid(clock.now()));
     SOURCE_MS.fetch_add(5_000, Ordering::SeqCst);
     assert!(!lease.is_valid(clock.now()));
     assert_eq!(clock.now().as_millis(), 5_000);
-    let slept = clock.instant(clock.now()) - before;
+    let wait = clock.instant(clock.now()) - before;
     assert!(
-        slept < Duration::from_secs(1),
-        "nothing to wait for: {slept:?}"
+        wait < Duration::from_secs(1),
+        "a timestamp that has passed is {wait:?} away"
     );
 }
 
 #[test]
-fn the_source_counts_suspensions_as_the_machine_does() {
-    let text = std::fs::read_to_string("/proc/uptime").expect("a Linux machine");
-    let uptime = text.split_whitespace().next().expect("seconds");
+fn clock_source_agrees_with_the_uptime_of_the_machine() {
+    let text = std::fs::read_to_string("/proc/uptime").expect("/proc/uptime is readable");
+    let uptime = text.split_whitespace().next().expect("uptime in seconds");
     let uptime = Duration::from_secs_f64(uptime.parse().expect("a number"));
-    let differs_by = since_boot().abs_diff(uptime);
-    assert!(differs_by < Duration::from_secs(1), "{differs_by:?}");
+    let difference = since_boot().abs_diff(uptime);
+    assert!(difference < Duration::from_secs(1), "{difference:?}");
 }
--- a/crates/stairstalld/src/configure.rs
+++ b/crates/stairstalld/src/configure.rs
@@ -1,4 +1,4 @@
-//! Serves operators: reads and changes the configuration.
+//! Handlers for operators that read and change the configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,39 +12,40 @@
 
 use crate::api::{query_value, read_json};
 use crate::daemon::Daemon;
-use crate::follow::take_head;
+use crate::follow::apply_head;
 use crate::jobs::selector_of;
 use crate::keys;
-use crate::peers::{PeerClient, ask_witness, client, holder_address};
-use crate::response::{ErrorResponse, STORE_RETRY, json};
+use crate::peers::{PeerClient, check_own_guarantees, client, holder_address};
+use crate::response::{ErrorResponse, STORE_RETRY_AFTER, json};
 
-/// How often a change without a base is tried against other operators' changes.
-const APPEND_TRIES: u32 = 8;
-/// Pause before the head is read again.
-const APPEND_PAUSE: Duration = Duration::from_millis(10);
+/// Maximum number of attempts to append a change while other operators' changes come first.
+const APPEND_ATTEMPTS: u32 = 8;
+/// Delay before the head is read again, if the configuration here does not match it yet.
+const APPEND_DELAY: Duration = Duration::from_millis(10);
 
-/// What became of a change.
+/// Reply to a change that is accepted, or would be.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Applied {
-    /// The revision that it made, or would make.
+    /// The revision that the change made, or would make.
     revision: Revision,
-    /// Whether it was only tried.
+    /// Whether the change was only checked and not stored.
     dry_run: bool,
 }
 
-/// What stands in the way of a change.
+/// Reply to a change whose base is not the current revision any more.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ConflictBody {
     verdict: Verdict,
     error: String,
     revision: Revision,
-    /// Changes since the operator's base, as far as they are kept.
+    /// Changes since the operator's base, as far as the head still holds them.
     changes: Vec<TailEntry>,
 }
 
-/// Outcome of one try to append.
-enum Appended {
+/// Outcome of one attempt to append a change.
+enum AppendOutcome {
     Done(Revision),
+    /// Another change was appended first.
     Raced,
 }
 
@@ -69,15 +70,15 @@
     ))
 }
 
-/// Applies a change, or only says what it would do.
+/// Applies a change, or only checks it on a dry run.
 pub(crate) async fn change(
     daemon: &Arc<Daemon>,
     request: &mut Request,
 ) -> Result<Response, ErrorResponse> {
     let change: Change = read_json(daemon, request).await?;
     let dry_run = query_value(request, "dry-run").is_some_and(|v| v == "true");
-    for _ in 0..APPEND_TRIES {
-        let (head, at) = read_head(daemon).await?;
+    for _ in 0..APPEND_ATTEMPTS {
+        let (head, expect) = read_head(daemon).await?;
         if let Some(revision) = head.revision_of(&change) {
             return Ok(json(
                 StatusCode::OK,
@@ -91,7 +92,7 @@
         let (next_head, next) = match head.append(&current, &change) {
             Ok(appended) => appended,
             Err(HeadError::OutOfStep) => {
-                tokio::time::sleep(APPEND_PAUSE).await;
+                tokio::time::sleep(APPEND_DELAY).await;
                 continue;
             }
             Err(HeadError::Conflict(revision)) => return Ok(conflict(&head, &change, revision)),
@@ -109,28 +110,28 @@
                 },
             ));
         }
-        match append(daemon, next_head, at, &next, &change).await? {
-            Appended::Done(revision) => {
+        match append(daemon, next_head, expect, &next, &change).await? {
+            AppendOutcome::Done(revision) => {
                 log::info!(target: "config", change:% = change.id, revision = revision.0;
                     "change accepted");
                 daemon.metrics.count("config.accepted");
                 return Ok(json(StatusCode::OK, &Applied { revision, dry_run }));
             }
-            Appended::Raced => {}
+            AppendOutcome::Raced => {}
         }
     }
     let error = "other operators' changes came first each time; try again";
-    Err(ErrorResponse::unavailable(error, STORE_RETRY))
+    Err(ErrorResponse::unavailable(error, STORE_RETRY_AFTER))
 }
 
-/// Reads the newest head and brings it into force here.
+/// Reads the newest head from the store and applies it here.
 async fn read_head(daemon: &Daemon) -> Result<(Head, Expect), ErrorResponse> {
-    let silent = |e: StoreError| {
-        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+    let unavailable = |e: StoreError| {
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY_AFTER)
     };
     let entry = daemon.store.get(keys::CONFIG_HEAD).await;
-    daemon.note_answer(&entry);
-    let Some(entry) = entry.map_err(silent)? else {
+    daemon.record_store_result(&entry);
+    let Some(entry) = entry.map_err(unavailable)? else {
         return Ok((Head::default(), Expect::Absent));
     };
     let head: Head = entry.read().ok_or_else(|| {
@@ -141,10 +142,11 @@
             "the configuration's head can't be read",
         )
     })?;
-    take_head(daemon, &head).await.map_err(silent)?;
+    apply_head(daemon, &head).await.map_err(unavailable)?;
     Ok((head, Expect::Revision(entry.revision)))
 }
 
+/// Returns the response to a change that is based on an old revision.
 fn conflict(head: &Head, change: &Change, revision: Revision) -> Response {
     let base = change.base.unwrap_or_default();
     let body = ConflictBody {
@@ -160,52 +162,55 @@
     };
     let mut response = json(StatusCode::CONFLICT, &body);
     let name = stairstall_core::protocol::header::VERDICT;
-    crate::response::set(response.headers_mut(), name, body.verdict.as_str());
+    crate::response::set_header(response.headers_mut(), name, body.verdict.as_str());
     response
 }
 
-/// Appends a change; a lost answer is resolved by looking for the change's id.
+/// Appends a change. If the store's answer is lost, looks for the change's id in the new head.
 async fn append(
     daemon: &Daemon,
     mut head: Head,
-    at: Expect,
+    expect: Expect,
     next: &Configuration,
     change: &Change,
-) -> Result<Appended, ErrorResponse> {
+) -> Result<AppendOutcome, ErrorResponse> {
     if head.wants_snapshot() {
         let key = keys::config_snapshot(next.revision);
-        // Whoever loses the race below leaves a snapshot that no head names.
-        let written = daemon.store.swap(&key, Expect::Absent, next, None).await;
-        if matches!(written, Ok(Swap::Applied(_))) {
+        // If another change is appended first, this snapshot stays and no head refers to it.
+        let swapped = daemon.store.swap(&key, Expect::Absent, next, None).await;
+        if matches!(swapped, Ok(Swap::Applied(_))) {
             head = head.cut();
         }
     }
-    let swapped = daemon.store.swap(keys::CONFIG_HEAD, at, &head, None).await;
-    daemon.note_answer(&swapped);
+    let swapped = daemon
+        .store
+        .swap(keys::CONFIG_HEAD, expect, &head, None)
+        .await;
+    daemon.record_store_result(&swapped);
     let error = match swapped {
         Ok(Swap::Applied(_)) => {
-            let _ = take_head(daemon, &head).await;
-            return Ok(Appended::Done(head.revision));
+            let _ = apply_head(daemon, &head).await;
+            return Ok(AppendOutcome::Done(head.revision));
         }
-        Ok(Swap::Conflict(_)) => return Ok(Appended::Raced),
+        Ok(Swap::Conflict(_)) => return Ok(AppendOutcome::Raced),
         Err(error) => error,
     };
     if error.verdict() == Verdict::NotRun {
         let text = format!("the store can't be reached: {error}");
-        return Err(ErrorResponse::unavailable(text, STORE_RETRY));
+        return Err(ErrorResponse::unavailable(text, STORE_RETRY_AFTER));
     }
     let unknown = |_| {
         let text = "the store does not answer: whether the change is accepted is not known; \
                     send it again with the same id to learn it";
-        ErrorResponse::unavailable(text, STORE_RETRY).with_verdict(Verdict::MayHaveRun)
+        ErrorResponse::unavailable(text, STORE_RETRY_AFTER).with_verdict(Verdict::MayHaveRun)
     };
     let (found, _) = read_head(daemon).await.map_err(unknown)?;
     Ok(found
         .revision_of(change)
-        .map_or(Appended::Raced, Appended::Done))
+        .map_or(AppendOutcome::Raced, AppendOutcome::Done))
 }
 
-/// Asks the placement holder of each zone whose guarantees change for a witness.
+/// Asks the placement holder of each zone whose guarantees change for a guarantee check.
 async fn check_guarantees(
     daemon: &Arc<Daemon>,
     current: &Configuration,
@@ -219,28 +224,31 @@
         if before == after {
             continue;
         }
-        match ask_zone(daemon, &zone, WitnessQuestion { guarantees: after }).await {
+        match check_guarantees_in(daemon, &zone, WitnessQuestion { guarantees: after }).await {
             Some(WitnessAnswer::Kept) => {}
             Some(WitnessAnswer::NotKept { reason }) => {
-                let failure = ErrorResponse::new(StatusCode::CONFLICT, Verdict::NotRun, reason);
-                return Err(failure.with_field("guarantee"));
+                let error = ErrorResponse::new(StatusCode::CONFLICT, Verdict::NotRun, reason);
+                return Err(error.with_field("guarantee"));
             }
             Some(WitnessAnswer::NotHolder) | None => {
                 let error = format!("the placement holder of zone {zone} can't be asked");
-                return Err(ErrorResponse::unavailable(error, STORE_RETRY).with_field("guarantee"));
+                return Err(
+                    ErrorResponse::unavailable(error, STORE_RETRY_AFTER).with_field("guarantee")
+                );
             }
         }
     }
     Ok(())
 }
 
-async fn ask_zone(
+/// Returns the reply of the zone's placement holder; none if it can't be asked.
+async fn check_guarantees_in(
     daemon: &Arc<Daemon>,
     zone: &ZoneId,
     question: WitnessQuestion,
 ) -> Option<WitnessAnswer> {
     if *zone == daemon.settings.zone {
-        let own = ask_witness(daemon, question.clone()).await;
+        let own = check_own_guarantees(daemon, question.clone()).await;
         if own != WitnessAnswer::NotHolder {
             return Some(own);
         }
--- a/crates/stairstalld/src/daemon.rs
+++ b/crates/stairstalld/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the parts of one daemon share.
+//! State that the modules of one daemon share.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,19 +23,19 @@
 use crate::retention::Retention;
 use crate::settings::Settings;
 
-/// How long a connection to a minion, worker or peer may take to open.
+/// Timeout for opening a connection to a minion, worker or peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Unused connections kept to each minion, worker or peer.
+/// Maximum number of idle connections to each minion, worker or peer.
 const IDLE_CONNECTIONS: usize = 8;
 
-/// The placement role as the rest of the daemon sees it.
+/// State of this daemon's placement role, published by its tenure.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Role {
     /// Fencing token while the role is held.
     pub(crate) token: Option<u64>,
-    /// Whether its lease is in force.
+    /// Whether the role's lease is valid.
     pub(crate) confirmed: bool,
-    /// What the zone could take on.
+    /// Free capacity and load of the zone.
     pub(crate) load: PlacementLoad,
 }
 
@@ -56,15 +56,20 @@
     pub(crate) vms: watch::Sender<Arc<VmList>>,
     pub(crate) role: Mutex<Role>,
     pub(crate) retries: Mutex<RetryBudget>,
+    /// Queries to this daemon's placement holder.
     pub(crate) holder: mpsc::Sender<Query>,
+    /// True once the daemon was asked to stop.
     pub(crate) leaving: watch::Sender<bool>,
-    store_seen: Mutex<Option<Timestamp>>,
+    /// When the store last answered.
+    store_answered_at: Mutex<Option<Timestamp>>,
     store_failing: AtomicBool,
+    /// Random number that tells this process from others of the same VM.
     instance: u64,
+    /// Number of the next mark.
     serial: AtomicU64,
 }
 
-/// Locks a mutex; a panic elsewhere leaves plain data that is still whole.
+/// Locks a mutex, also after a panic in another thread: the data behind it stays consistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -99,7 +104,7 @@
             retries: Mutex::default(),
             holder,
             leaving: watch::channel(false).0,
-            store_seen: Mutex::new(None),
+            store_answered_at: Mutex::new(None),
             store_failing: AtomicBool::new(false),
             instance: rand::random(),
             serial: AtomicU64::new(0),
@@ -107,7 +112,8 @@
         }
     }
 
-    pub(crate) const fn me(&self) -> &VmId {
+    /// Returns the name of this daemon's VM.
+    pub(crate) const fn vm(&self) -> &VmId {
         &self.settings.vm
     }
 
@@ -119,43 +125,43 @@
         *self.leaving.borrow()
     }
 
-    /// Returns a mark that no other write of any daemon carries.
+    /// Returns a mark that is unique among all writes of all daemons.
     pub(crate) fn next_mark(&self) -> Mark {
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
-        Mark::new(self.me().clone(), self.instance, serial)
+        Mark::new(self.vm().clone(), self.instance, serial)
     }
 
-    /// Notes whether the store answered, for those who act differently without it.
-    pub(crate) fn note_store(&self, answered: bool) {
+    /// Records whether the store answered; modules that work without it read this state.
+    pub(crate) fn record_store_answer(&self, answered: bool) {
         if answered {
-            *lock(&self.store_seen) = Some(self.clock.now());
+            *lock(&self.store_answered_at) = Some(self.clock.now());
         }
         let was_failing = self.store_failing.swap(!answered, Ordering::Relaxed);
         if was_failing == answered {
-            let word = if answered {
+            let state = if answered {
                 "answers"
             } else {
                 "does not answer"
             };
-            log::warn!(target: "store", answered; "the store {word}");
+            log::warn!(target: "store", answered; "the store {state}");
         }
     }
 
-    /// Notes whether the store answered a call at all, be it with an error.
-    pub(crate) fn note_answer<T>(&self, answer: &Result<T, StoreError>) {
-        self.note_store(!matches!(answer, Err(StoreError::Call(_))));
+    /// Records whether the store answered a call, be it with an error.
+    pub(crate) fn record_store_result<T>(&self, result: &Result<T, StoreError>) {
+        self.record_store_answer(!matches!(result, Err(StoreError::Call(_))));
     }
 
-    /// Returns how long the store has not answered, while calls to it fail.
+    /// Returns how long the store has not answered; none while calls to it succeed.
     pub(crate) fn store_silent_for(&self) -> Option<Duration> {
         if !self.store_failing.load(Ordering::Relaxed) {
             return None;
         }
-        let seen = lock(&self.store_seen).unwrap_or_default();
-        Some(self.clock.now() - seen)
+        let answered_at = lock(&self.store_answered_at).unwrap_or_default();
+        Some(self.clock.now() - answered_at)
     }
 
-    /// Returns the free slots of live daemons in other zones, by where they listen.
+    /// Returns the last heartbeats of live daemons in other zones that are not leaving.
     pub(crate) fn other_zones(&self) -> BTreeMap<VmId, stairstall_core::protocol::Heartbeat> {
         let now = self.clock.now();
         lock(&self.members)
--- a/crates/stairstalld/src/dispatch.rs
+++ b/crates/stairstalld/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Shares out the slots of the zone's minions among waiting requests.
+//! Assigns slots of the zone's minions to waiting requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -14,26 +14,27 @@
 use crate::clock::Clock;
 use crate::daemon::lock;
 
-/// How often slots that came free without notice are looked for.
-pub(crate) const PUMP_INTERVAL: Duration = Duration::from_millis(20);
-/// One flow may hold this part of the queue.
-const FLOW_SHARE: usize = 4;
+/// How often waiting requests are matched with slots that became free without a release.
+pub(crate) const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
+/// One flow may occupy one part in this many of the queue.
+const FLOW_SHARE_DIVISOR: usize = 4;
 
-/// What a request needs of a slot.
+/// A request for a minion's slot.
 #[derive(Debug, Clone)]
-pub(crate) struct Wanted {
+pub(crate) struct SlotRequest {
     pub(crate) service: ServiceId,
     pub(crate) slots: u16,
     pub(crate) flow: Flow,
     pub(crate) weight: u32,
     pub(crate) deadline: Timestamp,
+    /// Minions that were already tried; others are preferred.
     pub(crate) avoid: Vec<MinionId>,
 }
 
 /// Why a request got no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoSlot {
-    /// It was refused at once.
+    /// The queue refused it at once.
     Refused(Refusal),
     /// Its deadline passed while it waited.
     Expired,
@@ -41,7 +42,7 @@
     NoMinion,
 }
 
-/// A slot of a minion; dropping it gives the slot back.
+/// A slot of a minion, which is released on drop.
 #[derive(Debug)]
 pub(crate) struct Permit {
     pub(crate) pick: Pick,
@@ -50,7 +51,8 @@
 }
 
 impl Permit {
-    /// Says how the request ended; without a word nobody waited for it any more.
+    /// Releases the slot and records how the request ended. A permit that is only dropped counts as
+    /// [`Outcome::Abandoned`].
     pub(crate) fn finish(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -62,9 +64,10 @@
     }
 }
 
+/// A request that waits for a slot.
 #[derive(Debug)]
 struct Waiter {
-    wanted: Wanted,
+    request: SlotRequest,
     sender: oneshot::Sender<Permit>,
 }
 
@@ -75,7 +78,7 @@
     waiters: HashMap<(ServiceId, Ticket), Waiter>,
 }
 
-/// The daemon's share of the zone's slots, and who waits for them.
+/// The daemon's share of the zone's slots, and the requests that wait for them.
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     state: Mutex<State>,
@@ -84,8 +87,8 @@
 }
 
 impl Dispatcher {
-    pub(crate) fn new(me: VmId, clock: Clock, capacity: usize) -> Self {
-        let table = MinionTable::new(Shares::new(me, clock.now()));
+    pub(crate) fn new(vm: VmId, clock: Clock, capacity: usize) -> Self {
+        let table = MinionTable::new(Shares::new(vm, clock.now()));
         let state = State {
             table,
             queues: BTreeMap::new(),
@@ -105,7 +108,7 @@
             .set_members(members, self.clock.now());
     }
 
-    /// Gives up every share after a pause of the process.
+    /// Gives up the shares of all slots, after the process was paused.
     pub(crate) fn suspend(&self) {
         lock(&self.state)
             .table
@@ -137,33 +140,33 @@
         configuration.services.values().map(load).collect()
     }
 
-    /// Tells whether the zone has a minion that takes requests of the service.
+    /// Returns whether the zone has a minion that takes requests of the service.
     pub(crate) fn serves(&self, service: &ServiceId) -> bool {
         lock(&self.state).table.serves(service)
     }
 
-    /// Returns how long a request would wait here, none where nothing serves it.
-    pub(crate) fn expected_wait(&self, wanted: &Wanted) -> Option<Duration> {
+    /// Returns how long a request would wait for a slot, or none if no minion serves it.
+    pub(crate) fn expected_wait(&self, request: &SlotRequest) -> Option<Duration> {
         let state = lock(&self.state);
-        if !state.table.serves(&wanted.service) {
+        if !state.table.serves(&request.service) {
             return None;
         }
-        let queue = state.queues.get(&wanted.service);
+        let queue = state.queues.get(&request.service);
         Some(queue.map_or(Duration::ZERO, |q| {
-            q.expected_wait(&wanted.flow, wanted.weight)
+            q.expected_wait(&request.flow, request.weight)
         }))
     }
 
     /// Waits for a slot until the deadline.
-    pub(crate) async fn acquire(self: &Arc<Self>, wanted: Wanted) -> Result<Permit, NoSlot> {
-        let deadline = self.clock.instant(wanted.deadline);
-        let (ticket, receiver) = match self.enter(&wanted)? {
-            Entered::Served(permit) => return Ok(permit),
-            Entered::Waits(ticket, receiver) => (ticket, receiver),
+    pub(crate) async fn acquire(self: &Arc<Self>, request: SlotRequest) -> Result<Permit, NoSlot> {
+        let deadline = self.clock.instant(request.deadline);
+        let (ticket, receiver) = match self.enqueue(&request)? {
+            Enqueued::Served(permit) => return Ok(permit),
+            Enqueued::Waiting(ticket, receiver) => (ticket, receiver),
         };
-        let _guard = Withdrawal {
+        let _withdrawal = Withdrawal {
             dispatcher: self,
-            service: &wanted.service,
+            service: &request.service,
             ticket,
         };
         match tokio::time::timeout_at(deadline, receiver).await {
@@ -172,37 +175,38 @@
         }
     }
 
-    fn enter(self: &Arc<Self>, wanted: &Wanted) -> Result<Entered, NoSlot> {
+    /// Assigns a slot at once if no request waits for the service, and queues the request otherwise.
+    fn enqueue(self: &Arc<Self>, request: &SlotRequest) -> Result<Enqueued, NoSlot> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         let empty = state
             .queues
-            .get(&wanted.service)
+            .get(&request.service)
             .is_none_or(FairQueue::is_empty);
         if empty {
-            match pick(&mut state.table, wanted, now) {
-                Ok(pick) => return Ok(Entered::Served(self.permit(pick))),
+            match pick(&mut state.table, request, now) {
+                Ok(pick) => return Ok(Enqueued::Served(self.permit(pick))),
                 Err(PickRefusal::NoMinion) => return Err(NoSlot::NoMinion),
                 Err(PickRefusal::AllBusy) => {}
             }
         }
-        let (capacity, of_flow) = (self.capacity, self.capacity.div_ceil(FLOW_SHARE));
+        let (capacity, flow_capacity) = (self.capacity, self.capacity.div_ceil(FLOW_SHARE_DIVISOR));
         let queue = state
             .queues
-            .entry(wanted.service.clone())
-            .or_insert_with(|| FairQueue::new(capacity, of_flow));
+            .entry(request.service.clone())
+            .or_insert_with(|| FairQueue::new(capacity, flow_capacity));
         let ticket = queue
-            .push(wanted.flow.clone(), wanted.weight, now, wanted.deadline)
+            .push(request.flow.clone(), request.weight, now, request.deadline)
             .map_err(NoSlot::Refused)?;
         let (sender, receiver) = oneshot::channel();
         let waiter = Waiter {
-            wanted: wanted.clone(),
+            request: request.clone(),
             sender,
         };
         state
             .waiters
-            .insert((wanted.service.clone(), ticket), waiter);
-        Ok(Entered::Waits(ticket, receiver))
+            .insert((request.service.clone(), ticket), waiter);
+        Ok(Enqueued::Waiting(ticket, receiver))
     }
 
     fn permit(self: &Arc<Self>, pick: Pick) -> Permit {
@@ -217,26 +221,27 @@
         lock(&self.state)
             .table
             .release(pick, outcome, self.clock.now());
-        self.pump();
+        self.assign_free_slots();
     }
 
-    /// Gives free slots to those whose turn it is.
-    pub(crate) fn pump(self: &Arc<Self>) {
+    /// Assigns free slots to waiting requests, in the order of the fair queue.
+    pub(crate) fn assign_free_slots(self: &Arc<Self>) {
         let mut undelivered = Vec::new();
         {
             let mut state = lock(&self.state);
             let services: Vec<ServiceId> = state.queues.keys().cloned().collect();
             for service in services {
-                self.pump_service(&mut state, &service, &mut undelivered);
+                self.assign_free_slots_of(&mut state, &service, &mut undelivered);
             }
         }
-        // Dropped outside of the lock: a permit that finds nobody gives its slot back.
+        // Permits whose receiver is gone are dropped outside the lock, because dropping them releases
+        // the slot, which takes the lock.
         for permit in undelivered {
             permit.finish(Outcome::Answered);
         }
     }
 
-    fn pump_service(
+    fn assign_free_slots_of(
         self: &Arc<Self>,
         state: &mut State,
         service: &ServiceId,
@@ -260,7 +265,7 @@
                 queue.remove(ticket);
                 continue;
             };
-            let Ok(pick) = pick(table, &waiter.wanted, now) else {
+            let Ok(pick) = pick(table, &waiter.request, now) else {
                 return;
             };
             queue.pop(now);
@@ -272,6 +277,7 @@
         }
     }
 
+    /// Removes a request from the queue.
     fn withdraw(&self, service: &ServiceId, ticket: Ticket) {
         let mut state = lock(&self.state);
         if state.waiters.remove(&(service.clone(), ticket)).is_some()
@@ -282,12 +288,12 @@
     }
 }
 
-enum Entered {
+enum Enqueued {
     Served(Permit),
-    Waits(Ticket, oneshot::Receiver<Permit>),
+    Waiting(Ticket, oneshot::Receiver<Permit>),
 }
 
-/// Takes a request out of the queue when its caller stops waiting.
+/// Removes a request from the queue when its caller stops waiting.
 struct Withdrawal<'a> {
     dispatcher: &'a Dispatcher,
     service: &'a ServiceId,
@@ -300,11 +306,15 @@
     }
 }
 
-/// Picks a minion that was not tried yet, or any where all were.
-fn pick(table: &mut MinionTable, wanted: &Wanted, now: Timestamp) -> Result<Pick, PickRefusal> {
-    let (service, slots) = (&wanted.service, wanted.slots);
-    match table.pick(service, slots, &wanted.avoid, now) {
-        Err(PickRefusal::AllBusy) if !wanted.avoid.is_empty() => {
+/// Picks a minion that was not tried yet, or any minion if all others are busy.
+fn pick(
+    table: &mut MinionTable,
+    request: &SlotRequest,
+    now: Timestamp,
+) -> Result<Pick, PickRefusal> {
+    let (service, slots) = (&request.service, request.slots);
+    match table.pick(service, slots, &request.avoid, now) {
+        Err(PickRefusal::AllBusy) if !request.avoid.is_empty() => {
             table.pick(service, slots, &[], now)
         }
         found => found,
--- a/crates/stairstalld/src/follow.rs
+++ b/crates/stairstalld/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration and the VM list up to date.
+//! Keeps the configuration and the list of VMs up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,50 +12,50 @@
 use crate::daemon::{Daemon, lock};
 use crate::keys;
 
-/// How long a watch may be silent before the head is read again: a watch that
-/// died without a word must not keep a change back for longer than this.
-const WATCH_PATIENCE: Duration = Duration::from_secs(3);
-/// Pause before the store is asked again after a failure.
-const STORE_PAUSE: Duration = Duration::from_millis(500);
+/// How long a watch may be silent before the head is read again. A watch whose connection died
+/// unnoticed must not delay a change for longer than this.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay before the watch is opened again after a failure.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How often the platform's list of VMs is read.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest call to the list.
+/// Timeout for reading the list of VMs.
 const VM_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Follows the configuration's head for as long as the daemon runs.
 pub(crate) async fn follow_configuration(daemon: Arc<Daemon>) {
     loop {
         if let Err(error) = follow_once(&daemon).await {
-            daemon.note_store(!matches!(error, StoreError::Call(_)));
-            log::debug!(target: "config", error:% = error; "following the configuration again");
+            daemon.record_store_answer(!matches!(error, StoreError::Call(_)));
+            log::debug!(target: "config", error:% = error; "watch of the configuration ended; opening it again");
         }
-        tokio::time::sleep(STORE_PAUSE).await;
+        tokio::time::sleep(STORE_RETRY_DELAY).await;
     }
 }
 
 /// Reads the head, then watches it until the watch ends or is silent for too long.
 async fn follow_once(daemon: &Daemon) -> Result<(), StoreError> {
     let head = daemon.store.get(keys::CONFIG_HEAD).await?;
-    daemon.note_store(true);
+    daemon.record_store_answer(true);
     let mut next = 1;
     if let Some(entry) = head {
         next = entry.revision + 1;
-        offer_entry(daemon, &entry).await?;
+        apply_entry(daemon, &entry).await?;
     }
     let mut watch = daemon.store.watch(keys::CONFIG_HEAD, false, next).await?;
     loop {
-        match watch.next(WATCH_PATIENCE).await? {
-            Some(Event::Put(entry)) => offer_entry(daemon, &entry).await?,
+        match watch.next(WATCH_TIMEOUT).await? {
+            Some(Event::Put(entry)) => apply_entry(daemon, &entry).await?,
             Some(Event::Delete(_)) => {}
             None => check_head(daemon).await?,
         }
     }
 }
 
-/// Reads the head while the watch is silent, in case it died.
+/// Reads the head while the watch is silent; returns an error if the watch missed a change.
 async fn check_head(daemon: &Daemon) -> Result<(), StoreError> {
     let head = daemon.store.get(keys::CONFIG_HEAD).await?;
-    daemon.note_store(true);
+    daemon.record_store_answer(true);
     let Some(entry) = head else { return Ok(()) };
     let newer = entry
         .read::<Head>()
@@ -66,16 +66,17 @@
     Ok(())
 }
 
-async fn offer_entry(daemon: &Daemon, entry: &stairstall_store::Entry) -> Result<(), StoreError> {
+async fn apply_entry(daemon: &Daemon, entry: &stairstall_store::Entry) -> Result<(), StoreError> {
     let Some(head) = entry.read::<Head>() else {
-        log::error!(target: "config", key = keys::CONFIG_HEAD; "the head can't be read");
+        log::error!(target: "config", key = keys::CONFIG_HEAD; "could not parse the head of the configuration");
         return Ok(());
     };
-    take_head(daemon, &head).await
+    apply_head(daemon, &head).await
 }
 
-/// Brings a head into force, with the snapshot it starts from where changes are missing.
-pub(crate) async fn take_head(daemon: &Daemon, head: &Head) -> Result<(), StoreError> {
+/// Applies the head of the configuration. If changes before it are missing here, reads the snapshot
+/// that it starts from.
+pub(crate) async fn apply_head(daemon: &Daemon, head: &Head) -> Result<(), StoreError> {
     let offer = lock(&daemon.follower).offer_head(head);
     if let Offer::NeedsSnapshot(revision) = offer {
         if let Some(snapshot) = read_snapshot(daemon, revision).await? {
@@ -83,7 +84,7 @@
         }
         lock(&daemon.follower).offer_head(head);
     }
-    note_revision(daemon);
+    publish_revision(daemon);
     Ok(())
 }
 
@@ -95,17 +96,17 @@
     Ok(entry.and_then(|entry| entry.read()))
 }
 
-/// Tells the rest of the daemon which revision is in force.
-pub(crate) fn note_revision(daemon: &Daemon) {
+/// Notifies the rest of the daemon of the revision in effect.
+pub(crate) fn publish_revision(daemon: &Daemon) {
     let revision = daemon.configuration().revision;
-    let changed = daemon.revision_changed.send_if_modified(|known| {
-        let newer = revision.0 > *known;
-        *known = (*known).max(revision.0);
+    let changed = daemon.revision_changed.send_if_modified(|current| {
+        let newer = revision.0 > *current;
+        *current = (*current).max(revision.0);
         newer
     });
     if changed {
         daemon.metrics.gauge("config.revision", revision.0);
-        log::info!(target: "config", revision = revision.0; "configuration in force");
+        log::info!(target: "config", revision = revision.0; "configuration in effect");
     }
 }
 
@@ -113,9 +114,9 @@
 pub(crate) async fn follow_vms(daemon: Arc<Daemon>) {
     loop {
         match read_vms(&daemon).await {
-            Ok(list) => take_vms(&daemon, list),
+            Ok(list) => apply_vms(&daemon, list),
             Err(error) => {
-                log::debug!(target: "vms", error:% = error; "the list of VMs can't be read");
+                log::debug!(target: "vms", error:% = error; "could not read the list of VMs");
             }
         }
         tokio::time::sleep(VM_LIST_INTERVAL).await;
@@ -130,7 +131,8 @@
     answer.await?.read()
 }
 
-fn take_vms(daemon: &Daemon, list: VmList) {
+/// Passes a new list of VMs to the dispatcher and to the rest of the daemon.
+fn apply_vms(daemon: &Daemon, list: VmList) {
     let minions = list.vms.iter().filter(|vm| vm.zone == daemon.settings.zone);
     let minions = minions.filter_map(|vm| {
         let VmRole::Minion { service } = &vm.role else {
@@ -145,10 +147,10 @@
         })
     });
     daemon.dispatcher.set_minions(minions.collect());
-    daemon.vms.send_if_modified(|known| {
-        let changed = **known != list;
+    daemon.vms.send_if_modified(|current| {
+        let changed = **current != list;
         if changed {
-            *known = Arc::new(list);
+            *current = Arc::new(list);
         }
         changed
     });
--- a/crates/stairstalld/src/holder/records.rs
+++ b/crates/stairstalld/src/holder/records.rs
@@ -189,7 +189,7 @@
 
     async fn try_write(&self, write: &Write) -> Result<Tried, StoreError> {
         let tried = self.swap(write).await;
-        self.daemon.note_answer(&tried);
+        self.daemon.record_store_result(&tried);
         tried
     }
 
@@ -206,7 +206,7 @@
         let expect = Expect::Revision(known.revision);
         let swapped = self.store().swap(&key, expect, &record, lease).await;
         if let (Err(StoreError::Status(_)), Some(lease)) = (&swapped, lease) {
-            self.daemon.retention.forget(lease).await;
+            self.daemon.retention.discard(lease).await;
         }
         match swapped? {
             Swap::Applied(revision) => {
--- a/crates/stairstalld/src/holder/take.rs
+++ b/crates/stairstalld/src/holder/take.rs
@@ -43,7 +43,7 @@
 /// Takes the role from the store; none where somebody else has it.
 pub(super) async fn from_store(daemon: &Daemon) -> Result<Option<Taken>, StoreError> {
     let taken = try_store(daemon).await;
-    daemon.note_answer(&taken);
+    daemon.record_store_result(&taken);
     taken
 }
 
@@ -105,8 +105,8 @@
     let silent = members
         .holder_silent_for(zone, now)
         .unwrap_or(now - Timestamp::default());
-    let first = members.in_zone(zone, daemon.me(), now).into_iter().next();
-    if silent < SILENCE.max(Members::TIMEOUT) || first.as_ref() != Some(daemon.me()) {
+    let first = members.in_zone(zone, daemon.vm(), now).into_iter().next();
+    if silent < SILENCE.max(Members::TIMEOUT) || first.as_ref() != Some(daemon.vm()) {
         return None;
     }
     let known = members.last_token(zone).unwrap_or(0).max(highest_token);
--- a/crates/stairstalld/src/holder/tenure.rs
+++ b/crates/stairstalld/src/holder/tenure.rs
@@ -78,7 +78,7 @@
         let (jobs_sender, jobs) = mpsc::channel(CHANNEL);
         let (lease_sender, lease) = mpsc::channel(CHANNEL);
         let zone = daemon.settings.zone.clone();
-        let me = daemon.me().clone();
+        let me = daemon.vm().clone();
         let scheduler = Scheduler::new(me, zone, taken.token, Policy::standard());
         let now = daemon.clock.now();
         Self {
@@ -138,7 +138,7 @@
                 tokio::time::sleep(RENEW_INTERVAL).await;
                 let requested_at = daemon.clock.now();
                 let renewed = daemon.store.keep_alive(role.id).await;
-                daemon.note_answer(&renewed);
+                daemon.record_store_result(&renewed);
                 let news = match renewed {
                     Ok(true) => LeaseNews::Renewed(Lease::new(requested_at, ROLE_TTL)),
                     Ok(false) => LeaseNews::Gone,
--- a/crates/stairstalld/src/jobs.rs
+++ b/crates/stairstalld/src/jobs.rs
@@ -14,7 +14,7 @@
 use crate::daemon::{Daemon, lock};
 use crate::keys;
 use crate::peers::{PeerClient, ask_explanation, client, own_heartbeat};
-use crate::response::{ErrorResponse, STORE_RETRY, json};
+use crate::response::{ErrorResponse, STORE_RETRY_AFTER, json};
 
 /// How often an acceptance is written before the caller is told that it is not known.
 const ACCEPT_WRITES: u32 = 3;
@@ -118,7 +118,7 @@
     let mut verdict = Verdict::NotRun;
     for _ in 0..ACCEPT_WRITES {
         let swapped = daemon.store.swap(&key, Expect::Absent, &record, None).await;
-        daemon.note_answer(&swapped);
+        daemon.record_store_result(&swapped);
         match swapped {
             Ok(Swap::Applied(_)) => return Ok((StatusCode::CREATED, record)),
             Ok(Swap::Conflict(Some(entry))) => {
@@ -136,7 +136,7 @@
               submit it again with the same name to learn it"
         }
     };
-    Err(ErrorResponse::unavailable(error, STORE_RETRY).with_verdict(verdict))
+    Err(ErrorResponse::unavailable(error, STORE_RETRY_AFTER).with_verdict(verdict))
 }
 
 fn unreadable() -> ErrorResponse {
@@ -181,9 +181,9 @@
 
 async fn read(daemon: &Daemon, key: &JobKey) -> Result<(JobRecord, u64), ErrorResponse> {
     let entry = daemon.store.get(&keys::job(key)).await;
-    daemon.note_answer(&entry);
+    daemon.record_store_result(&entry);
     let entry = entry.map_err(|e| {
-        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY_AFTER)
             .with_verdict(Verdict::MayHaveRun)
     })?;
     let missing =
@@ -199,7 +199,7 @@
     let mut response = json(StatusCode::OK, &record);
     if let Some(verdict) = record.state.verdict() {
         let name = stairstall_core::protocol::header::VERDICT;
-        crate::response::set(response.headers_mut(), name, verdict.as_str());
+        crate::response::set_header(response.headers_mut(), name, verdict.as_str());
     }
     Ok(response)
 }
@@ -208,9 +208,9 @@
 pub(crate) async fn list(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let selector = selector_of(request)?;
     let listing = daemon.store.list(keys::JOBS).await;
-    daemon.note_answer(&listing);
+    daemon.record_store_result(&listing);
     let listing = listing.map_err(|e| {
-        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY)
+        ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY_AFTER)
     })?;
     let records = listing
         .entries
@@ -252,7 +252,7 @@
         }
     }
     let error = "the job's record could not be changed now; ask again";
-    Err(ErrorResponse::unavailable(error, STORE_RETRY).with_verdict(Verdict::MayHaveRun))
+    Err(ErrorResponse::unavailable(error, STORE_RETRY_AFTER).with_verdict(Verdict::MayHaveRun))
 }
 
 /// Explains where a job stands, from its zone's placement holder where it can be asked.
--- a/crates/stairstalld/src/peers.rs
+++ b/crates/stairstalld/src/peers.rs
@@ -20,7 +20,7 @@
 
 use crate::clock::millis;
 use crate::daemon::{Daemon, lock};
-use crate::follow::note_revision;
+use crate::follow::publish_revision;
 use crate::holder::Query;
 
 /// Longest call to a peer.
@@ -66,7 +66,7 @@
     }
 
     async fn witness(&self, question: WitnessQuestion) -> RpcResult<WitnessAnswer> {
-        Ok(ask_witness(&self.0, question).await)
+        Ok(check_own_guarantees(&self.0, question).await)
     }
 
     async fn explain(&self, job: JobKey) -> RpcResult<Option<Explanation>> {
@@ -75,7 +75,10 @@
 }
 
 /// Asks this daemon's own placement role.
-pub(crate) async fn ask_witness(daemon: &Daemon, question: WitnessQuestion) -> WitnessAnswer {
+pub(crate) async fn check_own_guarantees(
+    daemon: &Daemon,
+    question: WitnessQuestion,
+) -> WitnessAnswer {
     let (sender, receiver) = oneshot::channel();
     let query = Query::Witness {
         question,
@@ -124,7 +127,7 @@
     let configuration = daemon.configuration();
     let role = *lock(&daemon.role);
     Heartbeat {
-        daemon: daemon.me().clone(),
+        daemon: daemon.vm().clone(),
         zone: daemon.settings.zone.clone(),
         every_ms: millis(every),
         address: daemon.address,
@@ -177,7 +180,7 @@
         for heartbeat in replies.into_iter().flatten() {
             lock(&daemon.members).note(heartbeat, now);
         }
-        let members = lock(&daemon.members).in_zone(&daemon.settings.zone, daemon.me(), now);
+        let members = lock(&daemon.members).in_zone(&daemon.settings.zone, daemon.vm(), now);
         daemon.dispatcher.set_members(members);
         take_newer_configuration(&daemon, &peers, now).await;
         daemon
@@ -189,7 +192,7 @@
 
 fn refresh(daemon: &Daemon, peers: &mut Vec<Listed>) {
     let list = daemon.vms.borrow().clone();
-    let entries = list.vms.iter().filter(|vm| vm.id != *daemon.me());
+    let entries = list.vms.iter().filter(|vm| vm.id != *daemon.vm());
     let entries: Vec<(&VmEntry, SocketAddr)> = entries
         .filter_map(|vm| match vm.role {
             VmRole::Entry { rpc } => Some((vm, rpc)),
@@ -254,7 +257,7 @@
         log::info!(target: "config", from:% = newest, revision = configuration.revision.0;
             "newer configuration taken from a peer");
         lock(&daemon.follower).offer_full(configuration);
-        note_revision(daemon);
+        publish_revision(daemon);
     }
 }
 
--- a/crates/stairstalld/src/response.rs
+++ b/crates/stairstalld/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers and operators; each error names its verdict.
+//! HTTP responses to callers and operators; every error response carries a verdict.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use crate::clock::millis;
 
-/// How soon it is worth coming back while the store is silent.
-pub(crate) const STORE_RETRY: Duration = Duration::from_secs(2);
+/// Retry-after while the store does not answer.
+pub(crate) const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// An error as a caller sees it.
+/// An HTTP error response: its status and its JSON body.
 #[derive(Debug, Clone)]
 pub(crate) struct ErrorResponse {
     pub(crate) status: StatusCode,
@@ -33,17 +33,17 @@
         Self { status, body }
     }
 
-    /// A request that was refused for its form; nothing ran.
+    /// Refuses a malformed request with status 400 and names the invalid `field`; nothing ran.
     pub(crate) fn bad_request(field: &str, error: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, Verdict::NotRun, error).with_field(field)
     }
 
-    /// Something that is not there; nothing ran.
+    /// Responds with status 404; nothing ran.
     pub(crate) fn not_found(error: impl Into<String>) -> Self {
         Self::new(StatusCode::NOT_FOUND, Verdict::NotRun, error)
     }
 
-    /// Nothing ran; it is worth coming back.
+    /// Responds with status 503 and a retry-after; nothing ran.
     pub(crate) fn unavailable(error: impl Into<String>, retry_after: Duration) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, Verdict::NotRun, error)
             .with_retry_after(retry_after)
@@ -71,26 +71,26 @@
 }
 
 impl From<ErrorResponse> for Response {
-    fn from(failure: ErrorResponse) -> Self {
-        let mut response = json(failure.status, &failure.body);
+    fn from(error: ErrorResponse) -> Self {
+        let mut response = json(error.status, &error.body);
         let headers = response.headers_mut();
-        if leaves_body_unread(failure.status) {
-            // The connection closes with the answer: a caller that is not told sends its next
-            // request over it and can't know whether that ran.
+        if leaves_body_unread(error.status) {
+            // The server closes the connection after this response. Without the header a caller
+            // may send its next request over it and can't know whether that request ran.
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        set(headers, header::VERDICT, failure.body.verdict.as_str());
-        if let Some(after) = failure.body.retry_after_ms {
+        set_header(headers, header::VERDICT, error.body.verdict.as_str());
+        if let Some(after) = error.body.retry_after_ms {
             headers.insert(RETRY_AFTER, after.div_ceil(1000).max(1).into());
         }
-        if let Some(request) = &failure.body.request {
-            set(headers, header::REQUEST_ID, request.as_str());
+        if let Some(request) = &error.body.request {
+            set_header(headers, header::REQUEST_ID, request.as_str());
         }
         response
     }
 }
 
-/// Tells whether a request is refused before its body was read to the end.
+/// Returns whether this status refuses a request before its body was read to the end.
 fn leaves_body_unread(status: StatusCode) -> bool {
     matches!(
         status,
@@ -98,14 +98,14 @@
     )
 }
 
-/// Sets a header to a value that is known to be allowed.
-pub(crate) fn set(headers: &mut viz::header::HeaderMap, name: &'static str, value: &str) {
+/// Sets a header; a value that is not allowed in a header is left out.
+pub(crate) fn set_header(headers: &mut viz::header::HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// Makes a JSON answer.
+/// Returns a response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(Body::from(Full::from(body)));
--- a/crates/stairstalld/src/retention.rs
+++ b/crates/stairstalld/src/retention.rs
@@ -9,11 +9,11 @@
 use crate::clock::Clock;
 
 /// How long claims and finished jobs are kept.
-pub(crate) const KEPT_FOR: Duration = Duration::from_secs(24 * 3600);
+pub(crate) const RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// How long one lease takes on new keys.
 const SHARED_FOR: Duration = Duration::from_secs(3600);
 
-/// Hands out a lease that still lasts [`KEPT_FOR`]; a new one is taken each hour.
+/// Hands out a lease that still lasts [`RETENTION`]; a new one is taken each hour.
 #[derive(Debug)]
 pub(crate) struct Retention {
     store: Store,
@@ -38,13 +38,13 @@
         {
             return Ok(lease);
         }
-        let lease = self.store.grant(KEPT_FOR + SHARED_FOR).await?;
+        let lease = self.store.grant(RETENTION + SHARED_FOR).await?;
         *current = Some((lease, now));
         Ok(lease)
     }
 
     /// Forgets a lease that the store no longer has, so that the next call takes another.
-    pub(crate) async fn forget(&self, lease: LeaseId) {
+    pub(crate) async fn discard(&self, lease: LeaseId) {
         let mut current = self.current.lock().await;
         if current.is_some_and(|(known, _)| known == lease) {
             *current = None;
--- a/crates/stairstalld/src/serve.rs
+++ b/crates/stairstalld/src/serve.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 
 use crate::daemon::Daemon;
-use crate::dispatch::PUMP_INTERVAL;
+use crate::dispatch::DISPATCH_INTERVAL;
 use crate::listener::NoDelayListener;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
@@ -74,7 +74,7 @@
     let (rpc_address, rpc) = peers::serve(Arc::clone(&daemon))
         .await
         .map_err(system_error("--rpc-listen"))?;
-    log::info!(target: "start", vm:% = daemon.me(), zone:% = daemon.settings.zone,
+    log::info!(target: "start", vm:% = daemon.vm(), zone:% = daemon.settings.zone,
         listen:% = address, rpc:% = rpc_address; "serving");
     start_background(&daemon, inbox);
 
@@ -83,9 +83,9 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT);
-    tokio::spawn(shutdown::log_hangup_signals(daemon.me().clone()));
+    tokio::spawn(shutdown::log_hangup_signals(daemon.vm().clone()));
     let shutdown = Shutdown {
-        vm: daemon.me().clone(),
+        vm: daemon.vm().clone(),
         leaving: daemon.leaving.clone(),
         delay: daemon.settings.drain_delay,
         limit: daemon.settings.drain_limit,
@@ -104,11 +104,11 @@
     tokio::spawn(follow::follow_configuration(Arc::clone(daemon)));
     tokio::spawn(peers::beat(Arc::clone(daemon)));
     tokio::spawn(holder::run(Arc::clone(daemon), inbox));
-    let pumping = Arc::clone(daemon);
+    let dispatching = Arc::clone(daemon);
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(PUMP_INTERVAL).await;
-            pumping.dispatcher.pump();
+            tokio::time::sleep(DISPATCH_INTERVAL).await;
+            dispatching.dispatcher.assign_free_slots();
         }
     });
 }
@@ -126,6 +126,6 @@
     while daemon.dispatcher.in_flight() > 0 {
         tokio::time::sleep(DRAIN_INTERVAL).await;
     }
-    log::info!(target: "stop", vm:% = daemon.me(); "nothing is in flight: stopped");
+    log::info!(target: "stop", vm:% = daemon.vm(); "nothing is in flight: stopped");
     Ok(())
 }
