--- a/crates/stairstalld/src/call/spill.rs
+++ b/crates/stairstalld/src/call/spill.rs
@@ -21,7 +21,8 @@
 
 /// Forwards a request if it would have to wait in this zone and not in another.
 ///
-/// Returns none if this zone is to serve the request: it did not run elsewhere, or it may run again.
+/// Returns none if this zone is to serve the request: it did not run elsewhere, or it may run
+/// again.
 pub(super) async fn before_waiting(
     daemon: &Arc<Daemon>,
     call: &Arc<Call>,
--- a/crates/stairstalld/src/clock.rs
+++ b/crates/stairstalld/src/clock.rs
@@ -12,8 +12,8 @@
 /// Time since the process started, including time for which the machine was suspended.
 ///
 /// Leases and the age of everything that a daemon knows are measured with it. The clock behind
-/// [`Instant`] stops while a machine is suspended: with it, a planner would still consider the lease
-/// of its role valid after it had expired, and would give orders alongside its successor.
+/// [`Instant`] stops while a machine is suspended: with it, a planner would still consider the
+/// lease of its role valid after it had expired, and would give orders alongside its successor.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     source: fn() -> Duration,
--- a/crates/stairstalld/src/configure.rs
+++ b/crates/stairstalld/src/configure.rs
@@ -49,7 +49,7 @@
     Raced,
 }
 
-/// Lists resources of a kind whose labels a selector matches.
+/// Lists the resources of a kind whose labels match a selector.
 pub(crate) fn get(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let kind: String = request
         .param("kind")
--- a/crates/stairstalld/src/dispatch.rs
+++ b/crates/stairstalld/src/dispatch.rs
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Assigns a slot at once if no request waits for the service, and queues the request otherwise.
+    /// Assigns a slot at once if no request waits for the service and a slot is free; otherwise
+    /// queues the request.
     fn enqueue(self: &Arc<Self>, request: &SlotRequest) -> Result<Enqueued, NoSlot> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
@@ -234,8 +235,8 @@
                 self.assign_free_slots_of(&mut state, &service, &mut undelivered);
             }
         }
-        // Permits whose receiver is gone are dropped outside the lock, because dropping them releases
-        // the slot, which takes the lock.
+        // Permits whose receiver is gone are dropped outside the lock, because that releases the
+        // slot, which takes the lock.
         for permit in undelivered {
             permit.finish(Outcome::Answered);
         }
--- a/crates/stairstalld/src/holder.rs
+++ b/crates/stairstalld/src/holder.rs
@@ -1,12 +1,12 @@
-//! The placement role of the zone: who holds it, and what its holder does.
+//! The placement role of a zone: how a daemon acquires it, and what its holder does.
 //!
-//! The role is a lease in the store; the revision of its key makes the fencing
-//! token that workers check. While the store is silent a holder goes on under
-//! its token, and a daemon that finds the holder dead takes the role from the
-//! workers alone: it keeps running gangs alive and starts nothing.
+//! The role is a key in the store under a lease. The fencing token that workers check is derived
+//! from the revision of that key. While the store does not answer, the holder goes on under its
+//! token. If the holder is silent too, another daemon acquires the role without the store, with a
+//! token higher than any that it knows: it keeps running gangs alive and starts nothing.
 
+mod acquire;
 mod records;
-mod take;
 mod tenure;
 mod workers;
 
@@ -19,29 +19,29 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::daemon::{Daemon, Role, lock};
-use take::Taken;
+use acquire::AcquiredRole;
 use tenure::{End, Tenure};
 
-/// How often a daemon without the role looks whether it is free.
+/// How often a daemon without the role checks whether the role is free.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a new daemon listens for a holder before it tries to be one.
-const LISTEN_FIRST: Duration = Duration::from_millis(1_500);
-/// Pause after the role could not be taken.
-const TAKEN_PAUSE: Duration = Duration::from_millis(500);
-/// Pause after workers refused a tenure without the store; it doubles each time.
-const FENCED_PAUSE: Duration = Duration::from_secs(5);
-/// Longest such pause.
-const MAX_FENCED_PAUSE: Duration = Duration::from_secs(300);
+/// How long a new daemon waits for heartbeats of a holder before it tries to acquire the role.
+const STARTUP_DELAY: Duration = Duration::from_millis(1_500);
+/// Delay after a tenure ended or the role could not be acquired.
+const ACQUIRE_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Back-off after workers refused a tenure without the store; it doubles each time.
+const FENCED_BACKOFF: Duration = Duration::from_secs(5);
+/// Maximum back-off after workers refused a tenure without the store.
+const MAX_FENCED_BACKOFF: Duration = Duration::from_secs(300);
 
-/// A question to the holder.
+/// A query to the daemon's own placement role.
 #[derive(Debug)]
 pub(crate) enum Query {
-    /// Whether guarantees could all be kept.
+    /// Guarantee check: whether all of these guarantees can be satisfied at once.
     Witness {
         question: WitnessQuestion,
         answer: oneshot::Sender<WitnessAnswer>,
     },
-    /// Why a job is where it is.
+    /// Explains the state of a job.
     Explain {
         job: JobKey,
         answer: oneshot::Sender<Option<Explanation>>,
@@ -49,8 +49,8 @@
 }
 
 impl Query {
-    /// Answers for a daemon that does not hold the role.
-    fn answer_as_bystander(self) {
+    /// Replies for a daemon that does not hold the role.
+    fn reply_as_non_holder(self) {
         match self {
             Self::Witness { answer, .. } => drop(answer.send(WitnessAnswer::NotHolder)),
             Self::Explain { answer, .. } => drop(answer.send(None)),
@@ -58,81 +58,82 @@
     }
 }
 
-/// What a daemon remembers between tenures.
+/// State that a daemon keeps between its tenures.
 #[derive(Debug, Default)]
-struct Memory {
-    /// The highest token that a worker told of.
+struct History {
+    /// Highest token that ended a tenure of this daemon.
     highest_token: u64,
-    /// No tenure without the store before then.
+    /// Earliest time of the next tenure without the store.
     not_before: Timestamp,
+    /// How many tenures without the store were refused.
     fenced: u32,
 }
 
-/// Takes, serves and gives up the role for as long as the daemon runs.
+/// Acquires the role, serves a tenure and releases the role, for as long as the daemon runs.
 pub(crate) async fn run(daemon: Arc<Daemon>, mut queries: mpsc::Receiver<Query>) {
-    let mut memory = Memory::default();
+    let mut history = History::default();
     loop {
-        let role = wait_for_role(&daemon, &mut queries, &memory).await;
+        let role = wait_for_role(&daemon, &mut queries, &history).await;
         let token = role.token;
         let without_store = role.lease.is_none();
         log::info!(target: "holder", zone:% = daemon.settings.zone, token, without_store;
-            "placement role taken");
+            "placement role acquired");
         daemon.metrics.count("holder.taken");
         let end = Tenure::new(Arc::clone(&daemon), role)
             .serve(&mut queries)
             .await;
         *lock(&daemon.role) = Role::default();
         log::info!(target: "holder", zone:% = daemon.settings.zone, token; "placement role ended: {end}");
-        remember(&daemon, &mut memory, end, without_store);
-        tokio::time::sleep(TAKEN_PAUSE).await;
+        record_end(&daemon, &mut history, end, without_store);
+        tokio::time::sleep(ACQUIRE_RETRY_DELAY).await;
     }
 }
 
-fn remember(daemon: &Daemon, memory: &mut Memory, end: End, without_store: bool) {
+/// Records a higher token, and after a tenure without the store the back-off until the next.
+fn record_end(daemon: &Daemon, history: &mut History, end: End, without_store: bool) {
     let End::Fenced { highest } = end else { return };
-    memory.highest_token = memory.highest_token.max(highest);
+    history.highest_token = history.highest_token.max(highest);
     if without_store {
-        let pause = FENCED_PAUSE * 2_u32.pow(memory.fenced.min(8));
-        memory.not_before = daemon.clock.now() + pause.min(MAX_FENCED_PAUSE);
-        memory.fenced += 1;
+        let backoff = FENCED_BACKOFF * 2_u32.pow(history.fenced.min(8));
+        history.not_before = daemon.clock.now() + backoff.min(MAX_FENCED_BACKOFF);
+        history.fenced += 1;
     }
 }
 
-/// Waits until the role is free and this daemon has taken it.
+/// Waits until this daemon has acquired the role.
 async fn wait_for_role(
     daemon: &Arc<Daemon>,
     queries: &mut mpsc::Receiver<Query>,
-    memory: &Memory,
-) -> Taken {
+    history: &History,
+) -> AcquiredRole {
     loop {
-        let pause = match look(daemon, memory).await {
-            Ok(taken) => return taken,
-            Err(pause) => pause,
+        let delay = match try_acquire(daemon, history).await {
+            Ok(role) => return role,
+            Err(delay) => delay,
         };
-        let wake = tokio::time::sleep(pause);
+        let wake = tokio::time::sleep(delay);
         tokio::pin!(wake);
         loop {
             tokio::select! {
                 () = &mut wake => break,
-                Some(query) = queries.recv() => query.answer_as_bystander(),
+                Some(query) = queries.recv() => query.reply_as_non_holder(),
             }
         }
     }
 }
 
-/// Takes the role if nobody holds it; else says when to look again.
-async fn look(daemon: &Arc<Daemon>, memory: &Memory) -> Result<Taken, Duration> {
+/// Acquires the role if no daemon holds it; otherwise returns the delay until the next attempt.
+async fn try_acquire(daemon: &Arc<Daemon>, history: &History) -> Result<AcquiredRole, Duration> {
     let now = daemon.clock.now();
-    let listening = now < Timestamp::default() + LISTEN_FIRST;
+    let is_starting = now < Timestamp::default() + STARTUP_DELAY;
     let held = lock(&daemon.members).is_held(&daemon.settings.zone, now);
-    if daemon.is_leaving() || listening || held {
+    if daemon.is_leaving() || is_starting || held {
         return Err(IDLE_INTERVAL);
     }
-    match take::from_store(daemon).await {
-        Ok(Some(taken)) => Ok(taken),
-        Ok(None) => Err(TAKEN_PAUSE),
-        Err(_) => {
-            take::from_workers(daemon, memory.highest_token, memory.not_before).ok_or(TAKEN_PAUSE)
-        }
+    match acquire::from_store(daemon).await {
+        Ok(Some(role)) => Ok(role),
+        Ok(None) => Err(ACQUIRE_RETRY_DELAY),
+        Err(_) => acquire::without_store(daemon, history.highest_token, history.not_before)
+            .ok_or(ACQUIRE_RETRY_DELAY),
     }
 }
--- a/crates/stairstalld/src/holder/records.rs
+++ b/crates/stairstalld/src/holder/records.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the store's records for a holder.
+//! Reads and writes the records of jobs and home blocks in the store during one tenure.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -12,20 +12,20 @@
 use crate::daemon::{Daemon, lock};
 use crate::keys;
 
-/// Pause between two tries of a write.
-const WRITE_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a failed write is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How long the watch may be silent before the jobs are listed again.
-const WATCH_PATIENCE: Duration = Duration::from_secs(60);
-/// Pause before a broken watch is opened again.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(60);
+/// Delay before a failed watch is opened again.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Home blocks as the store keeps them.
+/// Home blocks as they are stored.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct HomesRecord {
     homes: Vec<Home>,
 }
 
-/// A write that the scheduler asked for.
+/// A write of a job's state that the scheduler requested.
 #[derive(Debug, Clone)]
 pub(super) struct Write {
     pub(super) id: WriteId,
@@ -36,28 +36,31 @@
     pub(super) crashes: u32,
 }
 
-/// What is known of one job's record.
+/// Last known record of a job, and its revision in the store.
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownRecord {
     record: JobRecord,
     revision: u64,
 }
 
-/// The job records of one tenure.
+/// Access to the records during one tenure.
 #[derive(Debug)]
 pub(super) struct Records {
     daemon: Arc<Daemon>,
     token: u64,
-    known: Mutex<HashMap<JobKey, Known>>,
+    known: Mutex<HashMap<JobKey, KnownRecord>>,
+    /// Latest write of each job; older writes are dropped.
     latest: Mutex<HashMap<JobKey, WriteId>>,
     answers: mpsc::Sender<(JobKey, WriteId, WriteAnswer)>,
 }
 
-/// Outcome of one try.
-enum Tried {
+/// Outcome of one attempt to write.
+enum WriteOutcome {
     Done,
+    /// A holder with a higher token wrote the record, or the job has ended.
     Superseded,
-    Again,
+    /// The record had changed; the write is repeated on its new revision.
+    Retry,
 }
 
 impl Records {
@@ -80,10 +83,11 @@
         &self.daemon.store
     }
 
-    /// Takes a record from a listing or watch; none where it can't be read or is old.
-    fn note(&self, entry: &Entry) -> Option<JobRecord> {
+    /// Remembers a record from a listing or watch; returns none if it can't be parsed or is
+    /// outdated.
+    fn update_known(&self, entry: &Entry) -> Option<JobRecord> {
         let Some(record) = entry.read::<JobRecord>() else {
-            log::error!(target: "holder", key:% = entry.key; "a job's record can't be read");
+            log::error!(target: "holder", key:% = entry.key; "could not parse the record of a job");
             return None;
         };
         let mut known = lock(&self.known);
@@ -100,7 +104,7 @@
         }
         known.insert(
             key,
-            Known {
+            KnownRecord {
                 record: record.clone(),
                 revision: entry.revision,
             },
@@ -114,18 +118,18 @@
         let records = listing
             .entries
             .iter()
-            .filter_map(|entry| self.note(entry))
+            .filter_map(|entry| self.update_known(entry))
             .collect();
         Ok((records, listing.revision + 1))
     }
 
-    /// Passes on every later change of a job, for as long as anybody listens.
+    /// Sends every later change of a job to the channel, until the channel is closed.
     pub(super) async fn watch(self: Arc<Self>, mut next: u64, jobs: mpsc::Sender<JobRecord>) {
         loop {
             if self.watch_once(&mut next, &jobs).await.is_ok() || jobs.is_closed() {
                 return;
             }
-            tokio::time::sleep(WATCH_PAUSE).await;
+            tokio::time::sleep(WATCH_RETRY_DELAY).await;
             let Ok((records, from)) = self.list().await else {
                 continue;
             };
@@ -145,12 +149,12 @@
     ) -> Result<(), StoreError> {
         let mut watch = self.store().watch(keys::JOBS, true, *next).await?;
         loop {
-            let Some(event) = watch.next(WATCH_PATIENCE).await? else {
+            let Some(event) = watch.next(WATCH_TIMEOUT).await? else {
                 return Err(StoreError::WatchEnded);
             };
             let Event::Put(entry) = event else { continue };
             *next = (*next).max(entry.revision + 1);
-            let Some(record) = self.note(&entry) else {
+            let Some(record) = self.update_known(&entry) else {
                 continue;
             };
             if jobs.send(record).await.is_err() {
@@ -159,16 +163,17 @@
         }
     }
 
-    /// Writes a job's state until it stands, a later write replaces it, or it is superseded.
+    /// Writes a job's state in the background, and retries until it is stored, a later write
+    /// replaces it, or it is superseded.
     pub(super) fn write(self: &Arc<Self>, write: Write) {
         lock(&self.latest).insert(write.job.clone(), write.id);
         let records = Arc::clone(self);
         tokio::spawn(async move {
             while records.is_latest(&write) {
                 let answer = match records.try_write(&write).await {
-                    Ok(Tried::Done) => WriteAnswer::Done,
-                    Ok(Tried::Superseded) => WriteAnswer::Superseded,
-                    Ok(Tried::Again) => continue,
+                    Ok(WriteOutcome::Done) => WriteAnswer::Done,
+                    Ok(WriteOutcome::Superseded) => WriteAnswer::Superseded,
+                    Ok(WriteOutcome::Retry) => continue,
                     Err(_) => WriteAnswer::Unreachable,
                 };
                 let sent = records
@@ -178,7 +183,7 @@
                 if sent.is_err() || answer != WriteAnswer::Unreachable {
                     return;
                 }
-                tokio::time::sleep(WRITE_PAUSE).await;
+                tokio::time::sleep(WRITE_RETRY_DELAY).await;
             }
         });
     }
@@ -187,15 +192,15 @@
         lock(&self.latest).get(&write.job) == Some(&write.id)
     }
 
-    async fn try_write(&self, write: &Write) -> Result<Tried, StoreError> {
-        let tried = self.swap(write).await;
-        self.daemon.record_store_result(&tried);
-        tried
+    async fn try_write(&self, write: &Write) -> Result<WriteOutcome, StoreError> {
+        let outcome = self.swap(write).await;
+        self.daemon.record_store_result(&outcome);
+        outcome
     }
 
-    async fn swap(&self, write: &Write) -> Result<Tried, StoreError> {
+    async fn swap(&self, write: &Write) -> Result<WriteOutcome, StoreError> {
         let Some(known) = lock(&self.known).get(&write.job).cloned() else {
-            return self.read_again(write).await;
+            return self.write_unknown(write).await;
         };
         let record = updated(known.record, write);
         let mut lease = None;
@@ -210,51 +215,52 @@
         }
         match swapped? {
             Swap::Applied(revision) => {
-                lock(&self.known).insert(write.job.clone(), Known { record, revision });
-                Ok(Tried::Done)
+                lock(&self.known).insert(write.job.clone(), KnownRecord { record, revision });
+                Ok(WriteOutcome::Done)
             }
-            Swap::Conflict(Some(entry)) => Ok(self.conflict(write, &entry)),
-            Swap::Conflict(None) => Ok(Tried::Done),
+            Swap::Conflict(Some(entry)) => Ok(self.resolve_conflict(write, &entry)),
+            Swap::Conflict(None) => Ok(WriteOutcome::Done),
         }
     }
 
-    async fn read_again(&self, write: &Write) -> Result<Tried, StoreError> {
+    /// Settles a write of a job whose record is not known here.
+    async fn write_unknown(&self, write: &Write) -> Result<WriteOutcome, StoreError> {
         match self.store().get(&keys::job(&write.job)).await? {
-            Some(entry) => Ok(self.conflict(write, &entry)),
-            None => Ok(Tried::Done),
+            Some(entry) => Ok(self.resolve_conflict(write, &entry)),
+            None => Ok(WriteOutcome::Done),
         }
     }
 
-    /// Looks at what stands in place of what was expected.
-    fn conflict(&self, write: &Write, entry: &Entry) -> Tried {
+    /// Compares a write with the record that is stored instead of the expected one.
+    fn resolve_conflict(&self, write: &Write, entry: &Entry) -> WriteOutcome {
         let Some(found) = entry.read::<JobRecord>() else {
-            return Tried::Superseded;
+            return WriteOutcome::Superseded;
         };
         if found.state == write.state && found.saved_ms == write.saved_ms {
-            // An earlier try took effect and its answer was lost.
-            let known = Known {
+            // An earlier attempt took effect, but the store's answer was lost.
+            let known = KnownRecord {
                 record: found,
                 revision: entry.revision,
             };
             lock(&self.known).insert(write.job.clone(), known);
-            return Tried::Done;
+            return WriteOutcome::Done;
         }
-        let by_later = match &found.state {
+        let is_superseded = match &found.state {
             JobState::Placed { attempt, .. } => attempt.token > self.token,
             state => state.is_final(),
         };
-        if by_later {
-            return Tried::Superseded;
+        if is_superseded {
+            return WriteOutcome::Superseded;
         }
-        let known = Known {
+        let known = KnownRecord {
             record: found,
             revision: entry.revision,
         };
         lock(&self.known).insert(write.job.clone(), known);
-        Tried::Again
+        WriteOutcome::Retry
     }
 
-    /// Reads the home blocks that the last holder kept.
+    /// Reads the home blocks that the last holder stored.
     pub(super) async fn read_homes(&self) -> Result<Vec<Home>, StoreError> {
         let entry = self
             .store()
@@ -266,12 +272,13 @@
             .homes)
     }
 
-    /// Keeps the home blocks for the next holder; a failure is made good by the next change.
+    /// Stores the home blocks for the next holder. A failed write is not retried: the next change
+    /// writes all of them.
     pub(super) fn write_homes(self: &Arc<Self>, homes: Vec<Home>) {
         let records = Arc::clone(self);
         tokio::spawn(async move {
             if let Err(error) = records.try_write_homes(HomesRecord { homes }).await {
-                log::warn!(target: "holder", error:% = error; "home blocks could not be kept");
+                log::warn!(target: "holder", error:% = error; "could not store the home blocks");
             }
         });
     }
@@ -287,7 +294,8 @@
     }
 }
 
-/// Returns the record with the write's news; what callers set meanwhile stays.
+/// Returns the record with the written state; fields that callers set in the meantime, such as
+/// `cancel`, stay.
 fn updated(record: JobRecord, write: &Write) -> JobRecord {
     JobRecord {
         state: write.state.clone(),
--- a/crates/stairstalld/src/holder/tenure.rs
+++ b/crates/stairstalld/src/holder/tenure.rs
@@ -1,7 +1,7 @@
-//! One tenure of the placement role, from the first fence to its end.
+//! One tenure of the placement role, from fencing the workers to its end.
 
+mod effects;
 mod end;
-mod outward;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,48 +15,49 @@
 use tokio::task::JoinHandle;
 
 use super::Query;
+use super::acquire::{AcquiredRole, ROLE_TTL, RoleLease};
 use super::records::Records;
-use super::take::{ROLE_TTL, RoleLease, Taken};
-use super::workers::{Synced, Workers};
+use super::workers::{SyncOutcome, Workers};
 use crate::daemon::{Daemon, lock};
 pub(super) use end::End;
 
-/// How often the scheduler is asked to move on.
-const TICK: Duration = Duration::from_millis(50);
-/// How often waiting jobs are looked at again without other news.
+/// How often the scheduler runs if nothing happens.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often waiting jobs are planned again if nothing has changed.
 const REPLAN_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the role's lease is renewed.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Messages that wait for the tenure.
-const CHANNEL: usize = 1_024;
+/// Capacity of each channel to the tenure.
+const CHANNEL_CAPACITY: usize = 1_024;
 
-/// News of the role's lease.
+/// Outcome of renewing the role's lease.
 #[derive(Debug, Clone, Copy)]
-enum LeaseNews {
+enum LeaseRenewal {
     Renewed(Lease),
-    Gone,
+    /// The store no longer has the lease.
+    Lost,
 }
 
-/// A task that ends with the tenure.
+/// A background task that is aborted on drop, at the end of the tenure.
 #[derive(Debug)]
-struct Background(JoinHandle<()>);
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Background {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Where news arrive.
+/// Receivers of everything that the tenure's background tasks report.
 #[derive(Debug)]
 struct Inbox {
-    synced: mpsc::Receiver<(WorkerId, Synced)>,
-    written: mpsc::Receiver<(JobKey, WriteId, WriteAnswer)>,
+    sync_outcomes: mpsc::Receiver<(WorkerId, SyncOutcome)>,
+    write_answers: mpsc::Receiver<(JobKey, WriteId, WriteAnswer)>,
     jobs: mpsc::Receiver<JobRecord>,
-    lease: mpsc::Receiver<LeaseNews>,
+    lease_renewals: mpsc::Receiver<LeaseRenewal>,
 }
 
-/// A tenure of the role.
+/// A tenure of the placement role: connects the scheduler with workers, store and queries.
 #[derive(Debug)]
 pub(super) struct Tenure {
     daemon: Arc<Daemon>,
@@ -66,98 +67,100 @@
     lease: Option<RoleLease>,
     inbox: Inbox,
     jobs_sender: mpsc::Sender<JobRecord>,
-    lease_sender: mpsc::Sender<LeaseNews>,
+    lease_sender: mpsc::Sender<LeaseRenewal>,
     replanned_at: Timestamp,
-    measured_at: Timestamp,
+    /// When the zone's load was last published.
+    published_at: Timestamp,
 }
 
 impl Tenure {
-    pub(super) fn new(daemon: Arc<Daemon>, taken: Taken) -> Self {
-        let (synced_sender, synced) = mpsc::channel(CHANNEL);
-        let (written_sender, written) = mpsc::channel(CHANNEL);
-        let (jobs_sender, jobs) = mpsc::channel(CHANNEL);
-        let (lease_sender, lease) = mpsc::channel(CHANNEL);
+    pub(super) fn new(daemon: Arc<Daemon>, role: AcquiredRole) -> Self {
+        let (sync_sender, sync_outcomes) = mpsc::channel(CHANNEL_CAPACITY);
+        let (write_sender, write_answers) = mpsc::channel(CHANNEL_CAPACITY);
+        let (jobs_sender, jobs) = mpsc::channel(CHANNEL_CAPACITY);
+        let (lease_sender, lease_renewals) = mpsc::channel(CHANNEL_CAPACITY);
         let zone = daemon.settings.zone.clone();
-        let me = daemon.vm().clone();
-        let scheduler = Scheduler::new(me, zone, taken.token, Policy::standard());
+        let vm = daemon.vm().clone();
+        let scheduler = Scheduler::new(vm, zone, role.token, Policy::standard());
         let now = daemon.clock.now();
         Self {
-            workers: Workers::new(Arc::clone(&daemon), synced_sender),
-            records: Records::new(Arc::clone(&daemon), taken.token, written_sender),
+            workers: Workers::new(Arc::clone(&daemon), sync_sender),
+            records: Records::new(Arc::clone(&daemon), role.token, write_sender),
             scheduler,
-            lease: taken.lease,
+            lease: role.lease,
             inbox: Inbox {
-                synced,
-                written,
+                sync_outcomes,
+                write_answers,
                 jobs,
-                lease,
+                lease_renewals,
             },
             jobs_sender,
             lease_sender,
             replanned_at: now,
-            measured_at: now,
+            published_at: now,
             daemon,
         }
     }
 
-    /// Fences the workers, reads the store, then decides until the tenure ends.
+    /// Fences the workers, reads the store, then places jobs until the tenure ends.
     pub(super) async fn serve(mut self, queries: &mut mpsc::Receiver<Query>) -> End {
         let started = self.daemon.clock.now();
         let renewal = self.lease.map(|lease| self.renew_lease(lease));
         self.scheduler
             .set_configuration(self.daemon.configuration());
-        self.list_workers();
+        self.update_workers();
         if self.lease.is_none() {
             self.scheduler.adopt_tasks();
         }
         if let Err(end) = self.fence_workers().await {
             return end;
         }
-        let watching = match self.read_store().await {
-            Ok(watching) => watching,
+        let watch = match self.read_store().await {
+            Ok(watch) => watch,
             Err(error) => {
-                log::warn!(target: "holder", error:% = error; "the store can't be read");
-                self.give_up_lease().await;
-                return End::NoStart;
+                log::warn!(target: "holder", error:% = error; "could not read home blocks and jobs from the store");
+                self.release_lease().await;
+                return End::StoreUnreadable;
             }
         };
         let took = self.daemon.clock.now() - started;
         self.daemon.metrics.time("holder.rebuild", took);
         log::info!(target: "holder", token = self.scheduler.token(), took_ms = crate::clock::millis(took),
-            summary:? = self.scheduler.summary(); "placement rebuilt");
-        let end = self.decide(queries).await;
-        drop((renewal, watching));
-        self.give_up_lease().await;
+            summary:? = self.scheduler.summary(); "rebuilt the placement from the store and the workers");
+        let end = self.handle_events(queries).await;
+        drop((renewal, watch));
+        self.release_lease().await;
         end
     }
 
-    fn renew_lease(&self, role: RoleLease) -> Background {
+    fn renew_lease(&self, role: RoleLease) -> AbortOnDrop {
         let (daemon, sender) = (Arc::clone(&self.daemon), self.lease_sender.clone());
-        Background(tokio::spawn(async move {
+        AbortOnDrop(tokio::spawn(async move {
             loop {
                 tokio::time::sleep(RENEW_INTERVAL).await;
                 let requested_at = daemon.clock.now();
                 let renewed = daemon.store.keep_alive(role.id).await;
                 daemon.record_store_result(&renewed);
-                let news = match renewed {
-                    Ok(true) => LeaseNews::Renewed(Lease::new(requested_at, ROLE_TTL)),
-                    Ok(false) => LeaseNews::Gone,
+                let renewal = match renewed {
+                    Ok(true) => LeaseRenewal::Renewed(Lease::new(requested_at, ROLE_TTL)),
+                    Ok(false) => LeaseRenewal::Lost,
                     Err(_) => continue,
                 };
-                if sender.send(news).await.is_err() {
+                if sender.send(renewal).await.is_err() {
                     return;
                 }
             }
         }))
     }
 
-    async fn give_up_lease(&self) {
+    async fn release_lease(&self) {
         if let Some(role) = self.lease {
             let _ = self.daemon.store.revoke(role.id).await;
         }
     }
 
-    fn list_workers(&mut self) {
+    /// Applies the platform's list of VMs to the scheduler.
+    fn update_workers(&mut self) {
         let list = self.daemon.vms.borrow().clone();
         let now = self.daemon.clock.now();
         let mut addresses = BTreeMap::new();
@@ -184,23 +187,24 @@
         }
     }
 
-    /// Shows the token to every worker once, and reads back what they run.
+    /// Sends the token to every worker once, and reads from the replies what they run.
     async fn fence_workers(&mut self) -> Result<(), End> {
         let now = self.daemon.clock.now();
-        let mut waiting: BTreeSet<WorkerId> = self.scheduler.due(now).into_iter().collect();
+        let mut outstanding: BTreeSet<WorkerId> = self.scheduler.due(now).into_iter().collect();
         self.send_syncs(now);
-        while !waiting.is_empty() {
-            let Some((worker, synced)) = self.inbox.synced.recv().await else {
+        while !outstanding.is_empty() {
+            let Some((worker, outcome)) = self.inbox.sync_outcomes.recv().await else {
                 break;
             };
-            waiting.remove(&worker);
-            self.take_synced(&worker, synced)?;
+            outstanding.remove(&worker);
+            self.handle_sync(&worker, outcome)?;
         }
         Ok(())
     }
 
-    /// Reads home blocks and jobs, and watches the jobs from then on.
-    async fn read_store(&mut self) -> Result<Option<Background>, StoreError> {
+    /// Reads home blocks and jobs, and watches the jobs from then on. A tenure without the store
+    /// reads nothing.
+    async fn read_store(&mut self) -> Result<Option<AbortOnDrop>, StoreError> {
         if self.lease.is_none() {
             return Ok(None);
         }
@@ -213,69 +217,70 @@
         }
         self.scheduler.note_store_read();
         let watch = Arc::clone(&self.records).watch(next, self.jobs_sender.clone());
-        Ok(Some(Background(tokio::spawn(watch))))
+        Ok(Some(AbortOnDrop(tokio::spawn(watch))))
     }
 
-    async fn decide(&mut self, queries: &mut mpsc::Receiver<Query>) -> End {
+    /// Handles events until the tenure ends.
+    async fn handle_events(&mut self, queries: &mut mpsc::Receiver<Query>) -> End {
         let mut vms = self.daemon.vms.subscribe();
         let mut revision = self.daemon.revision_changed.subscribe();
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some((worker, synced)) = self.inbox.synced.recv() => {
-                    if let Err(end) = self.take_synced(&worker, synced) {
+                Some((worker, outcome)) = self.inbox.sync_outcomes.recv() => {
+                    if let Err(end) = self.handle_sync(&worker, outcome) {
                         return end;
                     }
                 }
-                Some((job, id, answer)) = self.inbox.written.recv() => {
+                Some((job, id, answer)) = self.inbox.write_answers.recv() => {
                     self.scheduler.take_answer(&job, id, answer);
                 }
                 Some(record) = self.inbox.jobs.recv() => {
                     self.scheduler.take_record(&record, self.daemon.clock.now());
                 }
-                Some(news) = self.inbox.lease.recv() => match news {
-                    LeaseNews::Renewed(lease) => self.note_renewed(lease),
-                    LeaseNews::Gone => return End::LeaseGone,
+                Some(renewal) = self.inbox.lease_renewals.recv() => match renewal {
+                    LeaseRenewal::Renewed(lease) => self.set_lease(lease),
+                    LeaseRenewal::Lost => return End::LeaseLost,
                 },
                 Some(query) = queries.recv() => self.answer(query),
-                Ok(()) = vms.changed() => self.list_workers(),
+                Ok(()) = vms.changed() => self.update_workers(),
                 Ok(()) = revision.changed() => {
                     self.scheduler.set_configuration(self.daemon.configuration());
                 }
                 _ = tick.tick() => {
-                    if let Some(end) = self.is_over() {
+                    if let Some(end) = self.reason_to_end() {
                         return end;
                     }
                 }
             }
-            self.move_on();
+            self.advance();
         }
     }
 
-    fn note_renewed(&mut self, lease: Lease) {
+    fn set_lease(&mut self, lease: Lease) {
         if let Some(role) = &mut self.lease {
             role.lease = lease;
         }
     }
 
-    fn take_synced(&mut self, worker: &WorkerId, synced: Synced) -> Result<(), End> {
+    fn handle_sync(&mut self, worker: &WorkerId, outcome: SyncOutcome) -> Result<(), End> {
         let now = self.daemon.clock.now();
-        match synced {
-            Synced::Reply(reply) => self.scheduler.sync_done(worker, &reply, now),
-            Synced::Failed => self.scheduler.sync_failed(worker, now),
-            Synced::Fenced { highest } => return Err(End::Fenced { highest }),
+        match outcome {
+            SyncOutcome::Reply(reply) => self.scheduler.sync_done(worker, &reply, now),
+            SyncOutcome::Failed => self.scheduler.sync_failed(worker, now),
+            SyncOutcome::Fenced { highest } => return Err(End::Fenced { highest }),
         }
         Ok(())
     }
 
-    /// Tells whether the tenure must end for a reason that no message brings.
-    fn is_over(&self) -> Option<End> {
+    /// Returns why the tenure must end, for reasons that no event reports.
+    fn reason_to_end(&self) -> Option<End> {
         if self.daemon.is_leaving() {
             return Some(End::Leaving);
         }
         if self.lease.is_none() && self.daemon.store_silent_for().is_none() {
-            return Some(End::StoreBack);
+            return Some(End::StoreAvailable);
         }
         let now = self.daemon.clock.now();
         let members = lock(&self.daemon.members);
@@ -286,18 +291,18 @@
         Some(End::Fenced { highest })
     }
 
-    /// Tells whether the tenure may act at `now`.
+    /// Returns whether the tenure may act at `now`.
     ///
-    /// After a pause of the process the lease may have lapsed and somebody else
-    /// may act; it waits until the store has told. While the store is silent it
-    /// goes on: the workers' fencing then decides between two holders.
+    /// After a pause of the process the lease may have expired and another holder may act, so the
+    /// tenure waits for the store's answer. While the store does not answer, the tenure goes on: if
+    /// there are two holders, the workers accept only the one with the higher token.
     fn may_act(&self, now: Timestamp) -> bool {
         let valid = self.lease.is_none_or(|role| role.lease.is_valid(now));
         valid || self.daemon.store_silent_for().is_some()
     }
 
-    /// Lets the scheduler move on and carries out what it asks for.
-    fn move_on(&mut self) {
+    /// Runs the scheduler and applies its effects.
+    fn advance(&mut self) {
         let now = self.daemon.clock.now();
         if !self.may_act(now) {
             return;
@@ -307,7 +312,7 @@
             self.scheduler.request_replan();
         }
         for effect in self.scheduler.tick(now) {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
         self.send_syncs(now);
         self.publish(now);
--- a/crates/stairstalld/src/holder/tenure/outward.rs
+++ b/crates/stairstalld/src/holder/tenure/effects.rs
@@ -1,4 +1,4 @@
-//! What a tenure tells the world: writes, log lines, metrics, answers.
+//! Applies the scheduler's effects, publishes the zone's load and replies to queries.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use crate::holder::Query;
 use crate::holder::records::Write;
 
-/// How often the zone's load is measured.
+/// How often the zone's load is published.
 const LOAD_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Tenure {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    /// Applies one effect of the scheduler.
+    pub(super) fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Write {
                 id,
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Tells the rest of the daemon what the zone could take on.
+    /// Publishes the zone's load to the rest of the daemon and as metrics.
     pub(super) fn publish(&mut self, now: Timestamp) {
-        let known = lock(&self.daemon.role).token == Some(self.scheduler.token());
-        if known && now - self.measured_at < LOAD_INTERVAL {
+        let is_published = lock(&self.daemon.role).token == Some(self.scheduler.token());
+        if is_published && now - self.published_at < LOAD_INTERVAL {
             return;
         }
-        self.measured_at = now;
+        self.published_at = now;
         let (fragmentation, summary) = (self.scheduler.fragmentation(), self.scheduler.summary());
         let load = PlacementLoad {
             free_accelerators: fragmentation.free,
@@ -101,17 +102,17 @@
         );
     }
 
+    /// Replies to a query of another module or a peer.
     pub(super) fn answer(&self, query: Query) {
         match query {
             Query::Witness { question, answer } => {
-                let checked = self.scheduler.check_guarantees(&question.guarantees);
-                let checked = match checked {
+                let reply = match self.scheduler.check_guarantees(&question.guarantees) {
                     Ok(()) => WitnessAnswer::Kept,
                     Err(error) => WitnessAnswer::NotKept {
                         reason: error.to_string(),
                     },
                 };
-                let _ = answer.send(checked);
+                let _ = answer.send(reply);
             }
             Query::Explain { job, answer } => {
                 let _ = answer.send(self.scheduler.explain(&job, self.daemon.clock.now()));
--- a/crates/stairstalld/src/holder/tenure/end.rs
+++ b/crates/stairstalld/src/holder/tenure/end.rs
@@ -1,19 +1,19 @@
-//! Why tenures end.
+//! Reasons for the end of a tenure.
 
 use std::fmt;
 
-/// Why a tenure ended.
+/// Reason for the end of a tenure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum End {
-    /// A worker or peer has seen a higher token.
+    /// A worker or peer knows a higher token.
     Fenced { highest: u64 },
     /// The store no longer has the lease.
-    LeaseGone,
-    /// The store answers again, so the role can be taken properly.
-    StoreBack,
-    /// The store could not be read at the start.
-    NoStart,
-    /// The daemon is about to stop.
+    LeaseLost,
+    /// The store answers again, so the role can be acquired through it.
+    StoreAvailable,
+    /// The store could not be read at the start of the tenure.
+    StoreUnreadable,
+    /// The daemon was asked to stop.
     Leaving,
 }
 
@@ -21,10 +21,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Fenced { highest } => write!(f, "a higher token was seen: {highest}"),
-            Self::LeaseGone => write!(f, "the store no longer has its lease"),
-            Self::StoreBack => write!(f, "the store answers again"),
-            Self::NoStart => write!(f, "the store could not be read at its start"),
-            Self::Leaving => write!(f, "this daemon is about to stop"),
+            Self::LeaseLost => write!(f, "the store no longer has the lease of the role"),
+            Self::StoreAvailable => write!(f, "the store answers again"),
+            Self::StoreUnreadable => {
+                write!(f, "the store could not be read at the start of the tenure")
+            }
+            Self::Leaving => write!(f, "this daemon is leaving"),
         }
     }
 }
--- a/crates/stairstalld/src/holder/workers.rs
+++ b/crates/stairstalld/src/holder/workers.rs
@@ -1,4 +1,4 @@
-//! Sends a holder's requests to workers.
+//! Sends a holder's sync requests to workers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,30 +12,30 @@
 
 use crate::daemon::Daemon;
 
-/// Longest sync; the scheduler counts on it when it tells how long leases may last.
+/// Timeout of a sync. The scheduler relies on it when it sets how long leases may last.
 const SYNC_TIMEOUT: Duration = stairstall_core::placement::SYNC_TIMEOUT;
 
-/// What a sync brought.
+/// Outcome of a sync.
 #[derive(Debug)]
-pub(super) enum Synced {
-    /// The worker's answer.
+pub(super) enum SyncOutcome {
+    /// The worker's reply.
     Reply(Box<SyncReply>),
-    /// A higher token was seen: the tenure is over.
+    /// The worker knows a higher token, which ends the tenure.
     Fenced { highest: u64 },
-    /// No answer.
+    /// The worker did not reply.
     Failed,
 }
 
-/// The zone's workers, where they listen, and the way back.
+/// The addresses of the zone's workers, and the channel for outcomes of syncs.
 #[derive(Debug)]
 pub(super) struct Workers {
     daemon: Arc<Daemon>,
     addresses: BTreeMap<WorkerId, SocketAddr>,
-    sender: mpsc::Sender<(WorkerId, Synced)>,
+    sender: mpsc::Sender<(WorkerId, SyncOutcome)>,
 }
 
 impl Workers {
-    pub(super) fn new(daemon: Arc<Daemon>, sender: mpsc::Sender<(WorkerId, Synced)>) -> Self {
+    pub(super) fn new(daemon: Arc<Daemon>, sender: mpsc::Sender<(WorkerId, SyncOutcome)>) -> Self {
         Self {
             daemon,
             addresses: BTreeMap::new(),
@@ -44,25 +44,25 @@
     }
 
     pub(super) fn set_addresses(&mut self, addresses: BTreeMap<WorkerId, SocketAddr>) {
-        // A worker that is no longer listed may still run tasks, so its address is kept.
+        // A worker that is no longer listed may still run tasks, so its old address stays.
         self.addresses.extend(addresses);
     }
 
-    /// Sends one request; what comes of it arrives on the channel.
+    /// Sends one request in the background; its outcome arrives on the channel.
     pub(super) fn send(&self, worker: WorkerId, request: SyncRequest) {
         let address = self.addresses.get(&worker).copied();
         let (daemon, sender) = (Arc::clone(&self.daemon), self.sender.clone());
         tokio::spawn(async move {
-            let synced = match address {
+            let outcome = match address {
                 Some(address) => sync(&daemon, address, &request).await,
-                None => Synced::Failed,
+                None => SyncOutcome::Failed,
             };
-            let _ = sender.send((worker, synced)).await;
+            let _ = sender.send((worker, outcome)).await;
         });
     }
 }
 
-async fn sync(daemon: &Daemon, address: SocketAddr, request: &SyncRequest) -> Synced {
+async fn sync(daemon: &Daemon, address: SocketAddr, request: &SyncRequest) -> SyncOutcome {
     let call = daemon.http.json(
         Method::POST,
         address,
@@ -70,18 +70,20 @@
         Some(request),
         SYNC_TIMEOUT,
     );
-    let Ok(answer) = call.await else {
-        return Synced::Failed;
+    let Ok(reply) = call.await else {
+        return SyncOutcome::Failed;
     };
-    if answer.status == StatusCode::CONFLICT {
-        return match answer.read::<Stale>() {
-            Ok(stale) if stale.highest > request.token => Synced::Fenced {
+    if reply.status == StatusCode::CONFLICT {
+        return match reply.read::<Stale>() {
+            Ok(stale) if stale.highest > request.token => SyncOutcome::Fenced {
                 highest: stale.highest,
             },
-            _ => Synced::Failed,
+            _ => SyncOutcome::Failed,
         };
     }
-    answer
+    reply
         .read::<SyncReply>()
-        .map_or(Synced::Failed, |reply| Synced::Reply(Box::new(reply)))
+        .map_or(SyncOutcome::Failed, |reply| {
+            SyncOutcome::Reply(Box::new(reply))
+        })
 }
--- a/crates/stairstalld/src/incoming.rs
+++ b/crates/stairstalld/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' and operators' requests.
+//! Reads the bodies of callers' and operators' requests.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::daemon::Daemon;
 use crate::response::ErrorResponse;
 
-/// How long a caller may take to send its body.
+/// Timeout for reading a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads a request's whole body, within the bounds of size and time.
+/// Reads a request's whole body, up to the maximum size and within [`BODY_TIMEOUT`].
 pub(crate) async fn read_body(
     daemon: &Daemon,
     request: &mut Request,
--- a/crates/stairstalld/src/jobs.rs
+++ b/crates/stairstalld/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepts jobs and tells where they stand.
+//! Handlers that accept, show, list, cancel and explain jobs.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
 use crate::clock::unix_millis;
 use crate::daemon::{Daemon, lock};
 use crate::keys;
-use crate::peers::{PeerClient, ask_explanation, client, own_heartbeat};
+use crate::peers::{PeerClient, client, explain_own, own_heartbeat};
 use crate::response::{ErrorResponse, STORE_RETRY_AFTER, json};
 
-/// How often an acceptance is written before the caller is told that it is not known.
-const ACCEPT_WRITES: u32 = 3;
-/// How often a cancellation is tried against other writers.
-const CANCEL_TRIES: u32 = 5;
+/// Maximum number of attempts to store a job before the caller is told that the outcome is unknown.
+const ACCEPT_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts to cancel a job whose record others write at the same time.
+const CANCEL_ATTEMPTS: u32 = 5;
 
-/// Accepts a job: it is durable in the store before the caller is told so.
+/// Accepts a job. The job is durable in the store before the caller gets the response.
 pub(crate) async fn submit(
     daemon: &Arc<Daemon>,
     request: &mut Request,
 ) -> Result<Response, ErrorResponse> {
     let spec: JobSpec = read_json(daemon, request).await?;
-    check(daemon, &spec)?;
+    validate(daemon, &spec)?;
     let zone = choose_zone(daemon, &spec);
     let record = JobRecord {
         spec,
@@ -45,14 +45,15 @@
     Ok(json(status, &record))
 }
 
-fn check(daemon: &Daemon, spec: &JobSpec) -> Result<(), ErrorResponse> {
+/// Checks a job's specification, its customer and its priority class.
+fn validate(daemon: &Daemon, spec: &JobSpec) -> Result<(), ErrorResponse> {
     spec.check()
         .map_err(|e| ErrorResponse::bad_request(e.field(), e.to_string()))?;
     let configuration = daemon.configuration();
     if !configuration.customers.contains_key(&spec.customer) {
         let error = format!("there is no customer {:?}", spec.customer.as_str());
-        let failure = ErrorResponse::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
-        return Err(failure.with_field("customer"));
+        let forbidden = ErrorResponse::new(StatusCode::FORBIDDEN, Verdict::NotRun, error);
+        return Err(forbidden.with_field("customer"));
     }
     if !configuration.classes.contains_key(&spec.class) {
         let error = format!("there is no priority class {:?}", spec.class.as_str());
@@ -61,7 +62,8 @@
     Ok(())
 }
 
-/// Chooses the zone: as asked for, by rule, by guarantee, or where there is room.
+/// Chooses the zone of a job: the requested one, the one of a rule, the one of the customer's
+/// guarantee, or the one with the most free capacity.
 fn choose_zone(daemon: &Daemon, spec: &JobSpec) -> ZoneId {
     let own = &daemon.settings.zone;
     let configuration = daemon.configuration();
@@ -71,35 +73,37 @@
         .values()
         .find(|g| g.customer == spec.customer && spec.shape.fits_in(&g.shape))
         .map(|g| g.zone.clone());
-    let (zone, why) = if let Some(zone) = &spec.zone {
-        (zone.clone(), "asked for")
+    let (zone, reason) = if let Some(zone) = &spec.zone {
+        (zone.clone(), "requested by the job")
     } else if let Some(zone) = allowed.as_ref().and_then(|zones| zones.first()) {
-        (zone.clone(), "by rule")
+        (zone.clone(), "required by a rule")
     } else if let Some(zone) = guaranteed {
-        (zone, "holds the customer's guarantee")
+        (zone, "has the customer's guarantee")
     } else {
         (
-            roomiest_zone(daemon, spec).unwrap_or_else(|| own.clone()),
-            "has room",
+            zone_with_most_capacity(daemon, spec).unwrap_or_else(|| own.clone()),
+            "has the most free capacity",
         )
     };
-    log::info!(target: "decision", job:% = spec.key(), zone:% = zone; "zone chosen: {why}");
+    log::info!(target: "decision", job:% = spec.key(), zone:% = zone; "zone chosen: {reason}");
     zone
 }
 
-/// Returns this zone if the job may start at once, else the one with most room.
-fn roomiest_zone(daemon: &Daemon, spec: &JobSpec) -> Option<ZoneId> {
+/// Returns the zone that fits the job best among those with a live placement holder. A zone where
+/// the job may start at once comes first, then one that is large enough, then this zone, then the
+/// one with the fewest waiting jobs and the most free accelerators.
+fn zone_with_most_capacity(daemon: &Daemon, spec: &JobSpec) -> Option<ZoneId> {
     let now = daemon.clock.now();
     let needed = spec.shape.total_accelerators();
     let own = &daemon.settings.zone;
     let mut members = lock(&daemon.members);
     members.note(own_heartbeat(daemon, Members::INTERVAL), now);
-    let room = |h: &Heartbeat| {
+    let preference = |h: &Heartbeat| {
         let load = h.placement?;
-        let starts = load.free_accelerators >= needed && load.waiting_jobs == 0;
+        let starts_at_once = load.free_accelerators >= needed && load.waiting_jobs == 0;
         let fits = load.total_accelerators >= needed;
         Some((
-            starts,
+            starts_at_once,
             fits,
             h.zone == *own,
             std::cmp::Reverse(load.waiting_jobs),
@@ -107,23 +111,29 @@
         ))
     };
     let holders = members.live(now).filter(|h| h.placement.is_some());
-    holders.max_by_key(|h| room(h)).map(|h| h.zone.clone())
+    holders
+        .max_by_key(|h| preference(h))
+        .map(|h| h.zone.clone())
 }
 
+/// Stores the job unless one with the same key exists.
 async fn accept(
     daemon: &Daemon,
     record: JobRecord,
 ) -> Result<(StatusCode, JobRecord), ErrorResponse> {
     let key = keys::job(&record.spec.key());
     let mut verdict = Verdict::NotRun;
-    for _ in 0..ACCEPT_WRITES {
+    for _ in 0..ACCEPT_ATTEMPTS {
         let swapped = daemon.store.swap(&key, Expect::Absent, &record, None).await;
         daemon.record_store_result(&swapped);
         match swapped {
             Ok(Swap::Applied(_)) => return Ok((StatusCode::CREATED, record)),
             Ok(Swap::Conflict(Some(entry))) => {
                 let found: Option<JobRecord> = entry.read();
-                return found.map_or_else(|| Err(unreadable()), |found| existing(&record, found));
+                return found.map_or_else(
+                    || Err(unreadable_record()),
+                    |found| existing_job(&record, found),
+                );
             }
             Ok(Swap::Conflict(None)) => {}
             Err(error) => verdict = verdict.and(error.verdict()),
@@ -139,7 +149,7 @@
     Err(ErrorResponse::unavailable(error, STORE_RETRY_AFTER).with_verdict(verdict))
 }
 
-fn unreadable() -> ErrorResponse {
+fn unreadable_record() -> ErrorResponse {
     let status = StatusCode::INTERNAL_SERVER_ERROR;
     ErrorResponse::new(
         status,
@@ -148,12 +158,15 @@
     )
 }
 
-/// Tells a repeated submission from another job of the same name.
-fn existing(asked: &JobRecord, found: JobRecord) -> Result<(StatusCode, JobRecord), ErrorResponse> {
-    if found.mark == asked.mark {
+/// Accepts a repeated submission of the same job, and refuses another job with the same key.
+fn existing_job(
+    submitted: &JobRecord,
+    found: JobRecord,
+) -> Result<(StatusCode, JobRecord), ErrorResponse> {
+    if found.mark == submitted.mark {
         return Ok((StatusCode::CREATED, found));
     }
-    if found.spec == asked.spec {
+    if found.spec == submitted.spec {
         return Ok((StatusCode::OK, found));
     }
     let error = format!(
@@ -163,13 +176,13 @@
     Err(ErrorResponse::new(StatusCode::CONFLICT, Verdict::NotRun, error).with_field("id"))
 }
 
-/// Returns the key in a request's path.
+/// Returns the job's key from the request's path.
 fn key_of(request: &Request) -> Result<JobKey, ErrorResponse> {
-    let bad = |field: &'static str| {
+    let bad_request = |field: &'static str| {
         move |e: viz::types::ParamsError| ErrorResponse::bad_request(field, e.to_string())
     };
-    let customer: String = request.param("customer").map_err(bad("customer"))?;
-    let id: String = request.param("id").map_err(bad("id"))?;
+    let customer: String = request.param("customer").map_err(bad_request("customer"))?;
+    let id: String = request.param("id").map_err(bad_request("id"))?;
     let customer = customer
         .parse()
         .map_err(|e| ErrorResponse::bad_request("customer", format!("{e}")))?;
@@ -179,6 +192,7 @@
     Ok(JobKey::new(customer, id))
 }
 
+/// Reads a job's record and its revision from the store.
 async fn read(daemon: &Daemon, key: &JobKey) -> Result<(JobRecord, u64), ErrorResponse> {
     let entry = daemon.store.get(&keys::job(key)).await;
     daemon.record_store_result(&entry);
@@ -186,14 +200,14 @@
         ErrorResponse::unavailable(format!("the store can't be read: {e}"), STORE_RETRY_AFTER)
             .with_verdict(Verdict::MayHaveRun)
     })?;
-    let missing =
+    let not_found =
         || ErrorResponse::not_found(format!("there is no job {key}, or it ended over a day ago"));
-    let entry = entry.ok_or_else(missing)?;
-    let record = entry.read().ok_or_else(unreadable)?;
+    let entry = entry.ok_or_else(not_found)?;
+    let record = entry.read().ok_or_else(unreadable_record)?;
     Ok((record, entry.revision))
 }
 
-/// Tells where a job stands.
+/// Returns a job's record.
 pub(crate) async fn status(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let (record, _) = read(daemon, &key_of(request)?).await?;
     let mut response = json(StatusCode::OK, &record);
@@ -204,7 +218,7 @@
     Ok(response)
 }
 
-/// Lists jobs whose labels a selector matches.
+/// Lists the jobs whose labels match a selector.
 pub(crate) async fn list(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let selector = selector_of(request)?;
     let listing = daemon.store.list(keys::JOBS).await;
@@ -222,17 +236,17 @@
     Ok(json(StatusCode::OK, &JobPage { jobs }))
 }
 
-/// Reads the selector in a request's query; the empty one matches everything.
+/// Parses the selector in a request's query; an empty selector matches everything.
 pub(crate) fn selector_of(request: &Request) -> Result<Selector, ErrorResponse> {
     let text = query_value(request, "selector").unwrap_or_default();
     text.parse()
         .map_err(|e| ErrorResponse::bad_request("selector", format!("{e}")))
 }
 
-/// Asks for a job's end; the placement holder stops it and records the verdict.
+/// Marks a job as cancelled; the placement holder stops it and records the verdict.
 pub(crate) async fn cancel(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let key = key_of(request)?;
-    for _ in 0..CANCEL_TRIES {
+    for _ in 0..CANCEL_ATTEMPTS {
         let (record, revision) = read(daemon, &key).await?;
         if record.state.is_final() || record.cancel {
             return Ok(json(StatusCode::OK, &record));
@@ -242,7 +256,7 @@
             ..record
         };
         let expect = Expect::Revision(revision);
-        // A lost answer shows as a record that asks for the end already.
+        // If the store's answer was lost, the next attempt finds the record marked as cancelled.
         if let Ok(Swap::Applied(_)) = daemon
             .store
             .swap(&keys::job(&key), expect, &record, None)
@@ -255,10 +269,11 @@
     Err(ErrorResponse::unavailable(error, STORE_RETRY_AFTER).with_verdict(Verdict::MayHaveRun))
 }
 
-/// Explains where a job stands, from its zone's placement holder where it can be asked.
+/// Explains a job's state, as its zone's placement holder sees it, or from its record if the holder
+/// can't be asked.
 pub(crate) async fn explain(daemon: &Daemon, request: &Request) -> Result<Response, ErrorResponse> {
     let key = key_of(request)?;
-    if let Some(explanation) = ask_explanation(daemon, key.clone()).await {
+    if let Some(explanation) = explain_own(daemon, key.clone()).await {
         return Ok(json(StatusCode::OK, &explanation));
     }
     let (record, _) = read(daemon, &key).await?;
--- a/crates/stairstalld/src/lib.rs
+++ b/crates/stairstalld/src/lib.rs
@@ -1,17 +1,17 @@
-//! The stairstall daemon, the same on every entry VM.
+//! The stairstall daemon, which runs on every entry VM.
 //!
-//! Sockets, timers and processes' messages live here; every decision is made by
-//! `stairstall-core`. [`run`] serves until it is told to stop:
+//! This crate does all input and output: sockets, timers and signals. `stairstall-core` makes the
+//! decisions. [`run`] serves until a signal asks the daemon to stop:
 //!
-//! - [`settings`] reads and checks flags and environment variables.
-//! - `api` serves callers and operators over HTTP; `call` is the request path,
-//!   `jobs` and `configure` the other two.
-//! - `dispatch` shares out minions' slots.
-//! - `holder` carries the placement role of the zone.
+//! - [`settings`] reads and validates flags and environment variables.
+//! - `api` serves callers and operators over HTTP: `call` routes requests to minions, `jobs`
+//!   accepts and shows jobs, and `configure` reads and changes the configuration.
+//! - `dispatch` assigns slots of minions to waiting requests.
+//! - `holder` acquires the placement role of the zone and places jobs while it holds it.
 //! - `peers` exchanges heartbeats and configuration with other daemons.
 //! - [`batch`] runs jobs of steps and tasks on a platform with a shared store.
-//! - [`logging`] writes bounded log lines.
-//! - `follow` keeps the configuration and the VM list up to date.
+//! - [`logging`] writes log lines at a limited rate and without blocking.
+//! - `follow` keeps the configuration and the list of VMs up to date.
 
 mod api;
 pub mod batch;
--- a/crates/stairstalld/src/listener.rs
+++ b/crates/stairstalld/src/listener.rs
@@ -1,13 +1,13 @@
-//! The callers' listener: answers leave at once.
+//! TCP listener for callers, with Nagle's algorithm disabled.
 
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts connections on which small writes are not held back.
+/// Accepts connections on which small writes are sent without delay.
 ///
-/// An answer's head and its body are often two writes; with Nagle's algorithm
-/// the second waits for the caller's delayed acknowledgement, about 40 ms.
+/// The head and the body of a response are often two writes. With Nagle's algorithm the second one
+/// waits for the caller's delayed acknowledgement, about 40 ms.
 #[derive(Debug)]
 pub(crate) struct NoDelayListener(pub(crate) TcpListener);
 
--- a/crates/stairstalld/src/logging.rs
+++ b/crates/stairstalld/src/logging.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard output: bounded, and never waited for.
+//! Log lines on standard output, at a limited rate and without blocking the daemon.
 //!
-//! A thread of its own writes; a full queue drops lines and counts them. Each
-//! kind of line has its own limit a second, so that a storm of one kind does
-//! not hide the others.
+//! A separate thread writes the lines. If its queue is full, lines are dropped and counted. The
+//! number of lines per second is limited for each log target, so that many lines of one target do
+//! not hide those of others.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -13,19 +13,19 @@
 
 use crate::daemon::lock;
 
-/// Lines that wait to be written, at most.
-const QUEUE_LINES: usize = 2_048;
-/// Lines of one kind a second, at most, where nothing else is set.
+/// Maximum number of lines that wait to be written.
+const QUEUE_CAPACITY: usize = 2_048;
+/// Default limit of log lines per second and target.
 pub const DEFAULT_LINES_PER_TARGET: u32 = 150;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines were left out since the start.
+/// Returns how many lines were dropped since the process started.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Hands whole lines to the writing thread.
+/// Passes complete lines to the writing thread.
 struct LineQueue {
     sender: SyncSender<Vec<u8>>,
 }
@@ -46,62 +46,65 @@
     }
 }
 
-/// Counts lines by kind within the running second.
+/// Limits the lines per second of each target.
 #[derive(Debug)]
-struct Limits {
-    lines_per_kind: u32,
+struct RateLimiter {
+    lines_per_target: u32,
     second: u64,
+    /// Lines of each target within the current second.
     lines: HashMap<String, u32>,
-    left_out: u64,
+    /// Lines dropped since the last one that was written.
+    dropped: u64,
 }
 
-impl Limits {
-    fn new(lines_per_kind: u32) -> Self {
+impl RateLimiter {
+    fn new(lines_per_target: u32) -> Self {
         Self {
-            lines_per_kind,
+            lines_per_target,
             second: 0,
             lines: HashMap::new(),
-            left_out: 0,
+            dropped: 0,
         }
     }
 
-    /// Tells whether a line of that kind may be written, and how many were left out before.
-    fn admit(&mut self, kind: &str, second: u64) -> Option<u64> {
+    /// Returns how many lines were dropped before this one, or none if this line must be dropped.
+    fn admit(&mut self, target: &str, second: u64) -> Option<u64> {
         if self.second != second {
             self.second = second;
             self.lines.clear();
         }
-        let count = self.lines.entry(kind.to_owned()).or_default();
+        let count = self.lines.entry(target.to_owned()).or_default();
         *count += 1;
-        if *count > self.lines_per_kind {
-            self.left_out += 1;
+        if *count > self.lines_per_target {
+            self.dropped += 1;
             DROPPED.fetch_add(1, Ordering::Relaxed);
             return None;
         }
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.dropped))
     }
 }
 
-/// Starts to log to standard output, of each kind at most `lines_per_kind` lines a second.
-pub fn start(filters: &str, lines_per_kind: u32) {
-    start_with_writer(filters, lines_per_kind, Box::new(io::stdout()));
+/// Initializes the logger to write to standard output, with at most `lines_per_target` lines per
+/// second of each target.
+pub fn start(filters: &str, lines_per_target: u32) {
+    start_with_writer(filters, lines_per_target, Box::new(io::stdout()));
 }
 
-/// Starts to log to `out`, which may block without holding anything else up.
-pub fn start_with_writer(filters: &str, lines_per_kind: u32, out: Box<dyn Write + Send>) {
-    let (sender, receiver) = sync_channel(QUEUE_LINES);
-    let writing = std::thread::Builder::new().name("log".to_owned());
-    if let Err(error) = writing.spawn(move || write_lines(&receiver, out)) {
-        eprintln!("stairstalld: no thread for log lines: {error}");
+/// Initializes the logger to write to `out`. Only the writing thread waits if `out` blocks.
+pub fn start_with_writer(filters: &str, lines_per_target: u32, out: Box<dyn Write + Send>) {
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
+    let thread = std::thread::Builder::new().name("log".to_owned());
+    if let Err(error) = thread.spawn(move || write_lines(&receiver, out)) {
+        eprintln!("stairstalld: could not start the logging thread: {error}");
     }
-    let limits = Mutex::new(Limits::new(lines_per_kind));
+    let limiter = Mutex::new(RateLimiter::new(lines_per_target));
     let started = Instant::now();
     env_logger::Builder::new()
         .parse_filters(filters)
         .target(env_logger::Target::Pipe(Box::new(LineQueue { sender })))
         .format(move |line, record| {
             let second = started.elapsed().as_secs();
-            let Some(left_out) = lock(&limits).admit(record.target(), second) else {
+            let Some(dropped) = lock(&limiter).admit(record.target(), second) else {
                 return Ok(());
             };
             let time = line.timestamp_millis();
@@ -109,15 +112,15 @@
             let mut fields = Fields(Vec::new());
             let _ = record.key_values().visit(&mut fields);
             line.write_all(&fields.0)?;
-            if left_out > 0 {
-                write!(line, " left_out={left_out}")?;
+            if dropped > 0 {
+                write!(line, " left_out={dropped}")?;
             }
             writeln!(line, " {}", record.args())
         })
         .init();
 }
 
-/// Collects key-values as ` key=value`.
+/// Formats key-value pairs as ` key=value`.
 struct Fields(Vec<u8>);
 
 impl<'kvs> log::kv::VisitSource<'kvs> for Fields {
--- a/crates/stairstalld/src/main.rs
+++ b/crates/stairstalld/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon with settings from flags and environment variables.
+//! Entry point of the daemon, with settings from flags and environment variables.
 
 use std::process::ExitCode;
 
@@ -6,9 +6,10 @@
 use stairstalld::logging;
 use stairstalld::settings::{InvalidSettings, Settings};
 
-/// Exit code for settings that are not allowed.
-const EXIT_SETTINGS: u8 = 2;
-/// First argument that asks for jobs of steps and tasks on a platform with a shared store.
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// First argument that selects the batch daemon, which schedules jobs of steps and tasks on a
+/// platform with a shared store.
 const BATCH: &str = "batch";
 
 fn main() -> ExitCode {
@@ -26,7 +27,7 @@
     )
 }
 
-/// Runs a daemon whose settings are allowed.
+/// Starts logging and runs a daemon, or prints all invalid settings.
 fn start<S>(
     settings: Result<S, InvalidSettings>,
     start_logging: impl FnOnce(&S),
@@ -34,17 +35,17 @@
 ) -> ExitCode {
     let settings = match settings {
         Ok(settings) => settings,
-        Err(mistakes) => {
-            eprint!("{mistakes}");
-            return ExitCode::from(EXIT_SETTINGS);
+        Err(errors) => {
+            eprint!("{errors}");
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     start_logging(&settings);
     match run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::error!(target: "stop", error:% = error; "ended");
-            // The writing thread gets a moment for the last lines.
+            log::error!(target: "stop", error:% = error; "the daemon ended with an error");
+            // Gives the logging thread time to write the last lines.
             std::thread::sleep(std::time::Duration::from_millis(20));
             ExitCode::FAILURE
         }
--- a/crates/stairstalld/src/metrics.rs
+++ b/crates/stairstalld/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over `StatsD`; docs/METRICS.md lists them.
+//! Sends metrics over `StatsD`; docs/METRICS.md lists them.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -7,10 +7,10 @@
     BufferedUdpMetricSink, Counted, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, Timed,
 };
 
-/// Prefix of every metric.
+/// Prefix of the name of every metric.
 const PREFIX: &str = "stairstall";
 
-/// Where metrics go; cheap to clone.
+/// Client that sends metrics; clones share one connection.
 #[derive(Debug, Clone)]
 pub(crate) struct Metrics {
     client: std::sync::Arc<StatsdClient>,
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Counts one; a metric that can't be sent is dropped.
+    /// Increments a counter by one; a metric that can't be sent is dropped.
     pub(crate) fn count(&self, name: &str) {
         let _ = self.client.count(name, 1);
     }
--- a/crates/stairstalld/src/peers.rs
+++ b/crates/stairstalld/src/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and configuration between daemons, over JSON-RPC.
+//! JSON-RPC between daemons: heartbeats, configuration, guarantee checks and explanations of jobs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,32 +23,33 @@
 use crate::follow::publish_revision;
 use crate::holder::Query;
 
-/// Longest call to a peer.
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A silent peer is asked only every so many heartbeats.
-const SILENT_PEER_STRIDE: u64 = 4;
+/// A silent peer gets only one in this many heartbeats.
+const SILENT_PEER_INTERVAL: u64 = 4;
 
-/// Calls between daemons.
+/// RPC methods that daemons call on each other.
 #[rpc(server, client)]
 pub(crate) trait Peer {
     /// Exchanges heartbeats.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, heartbeat: Heartbeat) -> RpcResult<Heartbeat>;
 
-    /// Returns the whole configuration in force.
+    /// Returns the whole configuration in effect.
     #[method(name = "configuration")]
     async fn configuration(&self) -> RpcResult<Configuration>;
 
-    /// Says whether guarantees could all be kept in the daemon's zone.
+    /// Guarantee check: whether all of these guarantees can be satisfied at once in the daemon's
+    /// zone.
     #[method(name = "witness")]
     async fn witness(&self, question: WitnessQuestion) -> RpcResult<WitnessAnswer>;
 
-    /// Explains a job, where the daemon holds placement and knows it.
+    /// Explains a job's state, if the daemon holds the placement role and knows the job.
     #[method(name = "explain")]
     async fn explain(&self, job: JobKey) -> RpcResult<Option<Explanation>>;
 }
 
-/// Serves peers.
+/// Implements the RPC methods on a daemon's state.
 #[derive(Debug)]
 struct PeerService(Arc<Daemon>);
 
@@ -56,9 +57,9 @@
 impl PeerServer for PeerService {
     async fn heartbeat(&self, heartbeat: Heartbeat) -> RpcResult<Heartbeat> {
         let now = self.0.clock.now();
-        let every = interval_to(&self.0, &heartbeat.zone);
+        let interval = interval_to(&self.0, &heartbeat.zone);
         lock(&self.0.members).note(heartbeat, now);
-        Ok(own_heartbeat(&self.0, every))
+        Ok(own_heartbeat(&self.0, interval))
     }
 
     async fn configuration(&self) -> RpcResult<Configuration> {
@@ -70,11 +71,11 @@
     }
 
     async fn explain(&self, job: JobKey) -> RpcResult<Option<Explanation>> {
-        Ok(ask_explanation(&self.0, job).await)
+        Ok(explain_own(&self.0, job).await)
     }
 }
 
-/// Asks this daemon's own placement role.
+/// Lets this daemon's own placement role check guarantees.
 pub(crate) async fn check_own_guarantees(
     daemon: &Daemon,
     question: WitnessQuestion,
@@ -90,8 +91,8 @@
     receiver.await.unwrap_or(WitnessAnswer::NotHolder)
 }
 
-/// Asks this daemon's own placement role.
-pub(crate) async fn ask_explanation(daemon: &Daemon, job: JobKey) -> Option<Explanation> {
+/// Lets this daemon's own placement role explain a job.
+pub(crate) async fn explain_own(daemon: &Daemon, job: JobKey) -> Option<Explanation> {
     let (sender, receiver) = oneshot::channel();
     daemon
         .holder
@@ -104,7 +105,7 @@
     receiver.await.ok().flatten()
 }
 
-/// Starts to serve peers.
+/// Starts the RPC server for peers.
 pub(crate) async fn serve(daemon: Arc<Daemon>) -> std::io::Result<(SocketAddr, ServerHandle)> {
     let config = ServerConfig::builder().http_only().build();
     let server = Server::builder()
@@ -115,7 +116,7 @@
     Ok((address, server.start(PeerService(daemon).into_rpc())))
 }
 
-/// Makes a client of a peer.
+/// Returns an RPC client for the peer at this address.
 pub(crate) fn client(address: SocketAddr) -> Option<HttpClient> {
     HttpClientBuilder::default()
         .request_timeout(PEER_TIMEOUT)
@@ -123,13 +124,14 @@
         .ok()
 }
 
-pub(crate) fn own_heartbeat(daemon: &Daemon, every: Duration) -> Heartbeat {
+/// Returns this daemon's heartbeat; `interval` is how often the receiver gets one.
+pub(crate) fn own_heartbeat(daemon: &Daemon, interval: Duration) -> Heartbeat {
     let configuration = daemon.configuration();
     let role = *lock(&daemon.role);
     Heartbeat {
         daemon: daemon.vm().clone(),
         zone: daemon.settings.zone.clone(),
-        every_ms: millis(every),
+        every_ms: millis(interval),
         address: daemon.address,
         revision: configuration.revision,
         token: role.token,
@@ -140,49 +142,49 @@
     }
 }
 
-/// Returns how often this daemon and one of `zone` exchange heartbeats.
+/// Returns the interval of heartbeats between this daemon and one in `zone`.
 fn interval_to(daemon: &Daemon, zone: &ZoneId) -> Duration {
     if *zone == daemon.settings.zone {
         return Members::INTERVAL;
     }
     let list = daemon.vms.borrow().clone();
-    let far =
+    let is_cross_zone =
         |vm: &&VmEntry| vm.zone != daemon.settings.zone && matches!(vm.role, VmRole::Entry { .. });
-    Members::far_interval(list.vms.iter().filter(far).count())
+    Members::far_interval(list.vms.iter().filter(is_cross_zone).count())
 }
 
-/// One peer as the platform lists it.
-struct Listed {
+/// A peer from the platform's list of VMs, with a client for it.
+struct ListedPeer {
     id: VmId,
     zone: ZoneId,
     rpc: SocketAddr,
     client: Option<HttpClient>,
 }
 
-/// Sends heartbeats for as long as the daemon runs.
-pub(crate) async fn beat(daemon: Arc<Daemon>) {
-    let mut peers: Vec<Listed> = Vec::new();
+/// Exchanges heartbeats with peers for as long as the daemon runs.
+pub(crate) async fn exchange_heartbeats(daemon: Arc<Daemon>) {
+    let mut peers: Vec<ListedPeer> = Vec::new();
     let mut last = daemon.clock.now();
     for round in 0_u64.. {
         let now = daemon.clock.now();
         if now - last > Members::TIMEOUT {
             log::warn!(target: "peers", paused_ms = millis(now - last);
-                "this process was paused; its shares of slots are given up");
+                "this process was paused; gave up its shares of slots");
             daemon.dispatcher.suspend();
         }
         last = now;
-        refresh(&daemon, &mut peers);
-        let beats = peers
+        update_peers(&daemon, &mut peers);
+        let exchanges = peers
             .iter()
-            .filter(|p| worth_asking(&daemon, p, round, now));
-        let replies = join_all(beats.map(|p| beat_one(&daemon, p))).await;
+            .filter(|p| should_contact(&daemon, p, round, now));
+        let replies = join_all(exchanges.map(|p| exchange_heartbeat(&daemon, p))).await;
         let now = daemon.clock.now();
         for heartbeat in replies.into_iter().flatten() {
             lock(&daemon.members).note(heartbeat, now);
         }
         let members = lock(&daemon.members).in_zone(&daemon.settings.zone, daemon.vm(), now);
         daemon.dispatcher.set_members(members);
-        take_newer_configuration(&daemon, &peers, now).await;
+        fetch_newer_configuration(&daemon, &peers, now).await;
         daemon
             .metrics
             .gauge("call.in_flight", daemon.dispatcher.in_flight() as u64);
@@ -190,7 +192,8 @@
     }
 }
 
-fn refresh(daemon: &Daemon, peers: &mut Vec<Listed>) {
+/// Updates the peers from the platform's list of VMs; clients of unchanged peers are reused.
+fn update_peers(daemon: &Daemon, peers: &mut Vec<ListedPeer>) {
     let list = daemon.vms.borrow().clone();
     let entries = list.vms.iter().filter(|vm| vm.id != *daemon.vm());
     let entries: Vec<(&VmEntry, SocketAddr)> = entries
@@ -207,7 +210,7 @@
     for (vm, rpc) in entries {
         if !peers.iter().any(|p| p.id == vm.id) {
             let (id, zone) = (vm.id.clone(), vm.zone.clone());
-            peers.push(Listed {
+            peers.push(ListedPeer {
                 id,
                 zone,
                 rpc,
@@ -217,28 +220,32 @@
     }
 }
 
-/// Tells whether a peer's turn has come: each time in this zone, now and then where it
-/// is silent, and in other zones unless it was heard lately, since one exchange tells both.
-fn worth_asking(daemon: &Daemon, peer: &Listed, round: u64, now: Timestamp) -> bool {
+/// Returns whether this round's heartbeat goes to a peer.
+///
+/// A live peer in this zone gets every heartbeat, a silent peer one in [`SILENT_PEER_INTERVAL`]. A
+/// live peer in another zone gets one unless it sent one within the interval, since one exchange
+/// informs both sides.
+fn should_contact(daemon: &Daemon, peer: &ListedPeer, round: u64, now: Timestamp) -> bool {
     let members = lock(&daemon.members);
     let live = members.live(now).any(|h| h.daemon == peer.id);
     if !live {
-        return round.is_multiple_of(SILENT_PEER_STRIDE);
+        return round.is_multiple_of(SILENT_PEER_INTERVAL);
     }
     if peer.zone == daemon.settings.zone {
         return true;
     }
-    let heard = members.heard_before(&peer.id, now);
-    heard.is_none_or(|ago| ago >= interval_to(daemon, &peer.zone))
+    let last_heard = members.heard_before(&peer.id, now);
+    last_heard.is_none_or(|ago| ago >= interval_to(daemon, &peer.zone))
 }
 
-async fn beat_one(daemon: &Daemon, peer: &Listed) -> Option<Heartbeat> {
+async fn exchange_heartbeat(daemon: &Daemon, peer: &ListedPeer) -> Option<Heartbeat> {
     let heartbeat = own_heartbeat(daemon, interval_to(daemon, &peer.zone));
     peer.client.as_ref()?.heartbeat(heartbeat).await.ok()
 }
 
-/// Takes a peer's configuration where it is newer: this zone may be cut off from the store.
-async fn take_newer_configuration(daemon: &Daemon, peers: &[Listed], now: Timestamp) {
+/// Fetches the configuration of a peer that has a newer revision, in case the store does not answer
+/// in this zone.
+async fn fetch_newer_configuration(daemon: &Daemon, peers: &[ListedPeer], now: Timestamp) {
     let own = daemon.configuration().revision;
     let newest = lock(&daemon.members)
         .live(now)
@@ -255,13 +262,13 @@
     };
     if let Ok(configuration) = client.configuration().await {
         log::info!(target: "config", from:% = newest, revision = configuration.revision.0;
-            "newer configuration taken from a peer");
+            "fetched a newer configuration from a peer");
         lock(&daemon.follower).offer_full(configuration);
         publish_revision(daemon);
     }
 }
 
-/// Returns where a zone's live placement holder listens for its peers.
+/// Returns the RPC address of a zone's live placement holder.
 pub(crate) fn holder_address(daemon: &Daemon, zone: &ZoneId) -> Option<SocketAddr> {
     let holder = lock(&daemon.members)
         .holder(zone, daemon.clock.now())?
--- a/crates/stairstalld/src/retention.rs
+++ b/crates/stairstalld/src/retention.rs
@@ -1,4 +1,4 @@
-//! Store leases under which finished work is kept for a day.
+//! Leases in the store under which claims and finished jobs are retained for a day.
 
 use std::time::Duration;
 
@@ -8,12 +8,13 @@
 
 use crate::clock::Clock;
 
-/// How long claims and finished jobs are kept.
+/// How long claims and finished jobs are retained.
 pub(crate) const RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// How long one lease takes on new keys.
-const SHARED_FOR: Duration = Duration::from_secs(3600);
+/// How long new keys are attached to the same lease.
+const LEASE_SHARING: Duration = Duration::from_secs(3600);
 
-/// Hands out a lease that still lasts [`RETENTION`]; a new one is taken each hour.
+/// Provides leases that are valid for at least [`RETENTION`]. Keys share a lease for an hour, then
+/// a new one is granted.
 #[derive(Debug)]
 pub(crate) struct Retention {
     store: Store,
@@ -30,23 +31,24 @@
         }
     }
 
+    /// Returns a lease that is valid for at least [`RETENTION`].
     pub(crate) async fn lease(&self) -> Result<LeaseId, StoreError> {
         let mut current = self.current.lock().await;
         let now = self.clock.now();
-        if let Some((lease, taken_at)) = *current
-            && now - taken_at < SHARED_FOR
+        if let Some((lease, granted_at)) = *current
+            && now - granted_at < LEASE_SHARING
         {
             return Ok(lease);
         }
-        let lease = self.store.grant(RETENTION + SHARED_FOR).await?;
+        let lease = self.store.grant(RETENTION + LEASE_SHARING).await?;
         *current = Some((lease, now));
         Ok(lease)
     }
 
-    /// Forgets a lease that the store no longer has, so that the next call takes another.
+    /// Discards a lease that the store no longer has, so that the next call grants another.
     pub(crate) async fn discard(&self, lease: LeaseId) {
         let mut current = self.current.lock().await;
-        if current.is_some_and(|(known, _)| known == lease) {
+        if current.is_some_and(|(current, _)| current == lease) {
             *current = None;
         }
     }
--- a/crates/stairstalld/src/serve.rs
+++ b/crates/stairstalld/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a daemon and stops them without cutting anything off.
+//! Starts the servers and background tasks of a daemon, and drains them on a stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,42 +18,43 @@
 use crate::shutdown::{self, DrainOutcome, Shutdown};
 use crate::{api, follow, holder, peers};
 
-/// How long a caller may take to send a request's head.
+/// Timeout for reading a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a stopping daemon looks whether requests are still in flight.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
-/// Questions that wait for the placement role.
-const QUERIES: usize = 64;
+/// How often a stopping daemon checks whether requests are still in flight.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity of the channel of queries to the placement role.
+const QUERY_CAPACITY: usize = 64;
 
 quick_error! {
-    /// Why a daemon ended other than by a stop.
+    /// Why a daemon failed to start, or to stop with everything answered.
     #[derive(Debug)]
     pub enum RunError {
-        /// Something of the operating system failed.
+        /// A call to the operating system failed.
         System(what: &'static str, source: std::io::Error) {
             display("{what}: {source}")
             source(source)
         }
-        /// Requests in flight took longer than allowed.
+        /// The drain limit was reached with this many requests in flight.
         RequestsAborted(in_flight: usize) {
             display("stopped with {in_flight} requests in flight: the drain limit was reached")
         }
-        /// Calls took longer than allowed.
+        /// The drain limit was reached with calls still open.
         CallsAborted {
             display("stopped before all calls had their answers: the drain limit was reached")
         }
     }
 }
 
+/// Returns a function that wraps an operating system error with what failed.
 pub(crate) fn system_error(what: &'static str) -> impl Fn(std::io::Error) -> RunError {
     move |source| RunError::System(what, source)
 }
 
-/// Serves until a signal asks for a stop and everything in flight has ended.
+/// Runs a daemon until a signal requests a stop and all requests in flight have ended.
 ///
 /// # Errors
 ///
-/// Returns what failed at the start, or that the drain limit cut requests off.
+/// Returns what failed at the start, or that requests were still in flight at the drain limit.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -69,7 +70,7 @@
         .map_err(system_error("--listen"))?;
     let address = listener.local_addr().map_err(system_error("--listen"))?;
     let metrics = Metrics::new(settings.statsd).map_err(system_error("--statsd"))?;
-    let (queries, inbox) = mpsc::channel(QUERIES);
+    let (queries, inbox) = mpsc::channel(QUERY_CAPACITY);
     let daemon = Arc::new(Daemon::new(settings, address, metrics, queries));
     let (rpc_address, rpc) = peers::serve(Arc::clone(&daemon))
         .await
@@ -102,7 +103,7 @@
 fn start_background(daemon: &Arc<Daemon>, inbox: mpsc::Receiver<holder::Query>) {
     tokio::spawn(follow::follow_vms(Arc::clone(daemon)));
     tokio::spawn(follow::follow_configuration(Arc::clone(daemon)));
-    tokio::spawn(peers::beat(Arc::clone(daemon)));
+    tokio::spawn(peers::exchange_heartbeats(Arc::clone(daemon)));
     tokio::spawn(holder::run(Arc::clone(daemon), inbox));
     let dispatching = Arc::clone(daemon);
     tokio::spawn(async move {
@@ -113,7 +114,7 @@
     });
 }
 
-/// Waits for everything in flight to end, up to the limit.
+/// Waits for all requests in flight to end, up to the drain limit.
 async fn drain(
     daemon: &Daemon,
     shutdown: &Shutdown,
@@ -122,10 +123,10 @@
     if shutdown.drain(serving).await? == DrainOutcome::TimedOut {
         return Err(RunError::RequestsAborted(daemon.dispatcher.in_flight()));
     }
-    // Not-repeatable requests are seen to their end also after their callers left.
+    // Not-repeatable requests may still run although their callers have disconnected.
     while daemon.dispatcher.in_flight() > 0 {
-        tokio::time::sleep(DRAIN_INTERVAL).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    log::info!(target: "stop", vm:% = daemon.vm(); "nothing is in flight: stopped");
+    log::info!(target: "stop", vm:% = daemon.vm(); "stopped with no request in flight");
     Ok(())
 }
--- a/crates/stairstalld/src/settings.rs
+++ b/crates/stairstalld/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags and environment variables, checked before anything starts.
+//! Settings from flags and environment variables, validated before the daemon starts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use bpaf::{OptionParser, ParseFailure, Parser, construct, long};
 use stairstall_core::{VmId, ZoneId};
 
-/// Width of help, in characters.
+/// Width of the help text, in characters.
 pub(crate) const HELP_WIDTH: usize = 100;
 
-/// Settings as they were given, unchecked.
+/// Settings as given, before they are validated.
 #[derive(Debug, Clone)]
-struct Raw {
+struct RawSettings {
     vm: String,
     zone: String,
     listen: String,
@@ -28,64 +28,64 @@
     log: String,
 }
 
-/// Checked settings of one daemon.
+/// Validated settings of one daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Name of this VM.
     pub vm: VmId,
     /// Availability zone of this VM.
     pub zone: ZoneId,
-    /// Where callers and operators are served.
+    /// Address of the HTTP server for callers and operators.
     pub listen: SocketAddr,
-    /// Where peers are served.
+    /// Address of the RPC server for other daemons.
     pub rpc_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// The platform's list of VMs.
+    /// Address of the platform's list of VMs.
     pub vm_list: SocketAddr,
-    /// Where metrics go, if anywhere.
+    /// Address that metrics are sent to over UDP, if any.
     pub statsd: Option<SocketAddr>,
-    /// Longest call to the store.
+    /// Timeout of a call to the store.
     pub store_timeout: Duration,
-    /// How long new requests are still taken after a stop was asked for.
+    /// How long new requests are still accepted after a stop was requested.
     pub drain_delay: Duration,
-    /// How long requests in flight may take after that.
+    /// How long requests in flight may take after [`drain_delay`](Self::drain_delay).
     pub drain_limit: Duration,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Most requests of one service that wait at a time.
+    /// Maximum number of waiting requests per service.
     pub max_waiting: usize,
-    /// Log filter, as in `info` or `stairstalld=debug`.
+    /// Log filter, for example `info` or `stairstalld=debug`.
     pub log: String,
 }
 
-/// One setting that is not allowed.
+/// A setting with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The flag.
+    /// Name of the flag.
     pub flag: &'static str,
-    /// The value as given.
+    /// The given value; empty if there is none.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// Every setting that is not allowed.
+/// All settings with invalid values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidSettings(pub Vec<InvalidSetting>);
 
 impl fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for mistake in &self.0 {
+        for setting in &self.0 {
             let InvalidSetting {
                 flag,
                 value,
                 allowed,
-            } = mistake;
+            } = setting;
             let given = if value.is_empty() {
                 String::new()
             } else {
-                format!("{value:?} is not allowed: ")
+                format!("invalid value {value:?}: ")
             };
             writeln!(f, "stairstalld: {flag}: {given}{allowed}")?;
         }
@@ -96,7 +96,7 @@
 impl std::error::Error for InvalidSettings {}
 
 impl InvalidSettings {
-    /// A command line that can't be read at all.
+    /// Returns the error for a command line that can't be parsed.
     pub(crate) fn unreadable(allowed: String) -> Self {
         Self(vec![InvalidSetting {
             flag: "command line",
@@ -106,6 +106,7 @@
     }
 }
 
+/// Returns the parser of one setting, which is a flag or an environment variable.
 pub(crate) fn string_option(
     flag: &'static str,
     env: &'static str,
@@ -114,7 +115,7 @@
     long(flag).env(env).help(help).argument::<String>("VALUE")
 }
 
-fn parser() -> OptionParser<Raw> {
+fn parser() -> OptionParser<RawSettings> {
     let vm = string_option("vm", "STAIRSTALL_VM", "Name of this VM").fallback(String::new());
     let zone = string_option("zone", "STAIRSTALL_ZONE", "Availability zone of this VM")
         .fallback(String::new());
@@ -184,7 +185,7 @@
         "Log filter, as in 'info' or 'stairstalld=debug'",
     )
     .fallback("info".to_owned());
-    construct!(Raw {
+    construct!(RawSettings {
         vm,
         zone,
         listen,
@@ -204,12 +205,13 @@
     .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// Collects mistakes while settings are read one by one.
+/// Validates settings one by one and collects all invalid ones.
 #[derive(Debug, Default)]
 pub(crate) struct Validator(pub(crate) Vec<InvalidSetting>);
 
 impl Validator {
-    fn refuse(&mut self, flag: &'static str, value: &str, allowed: impl Into<String>) {
+    /// Records an invalid setting.
+    fn reject(&mut self, flag: &'static str, value: &str, allowed: impl Into<String>) {
         self.0.push(InvalidSetting {
             flag,
             value: value.to_owned(),
@@ -217,14 +219,14 @@
         });
     }
 
-    /// Notes a flag without a value; true where there is none.
-    fn is_missing(&mut self, flag: &'static str, value: &str) -> bool {
+    /// Returns whether a required setting has no value, and records it as invalid then.
+    fn reject_missing(&mut self, flag: &'static str, value: &str) -> bool {
         if value.is_empty() {
             let variable = flag
                 .trim_start_matches('-')
                 .replace('-', "_")
                 .to_uppercase();
-            self.refuse(
+            self.reject(
                 flag,
                 "",
                 format!("must be set, by the flag or by STAIRSTALL_{variable}"),
@@ -233,78 +235,79 @@
         value.is_empty()
     }
 
+    /// Parses a required name.
     pub(crate) fn name<T>(&mut self, flag: &'static str, value: &str) -> Option<T>
     where
         T: std::str::FromStr,
         T::Err: fmt::Display,
     {
-        if self.is_missing(flag, value) {
+        if self.reject_missing(flag, value) {
             return None;
         }
         value
             .parse()
-            .map_err(|e| self.refuse(flag, value, format!("{e}")))
+            .map_err(|e| self.reject(flag, value, format!("{e}")))
             .ok()
     }
 
+    /// Parses a required IP address with port.
     pub(crate) fn address(&mut self, flag: &'static str, value: &str) -> Option<SocketAddr> {
-        if self.is_missing(flag, value) {
+        if self.reject_missing(flag, value) {
             return None;
         }
-        let allowed = "an IP number and a port, as in 127.0.0.1:7000";
+        let allowed = "an IP address and a port, for example 127.0.0.1:7000";
         value
             .parse()
-            .map_err(|_| self.refuse(flag, value, allowed))
+            .map_err(|_| self.reject(flag, value, allowed))
             .ok()
     }
 
+    /// Parses a whole number between two bounds, both included.
     pub(crate) fn number(
         &mut self,
         flag: &'static str,
         value: &str,
-        least: u64,
-        most: u64,
+        min: u64,
+        max: u64,
     ) -> Option<u64> {
-        let found = value.parse().ok().filter(|n| (least..=most).contains(n));
+        let found = value.parse().ok().filter(|n| (min..=max).contains(n));
         if found.is_none() {
-            self.refuse(
-                flag,
-                value,
-                format!("a whole number from {least} to {most}"),
-            );
+            self.reject(flag, value, format!("a whole number from {min} to {max}"));
         }
         found
     }
 
+    /// Parses a number of milliseconds between two bounds, both included.
     pub(crate) fn millis(
         &mut self,
         flag: &'static str,
         value: &str,
-        least: u64,
-        most: u64,
+        min: u64,
+        max: u64,
     ) -> Option<Duration> {
-        self.number(flag, value, least, most)
+        self.number(flag, value, min, max)
             .map(Duration::from_millis)
     }
 
+    /// Parses a size between two bounds, both included.
     pub(crate) fn size(
         &mut self,
         flag: &'static str,
         value: &str,
-        least: u64,
-        most: u64,
+        min: u64,
+        max: u64,
     ) -> Option<usize> {
-        self.number(flag, value, least, most)
+        self.number(flag, value, min, max)
             .and_then(|n| usize::try_from(n).ok())
     }
 }
 
 impl Settings {
-    /// Reads the settings of this process; `--help` and `--version` end it.
+    /// Reads the settings of this process. `--help` and `--version` print their text and exit.
     ///
     /// # Errors
     ///
-    /// Returns every setting that is not allowed.
+    /// Returns all invalid settings.
     pub fn from_process() -> Result<Self, InvalidSettings> {
         match parser().run_inner(bpaf::Args::current_args()) {
             Ok(raw) => Self::check(&raw),
@@ -316,11 +319,11 @@
         }
     }
 
-    /// Reads the settings from arguments, for tests.
+    /// Reads the settings from arguments instead of the command line, for tests.
     ///
     /// # Errors
     ///
-    /// Returns every setting that is not allowed, or that the arguments can't be read.
+    /// Returns all invalid settings, or that the arguments can't be parsed.
     pub fn from_arguments(arguments: &[&str]) -> Result<Self, InvalidSettings> {
         let raw = parser().run_inner(arguments).map_err(|failure| {
             let value = arguments.join(" ");
@@ -334,36 +337,38 @@
         Self::check(&raw)
     }
 
-    fn check(raw: &Raw) -> Result<Self, InvalidSettings> {
-        let mut checks = Validator::default();
-        let settings = Self::read(raw, &mut checks);
+    fn check(raw: &RawSettings) -> Result<Self, InvalidSettings> {
+        let mut validator = Validator::default();
+        let settings = Self::read(raw, &mut validator);
         match settings {
-            Some(settings) if checks.0.is_empty() => Ok(settings),
-            _ => Err(InvalidSettings(checks.0)),
+            Some(settings) if validator.0.is_empty() => Ok(settings),
+            _ => Err(InvalidSettings(validator.0)),
         }
     }
 
-    /// Reads every field before the first missing one can end the reading.
-    fn read(raw: &Raw, checks: &mut Validator) -> Option<Self> {
-        let day = 24 * 3600 * 1000;
-        let vm = checks.name("--vm", &raw.vm);
-        let zone = checks.name("--zone", &raw.zone);
-        let listen = checks.address("--listen", &raw.listen);
-        let rpc_listen = checks.address("--rpc-listen", &raw.rpc_listen);
-        let store = checks.address("--store", &raw.store);
-        let vm_list = checks.address("--vm-list", &raw.vm_list);
+    /// Validates every field before it returns at the first invalid one, so that all errors are
+    /// reported at once.
+    fn read(raw: &RawSettings, validator: &mut Validator) -> Option<Self> {
+        let day_ms = 24 * 3600 * 1000;
+        let vm = validator.name("--vm", &raw.vm);
+        let zone = validator.name("--zone", &raw.zone);
+        let listen = validator.address("--listen", &raw.listen);
+        let rpc_listen = validator.address("--rpc-listen", &raw.rpc_listen);
+        let store = validator.address("--store", &raw.store);
+        let vm_list = validator.address("--vm-list", &raw.vm_list);
         let statsd = raw
             .statsd
             .as_ref()
-            .map(|value| checks.address("--statsd", value));
-        let store_timeout = checks.millis("--store-timeout-ms", &raw.store_timeout_ms, 10, 10_000);
-        let drain_delay = checks.millis("--drain-delay-ms", &raw.drain_delay_ms, 0, day);
-        let drain_limit = checks.millis("--drain-limit-ms", &raw.drain_limit_ms, 0, day);
+            .map(|value| validator.address("--statsd", value));
+        let store_timeout =
+            validator.millis("--store-timeout-ms", &raw.store_timeout_ms, 10, 10_000);
+        let drain_delay = validator.millis("--drain-delay-ms", &raw.drain_delay_ms, 0, day_ms);
+        let drain_limit = validator.millis("--drain-limit-ms", &raw.drain_limit_ms, 0, day_ms);
         let max_body_bytes =
-            checks.size("--max-body-bytes", &raw.max_body_bytes, 1, 64 * 1024 * 1024);
-        let max_waiting = checks.size("--max-waiting", &raw.max_waiting, 1, 1_000_000);
+            validator.size("--max-body-bytes", &raw.max_body_bytes, 1, 64 * 1024 * 1024);
+        let max_waiting = validator.size("--max-waiting", &raw.max_waiting, 1, 1_000_000);
         if listen.is_some() && listen == rpc_listen && listen.is_some_and(|a| a.port() != 0) {
-            checks.refuse(
+            validator.reject(
                 "--rpc-listen",
                 &raw.rpc_listen,
                 "another address than --listen",
--- a/crates/stairstalld/src/shutdown.rs
+++ b/crates/stairstalld/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals, and a stop that cuts nothing off.
+//! Signals, and a graceful stop.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
 
 use crate::serve::{RunError, system_error};
 
-/// How a daemon stops.
+/// Settings and state of a daemon's stop.
 #[derive(Debug, Clone)]
 pub(crate) struct Shutdown {
-    /// This VM, for the log.
+    /// Name of this VM, for log lines.
     pub(crate) vm: VmId,
-    /// Becomes true once a stop was asked for.
+    /// Becomes true once a stop was requested.
     pub(crate) leaving: watch::Sender<bool>,
-    /// How long new calls are still taken after that: the balancer has to notice.
+    /// How long new calls are still accepted after that, so that the load balancer can notice the
+    /// failing health checks.
     pub(crate) delay: Duration,
     /// How long calls in flight may take after the delay.
     pub(crate) limit: Duration,
 }
 
-/// Whether a server finished what was in flight.
+/// Outcome of waiting for open calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrainOutcome {
-    /// Nothing was cut off.
+    /// All calls were answered.
     Completed,
-    /// The limit was reached before.
+    /// The limit was reached with calls still open.
     TimedOut,
 }
 
 impl Shutdown {
-    /// Ends once a stop was asked for and the balancer has had time to notice.
+    /// Waits until a stop was requested and the load balancer has had time to notice.
     pub(crate) async fn stop_requested(self) {
         let (Ok(mut terminate), Ok(mut interrupt)) = (
             signal(SignalKind::terminate()),
             signal(SignalKind::interrupt()),
         ) else {
-            log::error!(target: "stop", vm:% = self.vm; "signals can't be received");
+            log::error!(target: "stop", vm:% = self.vm; "could not install handlers for SIGTERM and SIGINT");
             return std::future::pending().await;
         };
         tokio::select! {
@@ -47,19 +48,19 @@
         }
         log::info!(target: "stop", vm:% = self.vm,
             delay_ms = crate::clock::millis(self.delay);
-            "a stop was asked for: health fails from now on, calls are still taken");
+            "stop requested: health checks fail from now on, calls are still accepted");
         self.leaving.send_replace(true);
         tokio::time::sleep(self.delay).await;
     }
 
-    /// Waits for a server to finish what is in flight, up to the limit.
+    /// Waits for a server to answer the open calls, up to the limit.
     ///
     /// # Errors
     ///
     /// Returns why serving failed.
     pub(crate) async fn drain(
         &self,
-        mut served: JoinHandle<std::io::Result<()>>,
+        mut server: JoinHandle<std::io::Result<()>>,
     ) -> Result<DrainOutcome, RunError> {
         let mut leaving = self.leaving.subscribe();
         let limit = async {
@@ -67,7 +68,7 @@
             tokio::time::sleep(self.delay + self.limit).await;
         };
         tokio::select! {
-            ended = &mut served => match ended {
+            ended = &mut server => match ended {
                 Ok(result) => result.map(|()| DrainOutcome::Completed).map_err(system_error("serving")),
                 Err(error) => Err(RunError::System("serving", std::io::Error::other(error))),
             },
@@ -76,14 +77,15 @@
     }
 }
 
-/// Says of each hang-up that settings hold until the next start: they are flags and environment.
+/// Logs on each SIGHUP that settings can't be reloaded, because they are flags and environment
+/// variables.
 pub(crate) async fn log_hangup_signals(vm: VmId) {
-    let Ok(mut hang_ups) = signal(SignalKind::hangup()) else {
-        log::error!(target: "reload", "hang-ups can't be received");
+    let Ok(mut hangups) = signal(SignalKind::hangup()) else {
+        log::error!(target: "reload", "could not install a handler for SIGHUP");
         return;
     };
-    while hang_ups.recv().await.is_some() {
+    while hangups.recv().await.is_some() {
         log::info!(target: "reload", vm:% = vm;
-            "settings are flags and environment: they hold until the next start");
+            "settings are flags and environment variables: they hold until the next start");
     }
 }
