--- a/crates/stairstalld/src/call.rs
+++ b/crates/stairstalld/src/call.rs
@@ -43,12 +43,12 @@
     let call = Arc::new(call.with_body(body));
     lock(&daemon.retries).note_request();
     let mut response = if call.repeatable {
-        answer(&daemon, &call).await
+        route(&daemon, &call).await
     } else {
         // The attempts run in a task of their own, so that a not-repeatable request completes even
         // if its caller disconnects.
         let (daemon, call) = (Arc::clone(&daemon), Arc::clone(&call));
-        let task = tokio::spawn(async move { answer(&daemon, &call).await });
+        let task = tokio::spawn(async move { route(&daemon, &call).await });
         task.await.unwrap_or_else(|_| task_failed().into())
     };
     set_header(response.headers_mut(), header::REQUEST_ID, call.id.as_str());
@@ -70,7 +70,7 @@
 
 /// Sends a request to minions until one responds, or the verdict or the retry budget forbids
 /// another attempt.
-async fn answer(daemon: &Arc<Daemon>, call: &Arc<Call>) -> Response {
+async fn route(daemon: &Arc<Daemon>, call: &Arc<Call>) -> Response {
     if !call.repeatable
         && let Some(silent) = daemon
             .store_silent_for()
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -63,8 +63,8 @@
     release_in_background(daemon.store.clone(), key, mark);
     let status = StatusCode::GATEWAY_TIMEOUT;
     let error = "the deadline passed while the request was being claimed";
-    let failure = ErrorResponse::new(status, Verdict::NotRun, error);
-    ClaimOutcome::Answered(failure.with_request(&call.id).into())
+    let error_response = ErrorResponse::new(status, Verdict::NotRun, error);
+    ClaimOutcome::Answered(error_response.with_request(&call.id).into())
 }
 
 /// Writes the claim, and retries until it is held, refused or given up.
@@ -134,8 +134,8 @@
     let error = format!("a not-repeatable request can't be claimed now: {reason}");
     log::info!(target: "decision", request:% = call.id, verdict:% = Verdict::NotRun;
         "request ended without a response: {error}");
-    let failure = ErrorResponse::unavailable(error, RETRY_DELAY).with_request(&call.id);
-    ClaimOutcome::Answered(failure.into())
+    let error_response = ErrorResponse::unavailable(error, RETRY_DELAY).with_request(&call.id);
+    ClaimOutcome::Answered(error_response.into())
 }
 
 /// Returns the response to a request whose id was claimed before.
@@ -153,13 +153,13 @@
             Some(RETRY_DELAY),
         )
     };
-    let mut failure = ErrorResponse::new(StatusCode::CONFLICT, Verdict::MayHaveRun, error)
+    let mut error_response = ErrorResponse::new(StatusCode::CONFLICT, Verdict::MayHaveRun, error)
         .with_field(header::REQUEST_ID)
         .with_request(&call.id);
     if let Some(after) = retry {
-        failure = failure.with_retry_after(after);
+        error_response = error_response.with_retry_after(after);
     }
-    failure.into()
+    error_response.into()
 }
 
 /// Returns the stored response for a repeated request.
--- a/crates/stairstalld/src/call/spill.rs
+++ b/crates/stairstalld/src/call/spill.rs
@@ -90,8 +90,9 @@
         return None;
     }
     let status = viz::StatusCode::BAD_GATEWAY;
-    let failure = ErrorResponse::new(status, error.verdict(), format!("{}: {error}", peer.zone));
-    Some(failure.with_request(&call.id).into())
+    let error_response =
+        ErrorResponse::new(status, error.verdict(), format!("{}: {error}", peer.zone));
+    Some(error_response.with_request(&call.id).into())
 }
 
 impl Call {
--- a/crates/stairstalld/src/holder.rs
+++ b/crates/stairstalld/src/holder.rs
@@ -61,7 +61,7 @@
 /// State that a daemon keeps between its tenures.
 #[derive(Debug, Default)]
 struct History {
-    /// Highest token that ended a tenure of this daemon.
+    /// Highest token by which a tenure of this daemon was fenced.
     highest_token: u64,
     /// Earliest time of the next tenure without the store.
     not_before: Timestamp,
--- a/crates/stairstalld/src/holder/tenure.rs
+++ b/crates/stairstalld/src/holder/tenure.rs
@@ -133,6 +133,7 @@
         end
     }
 
+    /// Renews the role's lease in the background.
     fn renew_lease(&self, role: RoleLease) -> AbortOnDrop {
         let (daemon, sender) = (Arc::clone(&self.daemon), self.lease_sender.clone());
         AbortOnDrop(tokio::spawn(async move {
@@ -153,6 +154,7 @@
         }))
     }
 
+    /// Revokes the role's lease, if the tenure has one.
     async fn release_lease(&self) {
         if let Some(role) = self.lease {
             let _ = self.daemon.store.revoke(role.id).await;
@@ -318,6 +320,7 @@
         self.publish(now);
     }
 
+    /// Sends a request to every worker whose next sync has come.
     fn send_syncs(&mut self, now: Timestamp) {
         for worker in self.scheduler.due(now) {
             if let Some(request) = self.scheduler.next_sync(&worker, now) {
--- a/crates/stairstalld/src/jobs.rs
+++ b/crates/stairstalld/src/jobs.rs
@@ -63,7 +63,7 @@
 }
 
 /// Chooses the zone of a job: the requested one, the one of a rule, the one of the customer's
-/// guarantee, or the one with the most free capacity.
+/// guarantee, or the one where the job fits best.
 fn choose_zone(daemon: &Daemon, spec: &JobSpec) -> ZoneId {
     let own = &daemon.settings.zone;
     let configuration = daemon.configuration();
@@ -81,8 +81,8 @@
         (zone, "has the customer's guarantee")
     } else {
         (
-            zone_with_most_capacity(daemon, spec).unwrap_or_else(|| own.clone()),
-            "has the most free capacity",
+            preferred_zone(daemon, spec).unwrap_or_else(|| own.clone()),
+            "has free capacity",
         )
     };
     log::info!(target: "decision", job:% = spec.key(), zone:% = zone; "zone chosen: {reason}");
@@ -92,7 +92,7 @@
 /// Returns the zone that fits the job best among those with a live placement holder. A zone where
 /// the job may start at once comes first, then one that is large enough, then this zone, then the
 /// one with the fewest waiting jobs and the most free accelerators.
-fn zone_with_most_capacity(daemon: &Daemon, spec: &JobSpec) -> Option<ZoneId> {
+fn preferred_zone(daemon: &Daemon, spec: &JobSpec) -> Option<ZoneId> {
     let now = daemon.clock.now();
     let needed = spec.shape.total_accelerators();
     let own = &daemon.settings.zone;
