--- a/crates/stairstalld/src/serve.rs
+++ b/crates/stairstalld/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a daemon and stops them without cutting anything off.
+//! Starts the servers and background tasks of a daemon, and drains them on a stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,70 +11,71 @@
 use tokio::task::JoinHandle;
 
 use crate::daemon::Daemon;
-use crate::dispatch::PUMP_INTERVAL;
+use crate::dispatch::DISPATCH_INTERVAL;
 use crate::listener::NoDelayListener;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
-use crate::shutdown::{self, Drained, Shutdown};
+use crate::shutdown::{self, DrainOutcome, Shutdown};
 use crate::{api, follow, holder, peers};
 
-/// How long a caller may take to send a request's head.
+/// Timeout for reading a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a stopping daemon looks whether requests are still in flight.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
-/// Questions that wait for the placement role.
-const QUERIES: usize = 64;
+/// How often a stopping daemon checks whether requests are still in flight.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity of the channel of queries to the placement role.
+const QUERY_CAPACITY: usize = 64;
 
 quick_error! {
-    /// Why a daemon ended other than by a stop.
+    /// Why a daemon failed to start, or to stop with everything answered.
     #[derive(Debug)]
     pub enum RunError {
-        /// Something of the operating system failed.
+        /// A call to the operating system failed.
         System(what: &'static str, source: std::io::Error) {
             display("{what}: {source}")
             source(source)
         }
-        /// Requests in flight took longer than allowed.
-        Cut(in_flight: usize) {
+        /// The drain limit was reached with this many requests in flight.
+        RequestsAborted(in_flight: usize) {
             display("stopped with {in_flight} requests in flight: the drain limit was reached")
         }
-        /// Calls took longer than allowed.
-        CutOff {
+        /// The drain limit was reached with calls still open.
+        CallsAborted {
             display("stopped before all calls had their answers: the drain limit was reached")
         }
     }
 }
 
-pub(crate) fn system(what: &'static str) -> impl Fn(std::io::Error) -> RunError {
+/// Returns a function that wraps an operating system error with what failed.
+pub(crate) fn system_error(what: &'static str) -> impl Fn(std::io::Error) -> RunError {
     move |source| RunError::System(what, source)
 }
 
-/// Serves until a signal asks for a stop and everything in flight has ended.
+/// Runs a daemon until a signal requests a stop and all requests in flight have ended.
 ///
 /// # Errors
 ///
-/// Returns what failed at the start, or that the drain limit cut requests off.
+/// Returns what failed at the start, or that requests were still in flight at the drain limit.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
     runtime
-        .map_err(system("runtime"))?
+        .map_err(system_error("runtime"))?
         .block_on(serve(settings))
 }
 
 async fn serve(settings: Settings) -> Result<(), RunError> {
     let listener = TcpListener::bind(settings.listen)
         .await
-        .map_err(system("--listen"))?;
-    let address = listener.local_addr().map_err(system("--listen"))?;
-    let metrics = Metrics::new(settings.statsd).map_err(system("--statsd"))?;
-    let (queries, inbox) = mpsc::channel(QUERIES);
+        .map_err(system_error("--listen"))?;
+    let address = listener.local_addr().map_err(system_error("--listen"))?;
+    let metrics = Metrics::new(settings.statsd).map_err(system_error("--statsd"))?;
+    let (queries, inbox) = mpsc::channel(QUERY_CAPACITY);
     let daemon = Arc::new(Daemon::new(settings, address, metrics, queries));
     let (rpc_address, rpc) = peers::serve(Arc::clone(&daemon))
         .await
-        .map_err(system("--rpc-listen"))?;
-    log::info!(target: "start", vm:% = daemon.me(), zone:% = daemon.settings.zone,
+        .map_err(system_error("--rpc-listen"))?;
+    log::info!(target: "start", vm:% = daemon.vm(), zone:% = daemon.settings.zone,
         listen:% = address, rpc:% = rpc_address; "serving");
     start_background(&daemon, inbox);
 
@@ -83,16 +84,16 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT);
-    tokio::spawn(shutdown::log_hang_ups(daemon.me().clone()));
+    tokio::spawn(shutdown::log_hangup_signals(daemon.vm().clone()));
     let shutdown = Shutdown {
-        vm: daemon.me().clone(),
+        vm: daemon.vm().clone(),
         leaving: daemon.leaving.clone(),
         delay: daemon.settings.drain_delay,
         limit: daemon.settings.drain_limit,
     };
     let server =
         viz::Server::with_builder(NoDelayListener(listener), api::router(&daemon), builder)
-            .signal(shutdown.clone().asked());
+            .signal(shutdown.clone().stop_requested());
     let serving = tokio::spawn(server.into_future());
     let result = drain(&daemon, &shutdown, serving).await;
     let _ = rpc.stop();
@@ -102,30 +103,30 @@
 fn start_background(daemon: &Arc<Daemon>, inbox: mpsc::Receiver<holder::Query>) {
     tokio::spawn(follow::follow_vms(Arc::clone(daemon)));
     tokio::spawn(follow::follow_configuration(Arc::clone(daemon)));
-    tokio::spawn(peers::beat(Arc::clone(daemon)));
+    tokio::spawn(peers::exchange_heartbeats(Arc::clone(daemon)));
     tokio::spawn(holder::run(Arc::clone(daemon), inbox));
-    let pumping = Arc::clone(daemon);
+    let dispatching = Arc::clone(daemon);
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(PUMP_INTERVAL).await;
-            pumping.dispatcher.pump();
+            tokio::time::sleep(DISPATCH_INTERVAL).await;
+            dispatching.dispatcher.assign_free_slots();
         }
     });
 }
 
-/// Waits for everything in flight to end, up to the limit.
+/// Waits for all requests in flight to end, up to the drain limit.
 async fn drain(
     daemon: &Daemon,
     shutdown: &Shutdown,
     serving: JoinHandle<std::io::Result<()>>,
 ) -> Result<(), RunError> {
-    if shutdown.drain(serving).await? == Drained::CutOff {
-        return Err(RunError::Cut(daemon.dispatcher.in_flight()));
+    if shutdown.drain(serving).await? == DrainOutcome::TimedOut {
+        return Err(RunError::RequestsAborted(daemon.dispatcher.in_flight()));
     }
-    // Not-repeatable requests are seen to their end also after their callers left.
+    // Not-repeatable requests may still run although their callers have disconnected.
     while daemon.dispatcher.in_flight() > 0 {
-        tokio::time::sleep(DRAIN_INTERVAL).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    log::info!(target: "stop", vm:% = daemon.me(); "nothing is in flight: stopped");
+    log::info!(target: "stop", vm:% = daemon.vm(); "stopped with no request in flight");
     Ok(())
 }
