--- a/crates/stairstall-core/src/batch/planner.rs
+++ b/crates/stairstall-core/src/batch/planner.rs
@@ -2,7 +2,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{AcceptedJob, CallerState, Catalog, CustomerUsage, Decision, DecisionKind, GroupKey, JobSummary, Outcome, Policy, Progress, RunTimes, UrgentDemand, WorkerPaces};
+use super::{
+    AcceptedJob, CallerState, Catalog, CustomerUsage, Decision, DecisionKind, GroupKey, JobSummary,
+    Outcome, Policy, Progress, RunTimes, UrgentDemand, WorkerPaces,
+};
 use crate::{JobId, Timestamp, WorkerId};
 
 mod adopt;
--- a/crates/stairstall-core/src/batch/planner/contact.rs
+++ b/crates/stairstall-core/src/batch/planner/contact.rs
@@ -5,7 +5,9 @@
 
 use super::pool::{AnswerSource, Run, RunState};
 use super::{Now, Planner, Worker};
-use crate::batch::{Decision, Incarnation, ReportRequest, RunEndKind, RunningTask, TaskKey, WorkerReport};
+use crate::batch::{
+    Decision, Incarnation, ReportRequest, RunEndKind, RunningTask, TaskKey, WorkerReport,
+};
 use crate::{Timestamp, WorkerId, ZoneId};
 
 impl Planner {
--- a/crates/stairstall-core/src/batch/planner/job.rs
+++ b/crates/stairstall-core/src/batch/planner/job.rs
@@ -2,7 +2,9 @@
 use std::time::Duration;
 
 use crate::batch::timeline::{JobPhase, JobTimeline};
-use crate::batch::{AcceptedJob, GroupKey, Incarnation, Outcome, RunPlacement, StepSpec, TaskKey, TaskLosses};
+use crate::batch::{
+    AcceptedJob, GroupKey, Incarnation, Outcome, RunPlacement, StepSpec, TaskKey, TaskLosses,
+};
 use crate::{JobId, Timestamp, WorkerId};
 
 use super::Now;
--- a/crates/stairstall-core/src/batch/planner/paces.rs
+++ b/crates/stairstall-core/src/batch/planner/paces.rs
@@ -5,7 +5,9 @@
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
-use crate::batch::{GroupKey, PaceSummary, ProgressSample, RunProgress, StepSpec, TaskKey, WorkerPace, WorkerPaces};
+use crate::batch::{
+    GroupKey, PaceSummary, ProgressSample, RunProgress, StepSpec, TaskKey, WorkerPace, WorkerPaces,
+};
 use crate::time::millis;
 use crate::{Timestamp, WorkerId};
 
--- a/crates/stairstall-core/src/batch/planner/placement/choose.rs
+++ b/crates/stairstall-core/src/batch/planner/placement/choose.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::super::candidate_worker::{CandidateWorker, SearchScope, self};
+use super::super::candidate_worker::{self, CandidateWorker, SearchScope};
 use super::cost::PaceCosts;
 use crate::batch::{Resources, StepSpec, TaskKey};
 use crate::{RackId, WorkerId};
--- a/crates/stairstall-core/src/batch/planner/run_times.rs
+++ b/crates/stairstall-core/src/batch/planner/run_times.rs
@@ -4,7 +4,9 @@
 
 use super::pool::{Run, RunState};
 use super::{Now, Planner};
-use crate::batch::{EstimatedWork, GroupKey, RunTime, RunTimeObservation, RunTimes, StepSpec, TaskKey};
+use crate::batch::{
+    EstimatedWork, GroupKey, RunTime, RunTimeObservation, RunTimes, StepSpec, TaskKey,
+};
 use crate::{RackId, Timestamp, WorkerId};
 
 /// Lower bound of the pace factor by which an observed duration is divided.
--- a/crates/stairstall-core/src/batch/planner/timing.rs
+++ b/crates/stairstall-core/src/batch/planner/timing.rs
@@ -50,10 +50,7 @@
     /// Returns the time until the next tick is due if there is no input before.
     #[must_use]
     pub fn next_tick(&self, now: Now) -> Duration {
-        let eligible = self
-            .jobs
-            .values()
-            .filter_map(Job::next_eligible_unix_ms);
+        let eligible = self.jobs.values().filter_map(Job::next_eligible_unix_ms);
         let eligible = eligible.min();
         let eligible = eligible.map(|at| Duration::from_millis(at.saturating_sub(now.unix_ms)));
         let replan = self.replan_at.map(|at| at - now.at);
--- a/crates/stairstall-core/src/batch/planner/usage.rs
+++ b/crates/stairstall-core/src/batch/planner/usage.rs
@@ -7,7 +7,10 @@
 use super::job::Job;
 use super::{Now, Planner};
 use crate::CustomerId;
-use crate::batch::{CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec, Timeliness};
+use crate::batch::{
+    CompletionObjective, CustomerUsageTotal, FleetCapacity, GroupKey, SchedulingKey, StepSpec,
+    Timeliness,
+};
 use crate::time::millis;
 
 /// Weight of every customer: beyond the guaranteed shares, all customers are equal.
--- a/crates/stairstall-core/src/placement/scheduler/contact.rs
+++ b/crates/stairstall-core/src/placement/scheduler/contact.rs
@@ -3,7 +3,9 @@
 
 use super::Scheduler;
 use crate::placement::JobKey;
-use crate::protocol::{Command, Order, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, VmState};
+use crate::protocol::{
+    Command, Order, SyncReply, SyncRequest, TaskId, TaskPhase, TaskReport, VmState,
+};
 use crate::{Lease, RackId, Timestamp, VmId};
 
 /// Timeout of a sync request. The daemon treats a later reply as a failure.
--- a/crates/stairstall-core/src/placement/scheduler/summary.rs
+++ b/crates/stairstall-core/src/placement/scheduler/summary.rs
@@ -3,7 +3,9 @@
 use super::Scheduler;
 use super::entry::Stage;
 use crate::Timestamp;
-use crate::placement::{Access, Block, Fit, FreeCapacity, HomeBlocks, Inventory, JobKey, RunPhase, Shape};
+use crate::placement::{
+    Access, Block, Fit, FreeCapacity, HomeBlocks, Inventory, JobKey, RunPhase, Shape,
+};
 use crate::protocol::{Explanation, ExplanationEntry};
 
 /// Fragmentation of the free accelerators of a zone.
--- a/crates/stairstall-core/tests/batch/harness/fixtures.rs
+++ b/crates/stairstall-core/tests/batch/harness/fixtures.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use stairstall_core::batch::{AcceptedJob, BatchSpec, Bounds, Catalog, Customer, ListedWorker, Queue, Resources, Route, StepSpec, TaskKey};
+use stairstall_core::batch::{
+    AcceptedJob, BatchSpec, Bounds, Catalog, Customer, ListedWorker, Queue, Resources, Route,
+    StepSpec, TaskKey,
+};
 use stairstall_core::claim::Mark;
 use stairstall_core::{CustomerId, JobId};
 
--- a/crates/stairstalld/src/batch/caller_api.rs
+++ b/crates/stairstalld/src/batch/caller_api.rs
@@ -4,13 +4,16 @@
 use std::time::Duration;
 
 use http_body_util::{BodyExt, Collected, Full, LengthLimitError, Limited};
-use stairstall_core::batch::{AcceptedJob, Access, Admission, AdmissionRefusal, AdmissionRefusalReason, BatchSpec, CallerState, Catalog, Route};
+use stairstall_core::batch::{
+    AcceptedJob, Access, Admission, AdmissionRefusal, AdmissionRefusalReason, BatchSpec,
+    CallerState, Catalog, Route,
+};
 use stairstall_core::{CustomerId, JobId, Verdict};
 use viz::header::{AUTHORIZATION, CONNECTION, CONTENT_TYPE, HOST, HeaderValue};
 use viz::{Body, Method, Request, Response, Result, Router, StatusCode};
 
-use super::accept::{Acceptance, Cancellation, self};
-use super::admission::{RefusalOutcome, self};
+use super::accept::{self, Acceptance, Cancellation};
+use super::admission::{self, RefusalOutcome};
 use super::node::Node;
 use super::queries;
 use super::rpc::JobAnswer;
--- a/crates/stairstalld/src/batch/encoding/tests.rs
+++ b/crates/stairstalld/src/batch/encoding/tests.rs
@@ -1,4 +1,6 @@
-use stairstall_core::batch::{GroupProgress, Incarnation, LearnedEstimates, Progress, RunPlacement, StoredPace, StoredRatios};
+use stairstall_core::batch::{
+    GroupProgress, Incarnation, LearnedEstimates, Progress, RunPlacement, StoredPace, StoredRatios,
+};
 
 use super::{decode, encode};
 
--- a/crates/stairstalld/src/batch/serve.rs
+++ b/crates/stairstalld/src/batch/serve.rs
@@ -16,7 +16,7 @@
 use super::{caller_api, catalog, health, reachability, role, rpc};
 use crate::listener::NoDelayListener;
 use crate::serve::{RunError, system_error};
-use crate::shutdown::{DrainOutcome, Shutdown, self};
+use crate::shutdown::{self, DrainOutcome, Shutdown};
 
 /// Longest time that a caller may take to send a request head, or leave a connection idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/stairstalld/src/configure.rs
+++ b/crates/stairstalld/src/configure.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use stairstall_core::config::{Change, Configuration, Head, HeadError, ResourceKind, Revision, TailEntry};
+use stairstall_core::config::{
+    Change, Configuration, Head, HeadError, ResourceKind, Revision, TailEntry,
+};
 use stairstall_core::protocol::{ConfigReply, GuaranteeCheckReply, GuaranteeCheckRequest};
 use stairstall_core::{Verdict, ZoneId};
 use stairstall_store::{Expect, StoreError, Swap};
@@ -224,7 +226,8 @@
         if before == after {
             continue;
         }
-        match check_guarantees_in(daemon, &zone, GuaranteeCheckRequest { guarantees: after }).await {
+        match check_guarantees_in(daemon, &zone, GuaranteeCheckRequest { guarantees: after }).await
+        {
             Some(GuaranteeCheckReply::Kept) => {}
             Some(GuaranteeCheckReply::NotKept { reason }) => {
                 let error = ErrorResponse::new(StatusCode::CONFLICT, Verdict::NotRun, reason);
--- a/crates/stairstalld/src/dispatch.rs
+++ b/crates/stairstalld/src/dispatch.rs
@@ -7,7 +7,9 @@
 use stairstall_core::admission::{FairQueue, Flow, Refusal, Ticket};
 use stairstall_core::config::Configuration;
 use stairstall_core::protocol::ServiceLoad;
-use stairstall_core::routing::{MinionInfo, MinionTable, Pick, PickRefusal, RequestOutcome, SlotShares};
+use stairstall_core::routing::{
+    MinionInfo, MinionTable, Pick, PickRefusal, RequestOutcome, SlotShares,
+};
 use stairstall_core::{MinionId, ServiceId, Timestamp, VmId};
 use tokio::sync::oneshot;
 
--- a/crates/stairstalld/src/peers.rs
+++ b/crates/stairstalld/src/peers.rs
@@ -12,7 +12,9 @@
 use stairstall_core::config::Configuration;
 use stairstall_core::membership::MemberTable;
 use stairstall_core::placement::JobKey;
-use stairstall_core::protocol::{Explanation, GuaranteeCheckReply, GuaranteeCheckRequest, Heartbeat, VmEntry, VmRole};
+use stairstall_core::protocol::{
+    Explanation, GuaranteeCheckReply, GuaranteeCheckRequest, Heartbeat, VmEntry, VmRole,
+};
 use stairstall_core::{Timestamp, VmId, ZoneId};
 use tokio::sync::oneshot;
 
