--- a/crates/stairstall-core/src/admission/fair_queue.rs
+++ b/crates/stairstall-core/src/admission/fair_queue.rs
@@ -77,6 +77,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct FlowState {
+    /// Weight given with the latest request, at least 1.
     weight: u32,
     /// Virtual start time of the flow's next request; the lowest is served first.
     start_tag: u64,
@@ -85,10 +86,10 @@
 
 /// Bounded queues, one for each [`Flow`], served in proportion to their weights.
 ///
-/// Implements start-time fair queueing: the flow with the lowest virtual time is
-/// served next, and each request served advances the flow's virtual time by the
-/// inverse of its weight. A burst in one flow therefore delays only that flow,
-/// and no flow starves.
+/// Implements start-time fair queueing: each flow has a start tag, a point in
+/// virtual time. The flow with the lowest start tag is served next, and each
+/// request served advances the flow's start tag in inverse proportion to its
+/// weight. A burst in one flow therefore delays only that flow, and no flow starves.
 ///
 /// # Examples
 ///
@@ -107,18 +108,22 @@
 pub struct FairQueue {
     flows: BTreeMap<Flow, FlowState>,
     flow_by_ticket: BTreeMap<Ticket, Flow>,
+    /// Highest start tag of the requests served so far.
     virtual_time: u64,
     next_ticket: u64,
     capacity: usize,
     flow_capacity: usize,
     /// Moving average of the time between two pops while the queue is non-empty, in microseconds.
-    interval_micros: u64,
+    pop_interval_micros: u64,
+    /// When the last request was popped; `None` if that left the queue empty.
     last_pop: Option<Timestamp>,
 }
 
 impl FairQueue {
     /// Virtual time charged for one request to a flow of weight one.
     const REQUEST_COST: u64 = 1 << 20;
+    /// Longest time between two pops that enters the moving average, in microseconds.
+    const MAX_POP_INTERVAL_MICROS: u64 = 1_000_000;
     /// Bounds of the retry delay that refused callers are told.
     const RETRY_AFTER_BOUNDS: RetryAfterBounds = RetryAfterBounds {
         shortest: Duration::from_secs(1),
@@ -135,7 +140,7 @@
             next_ticket: 0,
             capacity,
             flow_capacity,
-            interval_micros: 0,
+            pop_interval_micros: 0,
             last_pop: None,
         }
     }
@@ -202,7 +207,7 @@
             + u64::from(weight.max(1));
         let requests_ahead =
             (waiting_in_flow * total_weight / u64::from(weight.max(1))).min(self.len() as u64);
-        Duration::from_micros(requests_ahead * self.interval_micros)
+        Duration::from_micros(requests_ahead * self.pop_interval_micros)
     }
 
     fn next_flow(&self) -> Option<(&Flow, &FlowState)> {
@@ -261,16 +266,16 @@
     fn record_pop(&mut self, now: Timestamp) {
         if let Some(last) = self.last_pop {
             let sample = u64::try_from((now - last).as_micros()).unwrap_or(u64::MAX);
-            let sample = sample.min(1_000_000);
-            self.interval_micros = (self.interval_micros * 15 + sample) / 16;
+            let sample = sample.min(Self::MAX_POP_INTERVAL_MICROS);
+            self.pop_interval_micros = (self.pop_interval_micros * 15 + sample) / 16;
         }
         self.last_pop = (!self.is_empty()).then_some(now);
     }
 
     /// Removes flows that are empty and not ahead of the virtual time, which bounds the state.
     fn remove_idle_flows(&mut self) {
-        let now = self.virtual_time;
+        let virtual_time = self.virtual_time;
         self.flows
-            .retain(|_, state| !state.waiting.is_empty() || state.start_tag > now);
+            .retain(|_, state| !state.waiting.is_empty() || state.start_tag > virtual_time);
     }
 }
--- a/crates/stairstall-core/src/admission/retry_after.rs
+++ b/crates/stairstall-core/src/admission/retry_after.rs
@@ -33,7 +33,8 @@
 }
 
 impl RetryAfterSchedule {
-    /// Delays that would reach the longest one are spread at random over the last quarter below it.
+    /// Delays that would reach the longest one are spread at random over the last part below it:
+    /// the longest delay divided by this.
     const SPREAD_DIVISOR: u32 = 4;
 
     /// Creates a schedule in which no retry time is assigned yet.
@@ -46,9 +47,10 @@
         }
     }
 
-    /// Returns the delay for the next refused caller, who should wait about `wait`.
+    /// Returns the delay for the next refused caller, whose request is expected to succeed after
+    /// `wait`.
     ///
-    /// `random`, from 0 to 1, adds jitter.
+    /// `random`, a random number from 0 to 1, determines the jitter.
     pub fn next(&mut self, wait: Duration, now: Timestamp, random: f64) -> Duration {
         let random = random.clamp(0.0, 1.0);
         let earliest = now + self.bounds.clamp(wait);
--- a/crates/stairstall-core/src/admission/retry_budget.rs
+++ b/crates/stairstall-core/src/admission/retry_budget.rs
@@ -18,6 +18,7 @@
 pub struct RetryBudget {
     /// Available tokens; one token is a hundredth of a retry.
     tokens: u32,
+    /// Time up to which the tokens per second have been added.
     refilled_at: Timestamp,
 }
 
@@ -28,7 +29,7 @@
     const TOKENS_PER_REQUEST: u32 = 10;
     /// Tokens added per second regardless of load: three retries.
     const TOKENS_PER_SECOND: u32 = 300;
-    /// Maximum number of tokens: fifty retries.
+    /// Maximum number of tokens that the budget holds: fifty retries.
     const MAX_TOKENS: u32 = 5_000;
 
     /// Creates a budget that holds the tokens of one second.
@@ -49,6 +50,7 @@
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
         let seconds = (now - self.refilled_at).as_secs();
         if seconds > 0 {
+            // The limit avoids an overflow; the tokens of a minute exceed `MAX_TOKENS`.
             let refill = u32::try_from(seconds.min(60)).unwrap_or(60) * Self::TOKENS_PER_SECOND;
             self.tokens = (self.tokens + refill).min(Self::MAX_TOKENS);
             self.refilled_at = self.refilled_at + Duration::from_secs(seconds);
--- a/crates/stairstall-core/src/config/follower.rs
+++ b/crates/stairstall-core/src/config/follower.rs
@@ -5,12 +5,12 @@
 /// Result of offering a head or a configuration to a [`Follower`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It was newer and is now in effect.
+    /// The offer was newer and is now in effect.
     Applied,
-    /// It is not newer than the configuration in effect.
+    /// The offer is not newer than the configuration in effect.
     Stale,
-    /// The tail does not reach back to the configuration in effect; load the snapshot of this
-    /// revision.
+    /// The tail of the head does not reach back to the configuration in effect, or one of its
+    /// changes can't be applied; load the snapshot of this revision.
     NeedsSnapshot(Revision),
 }
 
--- a/crates/stairstall-core/src/config/head.rs
+++ b/crates/stairstall-core/src/config/head.rs
@@ -11,7 +11,7 @@
         Conflict(current: Revision) {
             display("the configuration is at revision {current} by now; look at it and try again")
         }
-        /// The head and the configuration have different revisions; read both again.
+        /// The head and the configuration have different revisions; both must be read again.
         RevisionMismatch {
             display("the configuration moved on meanwhile")
         }
@@ -43,7 +43,8 @@
     pub revision: Revision,
     /// Revision of the newest snapshot.
     pub snapshot: Revision,
-    /// The most recent changes, in order and without gaps; includes all changes after the snapshot.
+    /// The most recent changes, by ascending revision and without gaps; includes all changes after
+    /// the snapshot.
     pub tail: Vec<TailEntry>,
 }
 
--- a/crates/stairstall-core/src/config/resource.rs
+++ b/crates/stairstall-core/src/config/resource.rs
@@ -15,7 +15,7 @@
     /// Labels, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Weight in the division of resources among customers of one class; at least 1.
+    /// Weight in the division of request slots and accelerators among customers, from 1 to 1000.
     #[serde(default = "one")]
     pub weight: u32,
     /// Maximum number of accelerators in use at a time outside of its guarantees; `None` means no
@@ -35,7 +35,7 @@
     pub labels: Labels,
     /// Jobs of higher levels are placed first.
     pub level: u8,
-    /// Weight in the division of request slots among classes; at least 1.
+    /// Weight in the division of request slots among classes, from 1 to 1000.
     #[serde(default = "one")]
     pub weight: u32,
     /// Whether waiting jobs of the class preempt jobs of lower levels.
@@ -81,13 +81,13 @@
 pub struct Rule {
     /// Unique name among the resources of this kind.
     pub name: RuleId,
-    /// Labels, which selectors match.
+    /// Labels of the rule itself.
     #[serde(default)]
     pub labels: Labels,
     /// Rules apply in ascending order; later ones override earlier ones.
     #[serde(default)]
     pub order: u32,
-    /// Condition on the labels of jobs and requests.
+    /// Condition on the labels of jobs and requests that the rule applies to.
     pub selector: Selector,
     /// Settings that the rule applies.
     pub effect: RuleEffect,
@@ -183,7 +183,7 @@
     PriorityClass(PriorityClass),
     /// A guarantee.
     Guarantee(Guarantee),
-    /// A placement rule.
+    /// A rule.
     Rule(Rule),
     /// A service.
     Service(Service),
--- a/crates/stairstall-core/src/config/state.rs
+++ b/crates/stairstall-core/src/config/state.rs
@@ -47,14 +47,14 @@
     pub classes: BTreeMap<ClassId, PriorityClass>,
     /// Guarantees by name.
     pub guarantees: BTreeMap<GuaranteeId, Guarantee>,
-    /// Placement rules by name.
+    /// Rules by name.
     pub rules: BTreeMap<RuleId, Rule>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
 }
 
 impl Configuration {
-    /// Returns the next revision: this configuration with `change` applied.
+    /// Returns the configuration of the next revision: this one with `change` applied.
     ///
     /// # Errors
     ///
@@ -103,7 +103,8 @@
 
     /// Returns the combined effect of all rules that match `labels`.
     ///
-    /// Where several rules set the same value, the rule with the highest order wins.
+    /// Where several rules set the same value, the rule with the highest order wins; among rules of
+    /// equal order, the last by name.
     #[must_use]
     pub fn effect_on(&self, labels: &Labels) -> RuleEffect {
         let mut rules: Vec<&Rule> = self
--- a/crates/stairstall-core/src/id.rs
+++ b/crates/stairstall-core/src/id.rs
@@ -55,7 +55,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Returns the placeholder `unknown`, for a name that is not known.
+            /// Returns the identifier `unknown`, a placeholder for a missing name.
             #[must_use]
             pub fn unknown() -> Self {
                 Self("unknown".into())
@@ -140,7 +140,7 @@
     GuaranteeId
 );
 id!(
-    /// Identifies a placement rule.
+    /// Identifies a configuration rule.
     RuleId
 );
 id!(
--- a/crates/stairstall-core/src/label/selector.rs
+++ b/crates/stairstall-core/src/label/selector.rs
@@ -8,7 +8,7 @@
 use crate::id::{IdError, check_name};
 
 quick_error! {
-    /// Why labels or a selector can't be parsed.
+    /// Why labels or a selector are invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SelectorError {
         /// A part has none of the supported forms.
@@ -20,7 +20,7 @@
             display("{name:?}: {source}")
             source(source)
         }
-        /// There are more labels than allowed on one object.
+        /// There are more labels than allowed in one set.
         TooMany(count: usize) {
             display("{count} labels are more than {}", super::set::MAX_LABELS)
         }
@@ -30,7 +30,7 @@
 /// One condition on one label.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Requirement {
-    /// The label has one of these values.
+    /// The label is present and has one of these values.
     In(String, Vec<String>),
     /// The label is absent or has a different value.
     NotEqual(String, String),
--- a/crates/stairstall-core/src/label/set.rs
+++ b/crates/stairstall-core/src/label/set.rs
@@ -7,7 +7,7 @@
 use super::SelectorError;
 use crate::id::{IdError, check_name};
 
-/// Maximum number of labels on one object.
+/// Maximum number of labels in a set that is parsed or deserialized.
 pub const MAX_LABELS: usize = 32;
 
 /// A set of labels, each a name with one value, sorted by name.
--- a/crates/stairstall-core/src/lease.rs
+++ b/crates/stairstall-core/src/lease.rs
@@ -45,8 +45,8 @@
         self.requested_at + self.ttl.saturating_sub(self.ttl / Self::DRIFT_DIVISOR)
     }
 
-    /// Returns when every other party may treat a lease granted at `granted_at` as expired: `ttl`
-    /// plus the drift margin later.
+    /// Returns when other parties may rely on the lease being expired, if it was granted by
+    /// `granted_at` at the latest: `ttl` plus the drift margin later.
     #[must_use]
     pub fn expired_for_all_at(&self, granted_at: Timestamp) -> Timestamp {
         granted_at + (self.ttl + self.ttl / Self::DRIFT_DIVISOR)
--- a/crates/stairstall-core/src/lib.rs
+++ b/crates/stairstall-core/src/lib.rs
@@ -6,6 +6,7 @@
 //!
 //! - [`Verdict`] states whether a request may have run.
 //! - [`admission`] queues requests fairly and limits retries.
+//! - [`claim`] ensures that a non-repeatable request runs at most once over all daemons.
 //! - [`routing`] selects a minion for each request without exceeding the minion's slots.
 //! - [`batch`] schedules jobs, made of steps and tasks, on the workers of all zones.
 //! - [`placement`] places gang jobs on racks such that guaranteed accelerators can be reclaimed.
--- a/crates/stairstall-core/src/membership.rs
+++ b/crates/stairstall-core/src/membership.rs
@@ -18,7 +18,7 @@
 }
 
 impl MemberTable {
-    /// Interval between heartbeats within a zone.
+    /// Interval between the heartbeats of a daemon within its zone.
     pub const INTERVAL: Duration = Duration::from_millis(500);
     /// Minimum time that a daemon is considered alive after its last heartbeat.
     pub const TIMEOUT: Duration = Duration::from_secs(2);
@@ -29,7 +29,8 @@
     pub const MIN_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(1);
     /// Longest interval between heartbeats to other zones.
     pub const MAX_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(6);
-    /// Number of announced heartbeat intervals after which a daemon is no longer considered alive.
+    /// A daemon is considered alive for this many of its announced heartbeat intervals, but at least
+    /// for [`MemberTable::TIMEOUT`].
     const TIMEOUT_INTERVALS: u32 = 3;
     /// How long the last heartbeat of a silent daemon is retained.
     const RETENTION: Duration = Duration::from_secs(600);
@@ -74,7 +75,7 @@
         Self::TIMEOUT.max(Duration::from_millis(heartbeat.every_ms) * Self::TIMEOUT_INTERVALS)
     }
 
-    /// Returns the live daemons of `zone` and `me`, sorted by name.
+    /// Returns the live daemons of `zone`, including `me`, sorted by name.
     #[must_use]
     pub fn in_zone(&self, zone: &ZoneId, me: &VmId, now: Timestamp) -> Vec<VmId> {
         let mut members: Vec<VmId> = self
@@ -90,7 +91,7 @@
 
     /// Returns the heartbeat of the live daemon that holds the placement role in `zone`.
     ///
-    /// If several claim to hold it, the one with the highest fencing token counts.
+    /// If several daemons report that they hold it, the one with the highest fencing token counts.
     #[must_use]
     pub fn holder(&self, zone: &ZoneId, now: Timestamp) -> Option<&Heartbeat> {
         self.live(now)
--- a/crates/stairstall-core/src/protocol/caller.rs
+++ b/crates/stairstall-core/src/protocol/caller.rs
@@ -85,6 +85,6 @@
     pub job: JobKey,
     /// Current state of the job, in one sentence.
     pub summary: String,
-    /// Most recent decisions, oldest first.
+    /// Most recent decisions on the job, oldest first.
     pub stages: Vec<ExplanationEntry>,
 }
--- a/crates/stairstall-core/src/protocol/peer.rs
+++ b/crates/stairstall-core/src/protocol/peer.rs
@@ -27,7 +27,7 @@
     pub unusable_accelerators: u32,
     /// Free accelerators that no waiting shape can use, while a job waits.
     pub lost_accelerators: u32,
-    /// Number of accelerators in the largest run of adjacent, entirely free workers.
+    /// Number of accelerators in the longest sequence of adjacent, entirely free workers.
     pub largest_free: u32,
 }
 
--- a/crates/stairstall-core/src/protocol/vm.rs
+++ b/crates/stairstall-core/src/protocol/vm.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "role", rename_all = "kebab-case")]
 pub enum VmRole {
-    /// Runs a daemon.
+    /// Runs a daemon, the entry point for callers.
     Entry {
         /// Address at which the daemon listens for its peers.
         rpc: SocketAddr,
--- a/crates/stairstall-core/src/protocol/worker.rs
+++ b/crates/stairstall-core/src/protocol/worker.rs
@@ -97,15 +97,15 @@
     pub order: Order,
 }
 
-/// Request from the placement holder to a worker, which gives orders, renews leases and asks for
-/// the state of tasks.
+/// Request by which the placement holder gives orders to a worker, renews the leases of its tasks
+/// and asks for their state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
     /// Daemon that sends the request.
     pub holder: VmId,
     /// Fencing token; the worker refuses a token lower than the highest it has seen.
     pub token: u64,
-    /// Sequence number of the request among those of one tenure to this worker.
+    /// Sequence number of the request among those that one tenure sends to this worker.
     ///
     /// The worker refuses a request that is not newer than the last one it handled,
     /// so that a delayed request has no effect.
--- a/crates/stairstall-core/src/routing/circuit.rs
+++ b/crates/stairstall-core/src/routing/circuit.rs
@@ -9,7 +9,9 @@
 /// request succeeds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
+    /// Number of consecutive faults.
     faults: u32,
+    /// When the circuit lets a request through again; `None` while it is closed.
     open_until: Option<Timestamp>,
 }
 
--- a/crates/stairstall-core/src/routing/minions.rs
+++ b/crates/stairstall-core/src/routing/minions.rs
@@ -93,8 +93,11 @@
     info: MinionInfo,
     in_flight: u16,
     circuit: CircuitBreaker,
+    /// Not selected before this time, as the minion refused a request as busy.
     busy_until: Timestamp,
+    /// Whether the minion announced in a response that it is leaving.
     announced_leaving: bool,
+    /// Whether the platform's list contains the minion.
     listed: bool,
 }
 
@@ -109,6 +112,7 @@
 pub struct MinionTable {
     minions: BTreeMap<MinionId, Minion>,
     shares: SlotShares,
+    /// Number of calls of [`MinionTable::pick`], which shifts the order among equal loads.
     rotation: usize,
 }
 
@@ -153,7 +157,7 @@
 
     /// Selects the minion with the lowest load relative to this daemon's share, and takes a slot.
     ///
-    /// Minions of equal load are selected in rotation. Minions in `avoid` are not selected.
+    /// Ties are broken by the position in the table, shifted by one with each call. Minions in `avoid` are not selected.
     ///
     /// # Errors
     ///
@@ -174,13 +178,14 @@
             }
             candidates += 1;
             let share = self.shares.share_of(&minion.info.id, slots, now);
-            let open = minion.circuit.allows(now, minion.in_flight) && now >= minion.busy_until;
-            if minion.in_flight >= share || !open || avoid.contains(&minion.info.id) {
+            let available =
+                minion.circuit.allows(now, minion.in_flight) && now >= minion.busy_until;
+            if minion.in_flight >= share || !available || avoid.contains(&minion.info.id) {
                 continue;
             }
-            let load = u32::from(minion.in_flight) * 1_000 / u32::from(share);
+            let load_permille = u32::from(minion.in_flight) * 1_000 / u32::from(share);
             let rotated = (index + self.rotation) % 64;
-            let key = (load, rotated, share, minion.info.id.clone());
+            let key = (load_permille, rotated, share, minion.info.id.clone());
             if best.as_ref().is_none_or(|b| (key.0, key.1) < (b.0, b.1)) {
                 best = Some(key);
             }
--- a/crates/stairstall-core/src/routing/shares.rs
+++ b/crates/stairstall-core/src/routing/shares.rs
@@ -31,14 +31,19 @@
     views: VecDeque<View>,
 }
 
+/// A list of live daemons of the zone.
 #[derive(Debug, Clone)]
 struct View {
     members: Vec<VmId>,
+    /// When a newer list replaced this one; `None` for the current list.
     replaced_at: Option<Timestamp>,
 }
 
 impl SlotShares {
-    /// Delay before a larger share takes effect; longer than a silent daemon stays on any list.
+    /// Delay before a larger share takes effect.
+    ///
+    /// It exceeds [`MemberTable::TIMEOUT`](crate::membership::MemberTable::TIMEOUT), the time that a
+    /// silent daemon stays on any list of live daemons.
     pub const GAIN_DELAY: Duration = Duration::from_secs(3);
 
     /// Creates the shares of the daemon `me`, which are zero until [`SlotShares::GAIN_DELAY`] has
