--- a/crates/stairstall-core/src/claim.rs
+++ b/crates/stairstall-core/src/claim.rs
@@ -50,7 +50,7 @@
 pub struct ClaimRecord {
     /// Mark of the attempt that claimed the request.
     pub mark: Mark,
-    /// Response, once it is known and if it is small enough to store.
+    /// Response, once it is complete and if it is small enough to store.
     pub answer: Option<StoredResponse>,
     /// Whether the daemon saw the request end with a complete response.
     pub finished: bool,
@@ -75,8 +75,8 @@
     Applied,
     /// A record already exists; an earlier write of the same attempt may have created it.
     Conflict(ClaimRecord),
-    /// The write did not take effect.
-    NotSent,
+    /// The write did not take effect, and no existing record is known.
+    NotApplied,
     /// The write may have taken effect; the store's response was lost.
     Lost,
 }
@@ -92,7 +92,7 @@
     Taken(ClaimRecord),
     /// The attempt failed after the last write; the request was not sent.
     GaveUp {
-        /// Whether the store may contain a record with this attempt's mark, which must be released.
+        /// Whether the store may contain a record with this attempt's mark, which must be deleted.
         record_may_exist: bool,
     },
 }
@@ -118,6 +118,7 @@
 pub struct ClaimAttempt {
     mark: Mark,
     lease: Lease,
+    /// Number of writes, including the one in progress.
     writes: u32,
     /// Whether the result of any write is unknown.
     response_lost: bool,
@@ -158,7 +159,7 @@
             ClaimWriteResult::Applied => self.mark_held(),
             ClaimWriteResult::Conflict(record) if record.mark == self.mark => self.mark_held(),
             ClaimWriteResult::Conflict(record) => ClaimStep::Taken(record),
-            ClaimWriteResult::NotSent => self.retry_or_give_up(),
+            ClaimWriteResult::NotApplied => self.retry_or_give_up(),
             ClaimWriteResult::Lost => {
                 self.response_lost = true;
                 self.retry_or_give_up()
--- a/crates/stairstall-core/src/protocol.rs
+++ b/crates/stairstall-core/src/protocol.rs
@@ -6,7 +6,7 @@
 mod worker;
 
 pub use caller::{
-    ConfigReply, ErrorBody, Explanation, ExplanationEntry, JobPage, JobStatus, header,
+    ConfigReply, ErrorBody, Explanation, ExplanationEntry, JobList, JobStatus, header,
 };
 pub use peer::{GuaranteeCheckReply, GuaranteeCheckRequest, Heartbeat, PlacementLoad, ServiceLoad};
 pub use vm::{VmEntry, VmList, VmRole, VmState};
--- a/crates/stairstall-core/src/protocol/caller.rs
+++ b/crates/stairstall-core/src/protocol/caller.rs
@@ -64,7 +64,7 @@
 
 /// Response to a query for jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobPage {
+pub struct JobList {
     /// Matching jobs, sorted by customer and name.
     pub jobs: Vec<JobStatus>,
 }
--- a/crates/stairstall-core/tests/models/claim.rs
+++ b/crates/stairstall-core/tests/models/claim.rs
@@ -126,7 +126,7 @@
                     // The request is lost, its answer is lost, or it arrives late.
                     step(&|s| {
                         s.faults -= 1;
-                        take(s, index, ClaimWriteResult::NotSent, variant);
+                        take(s, index, ClaimWriteResult::NotApplied, variant);
                     });
                     step(&|s| {
                         s.faults -= 1;
--- a/crates/stairstall/src/commands/jobs.rs
+++ b/crates/stairstall/src/commands/jobs.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use stairstall_core::batch::JobExplanation;
 use stairstall_core::placement::{JobKey, JobRecord, JobSpec, JobState};
-use stairstall_core::protocol::{Explanation, JobPage};
+use stairstall_core::protocol::{Explanation, JobList};
 use stairstall_core::{JobId, Selector};
 use tokio::time::Instant;
 
@@ -27,7 +27,7 @@
 }
 
 pub async fn get(client: &Client, output: Output, selector: &Selector) -> Result<(), Trouble> {
-    let page: JobPage = client.get(&path("/v1/jobs", selector)).await?;
+    let page: JobList = client.get(&path("/v1/jobs", selector)).await?;
     match output {
         Output::Json => render::json(&page),
         Output::Human => render::jobs(&page),
--- a/crates/stairstall/src/render.rs
+++ b/crates/stairstall/src/render.rs
@@ -7,7 +7,7 @@
     CallerState, JobExplanation, Outcome, StepExplanation, WaitExplanation,
 };
 use stairstall_core::placement::{JobRecord, JobState};
-use stairstall_core::protocol::{ConfigReply, Explanation, JobPage};
+use stairstall_core::protocol::{ConfigReply, Explanation, JobList};
 
 use crate::exit::Trouble;
 
@@ -82,7 +82,7 @@
 const JOB_HEAD: [&str; 6] = ["JOB", "CLASS", "SHAPE", "ZONE", "STATE", "VERDICT"];
 
 /// Prints jobs.
-pub fn jobs(page: &JobPage) -> Result<(), Trouble> {
+pub fn jobs(page: &JobList) -> Result<(), Trouble> {
     let rows: Vec<Vec<String>> = page.jobs.iter().map(job_row).collect();
     table(&JOB_HEAD, &rows)
 }
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -121,10 +121,10 @@
         Ok(Swap::Applied(revision)) => (ClaimWriteResult::Applied, revision),
         Ok(Swap::Conflict(Some(entry))) => match entry.read::<ClaimRecord>() {
             Some(record) => (ClaimWriteResult::Conflict(record), entry.revision),
-            None => (ClaimWriteResult::NotSent, 0),
+            None => (ClaimWriteResult::NotApplied, 0),
         },
-        Ok(Swap::Conflict(None)) => (ClaimWriteResult::NotSent, 0),
-        Err(error) if error.verdict() == Verdict::NotRun => (ClaimWriteResult::NotSent, 0),
+        Ok(Swap::Conflict(None)) => (ClaimWriteResult::NotApplied, 0),
+        Err(error) if error.verdict() == Verdict::NotRun => (ClaimWriteResult::NotApplied, 0),
         Err(_) => (ClaimWriteResult::Lost, 0),
     }
 }
--- a/crates/stairstalld/src/jobs.rs
+++ b/crates/stairstalld/src/jobs.rs
@@ -4,7 +4,7 @@
 
 use stairstall_core::membership::MemberTable;
 use stairstall_core::placement::{JobKey, JobRecord, JobSpec, JobState};
-use stairstall_core::protocol::{Explanation, ExplanationEntry, Heartbeat, JobPage};
+use stairstall_core::protocol::{Explanation, ExplanationEntry, Heartbeat, JobList};
 use stairstall_core::{Selector, Verdict, ZoneId};
 use stairstall_store::{Expect, Swap};
 use viz::{Request, RequestExt, Response, StatusCode};
@@ -211,7 +211,7 @@
     let jobs = records
         .filter(|r| selector.matches(&r.spec.all_labels()))
         .collect();
-    Ok(json(StatusCode::OK, &JobPage { jobs }))
+    Ok(json(StatusCode::OK, &JobList { jobs }))
 }
 
 /// Reads the selector in a request's query; the empty one matches everything.
