--- a/crates/stairstall-core/src/admission/fair_queue.rs
+++ b/crates/stairstall-core/src/admission/fair_queue.rs
@@ -122,7 +122,7 @@
 impl FairQueue {
     /// Virtual time charged for one request to a flow of weight one.
     const REQUEST_COST: u64 = 1 << 20;
-    /// Longest time between two pops that enters the moving average, in microseconds.
+    /// Longer times between two pops enter the moving average as this, in microseconds.
     const MAX_POP_INTERVAL_MICROS: u64 = 1_000_000;
     /// Bounds of the retry delay that refused callers are told.
     const RETRY_AFTER_BOUNDS: RetryAfterBounds = RetryAfterBounds {
@@ -267,6 +267,7 @@
         if let Some(last) = self.last_pop {
             let sample = u64::try_from((now - last).as_micros()).unwrap_or(u64::MAX);
             let sample = sample.min(Self::MAX_POP_INTERVAL_MICROS);
+            // The weight of the newest sample is 1/16.
             self.pop_interval_micros = (self.pop_interval_micros * 15 + sample) / 16;
         }
         self.last_pop = (!self.is_empty()).then_some(now);
--- a/crates/stairstall-core/src/admission/retry_after.rs
+++ b/crates/stairstall-core/src/admission/retry_after.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns the delay for the next refused caller, whose request is expected to succeed after
-    /// `wait`.
+    /// Returns the delay for the next refused caller: about `wait`, or later if other callers were
+    /// assigned that time.
     ///
     /// `random`, a random number from 0 to 1, determines the jitter.
     pub fn next(&mut self, wait: Duration, now: Timestamp, random: f64) -> Duration {
--- a/crates/stairstall-core/src/membership.rs
+++ b/crates/stairstall-core/src/membership.rs
@@ -29,8 +29,8 @@
     pub const MIN_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(1);
     /// Longest interval between heartbeats to other zones.
     pub const MAX_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(6);
-    /// A daemon is considered alive for this many of its announced heartbeat intervals, but at least
-    /// for [`MemberTable::TIMEOUT`].
+    /// A daemon is considered alive for this many of its announced heartbeat intervals, but at
+    /// least for [`MemberTable::TIMEOUT`].
     const TIMEOUT_INTERVALS: u32 = 3;
     /// How long the last heartbeat of a silent daemon is retained.
     const RETENTION: Duration = Duration::from_secs(600);
--- a/crates/stairstall-core/src/routing/minions.rs
+++ b/crates/stairstall-core/src/routing/minions.rs
@@ -157,7 +157,8 @@
 
     /// Selects the minion with the lowest load relative to this daemon's share, and takes a slot.
     ///
-    /// Ties are broken by the position in the table, shifted by one with each call. Minions in `avoid` are not selected.
+    /// Ties are broken by the position in the table, shifted by one, modulo 64, with each call.
+    /// Minions in `avoid` are not selected.
     ///
     /// # Errors
     ///
--- a/crates/stairstall-core/src/routing/shares.rs
+++ b/crates/stairstall-core/src/routing/shares.rs
@@ -42,8 +42,8 @@
 impl SlotShares {
     /// Delay before a larger share takes effect.
     ///
-    /// It exceeds [`MemberTable::TIMEOUT`](crate::membership::MemberTable::TIMEOUT), the time that a
-    /// silent daemon stays on any list of live daemons.
+    /// It exceeds [`MemberTable::TIMEOUT`](crate::membership::MemberTable::TIMEOUT), the time that
+    /// a silent daemon stays on any list of live daemons.
     pub const GAIN_DELAY: Duration = Duration::from_secs(3);
 
     /// Creates the shares of the daemon `me`, which are zero until [`SlotShares::GAIN_DELAY`] has
