--- a/crates/stairstall-core/src/protocol/caller.rs
+++ b/crates/stairstall-core/src/protocol/caller.rs
@@ -64,7 +64,7 @@
 
 /// Response to a query for jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobPage {
+pub struct JobList {
     /// Matching jobs, sorted by customer and name.
     pub jobs: Vec<JobStatus>,
 }
@@ -85,6 +85,6 @@
     pub job: JobKey,
     /// Current state of the job, in one sentence.
     pub summary: String,
-    /// Most recent decisions, oldest first.
+    /// Most recent decisions on the job, oldest first.
     pub stages: Vec<ExplanationEntry>,
 }
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -6,9 +6,7 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use http_body_util::Full;
-use stairstall_core::claim::{
-    ClaimAttempt, ClaimRecord, ClaimStep, ClaimWriteResult, Mark, StoredResponse,
-};
+use stairstall_core::claim::{ClaimAttempt, ClaimRecord, ClaimStep, ClaimWriteResult, Mark, StoredResponse};
 use stairstall_core::protocol::header;
 use stairstall_core::{Timestamp, Verdict};
 use stairstall_store::{Entry, Expect, LeaseId, Store, StoreError, Swap};
@@ -126,10 +124,10 @@
         Ok(Swap::Applied(revision)) => (ClaimWriteResult::Applied, revision),
         Ok(Swap::Conflict(Some(entry))) => match entry.read::<ClaimRecord>() {
             Some(record) => (ClaimWriteResult::Conflict(record), entry.revision),
-            None => (ClaimWriteResult::NotSent, 0),
+            None => (ClaimWriteResult::NotApplied, 0),
         },
-        Ok(Swap::Conflict(None)) => (ClaimWriteResult::NotSent, 0),
-        Err(error) if error.verdict() == Verdict::NotRun => (ClaimWriteResult::NotSent, 0),
+        Ok(Swap::Conflict(None)) => (ClaimWriteResult::NotApplied, 0),
+        Err(error) if error.verdict() == Verdict::NotRun => (ClaimWriteResult::NotApplied, 0),
         Err(_) => (ClaimWriteResult::Lost, 0),
     }
 }
