--- a/crates/stairstalld/src/api.rs
+++ b/crates/stairstalld/src/api.rs
@@ -28,7 +28,7 @@
     store_calls: u64,
 }
 
-/// Reply to the load balancer's health checks.
+/// Response to the load balancer's health checks.
 #[derive(Debug, Serialize)]
 struct Health {
     state: &'static str,
--- a/crates/stairstalld/src/call.rs
+++ b/crates/stairstalld/src/call.rs
@@ -24,7 +24,7 @@
 
 /// Maximum number of minions that one request is sent to.
 const MAX_ATTEMPTS: usize = 4;
-/// How long the store may not answer before not-repeatable requests are refused at once.
+/// How long the store may go without answering before not-repeatable requests are refused at once.
 const STORE_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 /// Retry-after for requests that failed or got no slot.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -94,7 +94,8 @@
     let mut claimed = None;
     for attempt in 1..=MAX_ATTEMPTS {
         if attempt == 1
-            && let Some(response) = spill::before_waiting(daemon, call, &slot_request).await
+            && let Some(response) =
+                spill::forward_instead_of_waiting(daemon, call, &slot_request).await
         {
             return response;
         }
--- a/crates/stairstalld/src/call/body.rs
+++ b/crates/stairstalld/src/call/body.rs
@@ -22,7 +22,7 @@
 
 quick_error! {
     /// Why a response body is incomplete. The caller's connection is aborted, so that the caller
-    /// can't mistake the part for a complete response.
+    /// can't mistake a partial response for a complete one.
     #[derive(Debug)]
     pub enum BodyAborted {
         /// The minion aborted its response.
--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -108,10 +108,8 @@
             ClaimStep::Taken(record) => {
                 return ClaimOutcome::Answered(already_claimed(call, &record));
             }
-            ClaimStep::GaveUp {
-                record_may_exist: may_stand,
-            } => {
-                if may_stand {
+            ClaimStep::GaveUp { record_may_exist } => {
+                if record_may_exist {
                     release_in_background(daemon.store.clone(), key, attempt.mark().clone());
                 }
                 return claim_failed(call, "the platform's store does not answer");
--- a/crates/stairstalld/src/call/parse.rs
+++ b/crates/stairstalld/src/call/parse.rs
@@ -32,8 +32,10 @@
 pub(super) struct Call {
     pub(super) id: RequestId,
     pub(super) service: ServiceId,
+    /// Number of slots of each minion of the service.
     pub(super) slots: u16,
     pub(super) flow: Flow,
+    /// Weight of the request in the fair queue: that of its class times that of its customer.
     pub(super) weight: u32,
     pub(super) deadline: Timestamp,
     pub(super) repeatable: bool,
@@ -130,7 +132,7 @@
     named.unwrap_or(labels)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ErrorResponse> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, ErrorResponse> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -145,7 +147,7 @@
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
 {
-    let Some(value) = text(headers, name)? else {
+    let Some(value) = header_text(headers, name)? else {
         return Ok(None);
     };
     value
@@ -175,7 +177,7 @@
 }
 
 fn repeatable(headers: &HeaderMap) -> Result<bool, ErrorResponse> {
-    match text(headers, header::REPEATABLE)? {
+    match header_text(headers, header::REPEATABLE)? {
         None | Some("yes") => Ok(true),
         Some("no") => Ok(false),
         Some(other) => {
--- a/crates/stairstalld/src/call/spill.rs
+++ b/crates/stairstalld/src/call/spill.rs
@@ -19,11 +19,11 @@
 /// forwarding to another zone.
 const MIN_WAIT_TO_SPILL: Duration = Duration::from_millis(50);
 
-/// Forwards a request if it would have to wait in this zone and not in another.
+/// Forwards a request if it would have to wait in this zone but not in another.
 ///
-/// Returns none if this zone is to serve the request: it did not run elsewhere, or it may run
-/// again.
-pub(super) async fn before_waiting(
+/// Returns none if this zone is to serve the request: it was not forwarded, the other daemon did
+/// not run it, or the attempt failed in a way that allows a retry.
+pub(super) async fn forward_instead_of_waiting(
     daemon: &Arc<Daemon>,
     call: &Arc<Call>,
     slot_request: &SlotRequest,
@@ -96,7 +96,7 @@
 }
 
 impl Call {
-    /// Returns whether this zone has no minion of the service either.
+    /// Returns whether this zone has no minion of the service.
     fn lacks_minion(&self, daemon: &Daemon) -> bool {
         let service = &self.service;
         !daemon.dispatcher.serves(service)
--- a/crates/stairstalld/src/configure.rs
+++ b/crates/stairstalld/src/configure.rs
@@ -25,7 +25,7 @@
 /// Delay before the head is read again, if the configuration here does not match it yet.
 const APPEND_DELAY: Duration = Duration::from_millis(10);
 
-/// Reply to a change that is accepted, or would be.
+/// Response to a change that is accepted, or would be.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Applied {
     /// The revision that the change made, or would make.
@@ -34,7 +34,7 @@
     dry_run: bool,
 }
 
-/// Reply to a change whose base is not the current revision any more.
+/// Response to a change whose base is not the current revision any more.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ConflictBody {
     verdict: Verdict,
@@ -212,7 +212,8 @@
         .map_or(AppendOutcome::Raced, AppendOutcome::Done))
 }
 
-/// Asks the placement holder of each zone whose guarantees change for a guarantee check.
+/// Asks the placement holder of each zone whose guarantees change for a guarantee check. A zone
+/// without guarantees after the change is not asked.
 async fn check_guarantees(
     daemon: &Arc<Daemon>,
     current: &Configuration,
@@ -257,7 +258,7 @@
         }
     }
     client(holder_address(daemon, zone)?)?
-        .witness(question)
+        .check_guarantees(question)
         .await
         .ok()
 }
--- a/crates/stairstalld/src/daemon.rs
+++ b/crates/stairstalld/src/daemon.rs
@@ -56,14 +56,14 @@
     pub(crate) vms: watch::Sender<Arc<VmList>>,
     pub(crate) role: Mutex<Role>,
     pub(crate) retries: Mutex<RetryBudget>,
-    /// Queries to this daemon's placement holder.
-    pub(crate) holder: mpsc::Sender<Query>,
+    /// Sends queries to this daemon's placement role.
+    pub(crate) holder_queries: mpsc::Sender<Query>,
     /// True once the daemon was asked to stop.
     pub(crate) leaving: watch::Sender<bool>,
     /// When the store last answered.
     store_answered_at: Mutex<Option<Timestamp>>,
     store_failing: AtomicBool,
-    /// Random number that tells this process from others of the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     instance: u64,
     /// Number of the next mark.
     serial: AtomicU64,
@@ -79,7 +79,7 @@
         settings: Settings,
         address: SocketAddr,
         metrics: Metrics,
-        holder: mpsc::Sender<Query>,
+        holder_queries: mpsc::Sender<Query>,
     ) -> Self {
         let clock = Clock::new();
         let store = Store::new(settings.store, settings.store_timeout);
@@ -102,7 +102,7 @@
             vms: watch::channel(Arc::default()).0,
             role: Mutex::default(),
             retries: Mutex::default(),
-            holder,
+            holder_queries,
             leaving: watch::channel(false).0,
             store_answered_at: Mutex::new(None),
             store_failing: AtomicBool::new(false),
@@ -131,7 +131,8 @@
         Mark::new(self.vm().clone(), self.instance, serial)
     }
 
-    /// Records whether the store answered; modules that work without it read this state.
+    /// Records whether the store answered, for [`store_silent_for`](Self::store_silent_for), and
+    /// logs a change.
     pub(crate) fn record_store_answer(&self, answered: bool) {
         if answered {
             *lock(&self.store_answered_at) = Some(self.clock.now());
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Records whether the store answered a call, be it with an error.
+    /// Records whether the store answered a call, even with an error.
     pub(crate) fn record_store_result<T>(&self, result: &Result<T, StoreError>) {
         self.record_store_answer(!matches!(result, Err(StoreError::Call(_))));
     }
--- a/crates/stairstalld/src/dispatch.rs
+++ b/crates/stairstalld/src/dispatch.rs
@@ -16,15 +16,17 @@
 use crate::clock::Clock;
 use crate::daemon::lock;
 
-/// How often waiting requests are matched with slots that became free without a release.
+/// How often waiting requests are matched with slots that became free without a release, for
+/// example because a minion was added or this daemon's share of the slots grew.
 pub(crate) const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// One flow may occupy one part in this many of the queue.
+/// Divisor of the queue's capacity that gives the maximum number of waiting requests of one flow.
 const FLOW_SHARE_DIVISOR: usize = 4;
 
 /// A request for a minion's slot.
 #[derive(Debug, Clone)]
 pub(crate) struct SlotRequest {
     pub(crate) service: ServiceId,
+    /// Number of slots of each minion of the service.
     pub(crate) slots: u16,
     pub(crate) flow: Flow,
     pub(crate) weight: u32,
@@ -54,7 +56,7 @@
 
 impl Permit {
     /// Releases the slot and records how the request ended. A permit that is only dropped counts as
-    /// [`Outcome::Abandoned`].
+    /// [`RequestOutcome::Abandoned`].
     pub(crate) fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
@@ -85,6 +87,7 @@
 pub(crate) struct Dispatcher {
     state: Mutex<State>,
     clock: Clock,
+    /// Maximum number of waiting requests per service.
     capacity: usize,
 }
 
--- a/crates/stairstalld/src/holder.rs
+++ b/crates/stairstalld/src/holder.rs
@@ -3,7 +3,7 @@
 //! The role is a key in the store under a lease. The fencing token that workers check is derived
 //! from the revision of that key. While the store does not answer, the holder goes on under its
 //! token. If the holder is silent too, another daemon acquires the role without the store, with a
-//! token higher than any that it knows: it keeps running gangs alive and starts nothing.
+//! token higher than any that it knows: such a tenure keeps running gangs alive and starts nothing.
 
 mod acquire;
 mod records;
@@ -28,23 +28,23 @@
 const STARTUP_DELAY: Duration = Duration::from_millis(1_500);
 /// Delay after a tenure ended or the role could not be acquired.
 const ACQUIRE_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Back-off after workers refused a tenure without the store; it doubles each time.
+/// Back-off after a tenure without the store was fenced; it doubles each time.
 const FENCED_BACKOFF: Duration = Duration::from_secs(5);
-/// Maximum back-off after workers refused a tenure without the store.
+/// Maximum back-off after a tenure without the store was fenced.
 const MAX_FENCED_BACKOFF: Duration = Duration::from_secs(300);
 
 /// A query to the daemon's own placement role.
 #[derive(Debug)]
 pub(crate) enum Query {
-    /// Guarantee check: whether all of these guarantees can be satisfied at once.
-    Witness {
-        question: GuaranteeCheckRequest,
-        answer: oneshot::Sender<GuaranteeCheckReply>,
+    /// Asks whether all of these guarantees can be satisfied at once.
+    CheckGuarantees {
+        request: GuaranteeCheckRequest,
+        reply: oneshot::Sender<GuaranteeCheckReply>,
     },
-    /// Explains the state of a job.
+    /// Asks for an explanation of a job's state.
     Explain {
         job: JobKey,
-        answer: oneshot::Sender<Option<Explanation>>,
+        reply: oneshot::Sender<Option<Explanation>>,
     },
 }
 
@@ -52,8 +52,8 @@
     /// Replies for a daemon that does not hold the role.
     fn reply_as_non_holder(self) {
         match self {
-            Self::Witness { answer, .. } => drop(answer.send(GuaranteeCheckReply::NotHolder)),
-            Self::Explain { answer, .. } => drop(answer.send(None)),
+            Self::CheckGuarantees { reply, .. } => drop(reply.send(GuaranteeCheckReply::NotHolder)),
+            Self::Explain { reply, .. } => drop(reply.send(None)),
         }
     }
 }
@@ -65,7 +65,7 @@
     highest_token: u64,
     /// Earliest time of the next tenure without the store.
     not_before: Timestamp,
-    /// How many tenures without the store were refused.
+    /// Number of tenures without the store that were fenced.
     fenced: u32,
 }
 
--- a/crates/stairstalld/src/holder/records.rs
+++ b/crates/stairstalld/src/holder/records.rs
@@ -56,10 +56,11 @@
 
 /// Outcome of one attempt to write.
 enum WriteOutcome {
+    /// The state is stored, or the job's record no longer exists.
     Done,
     /// A holder with a higher token wrote the record, or the job has ended.
     Superseded,
-    /// The record had changed; the write is repeated on its new revision.
+    /// The record had changed; the write is retried against its new revision.
     Retry,
 }
 
--- a/crates/stairstalld/src/holder/tenure.rs
+++ b/crates/stairstalld/src/holder/tenure.rs
@@ -1,4 +1,4 @@
-//! One tenure of the placement role, from fencing the workers to its end.
+//! One tenure of the placement role, from sending its token to the workers to its end.
 
 mod effects;
 mod end;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 struct Inbox {
     sync_outcomes: mpsc::Receiver<(WorkerId, SyncOutcome)>,
-    write_answers: mpsc::Receiver<(JobKey, WriteId, WriteResult)>,
+    write_results: mpsc::Receiver<(JobKey, WriteId, WriteResult)>,
     jobs: mpsc::Receiver<JobRecord>,
     lease_renewals: mpsc::Receiver<LeaseRenewal>,
 }
@@ -68,6 +68,7 @@
     inbox: Inbox,
     jobs_sender: mpsc::Sender<JobRecord>,
     lease_sender: mpsc::Sender<LeaseRenewal>,
+    /// When a replan was last requested because [`REPLAN_INTERVAL`] had passed.
     replanned_at: Timestamp,
     /// When the zone's load was last published.
     published_at: Timestamp,
@@ -76,7 +77,7 @@
 impl Tenure {
     pub(super) fn new(daemon: Arc<Daemon>, role: AcquiredRole) -> Self {
         let (sync_sender, sync_outcomes) = mpsc::channel(CHANNEL_CAPACITY);
-        let (write_sender, write_answers) = mpsc::channel(CHANNEL_CAPACITY);
+        let (write_sender, write_results) = mpsc::channel(CHANNEL_CAPACITY);
         let (jobs_sender, jobs) = mpsc::channel(CHANNEL_CAPACITY);
         let (lease_sender, lease_renewals) = mpsc::channel(CHANNEL_CAPACITY);
         let zone = daemon.settings.zone.clone();
@@ -90,7 +91,7 @@
             lease: role.lease,
             inbox: Inbox {
                 sync_outcomes,
-                write_answers,
+                write_results,
                 jobs,
                 lease_renewals,
             },
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Fences the workers, reads the store, then places jobs until the tenure ends.
+    /// Sends the token to the workers, reads the store, then places jobs until the tenure ends.
     pub(super) async fn serve(mut self, queries: &mut mpsc::Receiver<Query>) -> End {
         let started = self.daemon.clock.now();
         let renewal = self.lease.map(|lease| self.renew_lease(lease));
@@ -112,7 +113,7 @@
         if self.lease.is_none() {
             self.scheduler.adopt_unknown_tasks();
         }
-        if let Err(end) = self.fence_workers().await {
+        if let Err(end) = self.send_token_to_workers().await {
             return end;
         }
         let watch = match self.read_store().await {
@@ -188,14 +189,14 @@
             addresses.insert(worker.clone(), vm.address);
             listed.insert(worker);
         }
-        self.workers.set_addresses(addresses);
+        self.workers.update_addresses(addresses);
         if !listed.is_empty() {
             self.scheduler.remove_unlisted_workers(&listed);
         }
     }
 
     /// Sends the token to every worker once, and reads from the replies what they run.
-    async fn fence_workers(&mut self) -> Result<(), End> {
+    async fn send_token_to_workers(&mut self) -> Result<(), End> {
         let now = self.daemon.clock.now();
         let mut outstanding: BTreeSet<WorkerId> =
             self.scheduler.workers_to_sync(now).into_iter().collect();
@@ -241,8 +242,8 @@
                         return end;
                     }
                 }
-                Some((job, id, answer)) = self.inbox.write_answers.recv() => {
-                    self.scheduler.handle_write_result(&job, id, answer);
+                Some((job, id, result)) = self.inbox.write_results.recv() => {
+                    self.scheduler.handle_write_result(&job, id, result);
                 }
                 Some(record) = self.inbox.jobs.recv() => {
                     self.scheduler.handle_record(&record, self.daemon.clock.now());
@@ -251,7 +252,7 @@
                     LeaseRenewal::Renewed(lease) => self.set_lease(lease),
                     LeaseRenewal::Lost => return End::LeaseLost,
                 },
-                Some(query) = queries.recv() => self.answer(query),
+                Some(query) = queries.recv() => self.reply_to(query),
                 Ok(()) = vms.changed() => self.update_workers(),
                 Ok(()) = revision.changed() => {
                     self.scheduler.set_configuration(self.daemon.configuration());
@@ -326,7 +327,7 @@
         self.publish(now);
     }
 
-    /// Sends a request to every worker whose next sync has come.
+    /// Sends a sync request to every worker that is to be synced at `now`.
     fn send_syncs(&mut self, now: Timestamp) {
         for worker in self.scheduler.workers_to_sync(now) {
             if let Some(request) = self.scheduler.next_sync(&worker, now) {
--- a/crates/stairstalld/src/holder/tenure/effects.rs
+++ b/crates/stairstalld/src/holder/tenure/effects.rs
@@ -103,19 +103,19 @@
     }
 
     /// Replies to a query of another module or a peer.
-    pub(super) fn answer(&self, query: Query) {
+    pub(super) fn reply_to(&self, query: Query) {
         match query {
-            Query::Witness { question, answer } => {
-                let reply = match self.scheduler.check_guarantees(&question.guarantees) {
+            Query::CheckGuarantees { request, reply } => {
+                let result = match self.scheduler.check_guarantees(&request.guarantees) {
                     Ok(()) => GuaranteeCheckReply::Kept,
                     Err(error) => GuaranteeCheckReply::NotKept {
                         reason: error.to_string(),
                     },
                 };
-                let _ = answer.send(reply);
+                let _ = reply.send(result);
             }
-            Query::Explain { job, answer } => {
-                let _ = answer.send(self.scheduler.explain(&job, self.daemon.clock.now()));
+            Query::Explain { job, reply } => {
+                let _ = reply.send(self.scheduler.explain(&job, self.daemon.clock.now()));
             }
         }
     }
--- a/crates/stairstalld/src/holder/workers.rs
+++ b/crates/stairstalld/src/holder/workers.rs
@@ -22,7 +22,7 @@
     Reply(Box<SyncReply>),
     /// The worker knows a higher token, which ends the tenure.
     Fenced { highest: u64 },
-    /// The worker did not reply.
+    /// The worker did not reply, or its reply could not be read.
     Failed,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn set_addresses(&mut self, addresses: BTreeMap<WorkerId, SocketAddr>) {
+    pub(super) fn update_addresses(&mut self, addresses: BTreeMap<WorkerId, SocketAddr>) {
         // A worker that is no longer listed may still run tasks, so its old address stays.
         self.addresses.extend(addresses);
     }
--- a/crates/stairstalld/src/logging.rs
+++ b/crates/stairstalld/src/logging.rs
@@ -50,6 +50,7 @@
 #[derive(Debug)]
 struct RateLimiter {
     lines_per_target: u32,
+    /// The current second since the logger was started.
     second: u64,
     /// Lines of each target within the current second.
     lines: HashMap<String, u32>,
--- a/crates/stairstalld/src/peers.rs
+++ b/crates/stairstalld/src/peers.rs
@@ -39,10 +39,12 @@
     #[method(name = "configuration")]
     async fn configuration(&self) -> RpcResult<Configuration>;
 
-    /// Guarantee check: whether all of these guarantees can be satisfied at once in the daemon's
-    /// zone.
+    /// Returns whether all of these guarantees can be satisfied at once in the daemon's zone.
     #[method(name = "witness")]
-    async fn witness(&self, question: GuaranteeCheckRequest) -> RpcResult<GuaranteeCheckReply>;
+    async fn check_guarantees(
+        &self,
+        question: GuaranteeCheckRequest,
+    ) -> RpcResult<GuaranteeCheckReply>;
 
     /// Explains a job's state, if the daemon holds the placement role and knows the job.
     #[method(name = "explain")]
@@ -66,7 +68,10 @@
         Ok(Configuration::clone(&self.0.configuration()))
     }
 
-    async fn witness(&self, question: GuaranteeCheckRequest) -> RpcResult<GuaranteeCheckReply> {
+    async fn check_guarantees(
+        &self,
+        question: GuaranteeCheckRequest,
+    ) -> RpcResult<GuaranteeCheckReply> {
         Ok(check_own_guarantees(&self.0, question).await)
     }
 
@@ -75,31 +80,30 @@
     }
 }
 
-/// Lets this daemon's own placement role check guarantees.
+/// Checks guarantees with this daemon's own scheduler; returns [`GuaranteeCheckReply::NotHolder`]
+/// if the daemon does not hold the placement role.
 pub(crate) async fn check_own_guarantees(
     daemon: &Daemon,
     question: GuaranteeCheckRequest,
 ) -> GuaranteeCheckReply {
     let (sender, receiver) = oneshot::channel();
-    let query = Query::Witness {
-        question,
-        answer: sender,
+    let query = Query::CheckGuarantees {
+        request: question,
+        reply: sender,
     };
-    if daemon.holder.send(query).await.is_err() {
+    if daemon.holder_queries.send(query).await.is_err() {
         return GuaranteeCheckReply::NotHolder;
     }
     receiver.await.unwrap_or(GuaranteeCheckReply::NotHolder)
 }
 
-/// Lets this daemon's own placement role explain a job.
+/// Explains a job with this daemon's own scheduler; returns none if the daemon does not hold the
+/// placement role or does not know the job.
 pub(crate) async fn explain_own(daemon: &Daemon, job: JobKey) -> Option<Explanation> {
     let (sender, receiver) = oneshot::channel();
     daemon
-        .holder
-        .send(Query::Explain {
-            job,
-            answer: sender,
-        })
+        .holder_queries
+        .send(Query::Explain { job, reply: sender })
         .await
         .ok()?;
     receiver.await.ok().flatten()
--- a/crates/stairstalld/src/retention.rs
+++ b/crates/stairstalld/src/retention.rs
@@ -19,6 +19,7 @@
 pub(crate) struct Retention {
     store: Store,
     clock: Clock,
+    /// The lease in use, and when it was granted.
     current: Mutex<Option<(LeaseId, Timestamp)>>,
 }
 
--- a/crates/stairstalld/src/serve.rs
+++ b/crates/stairstalld/src/serve.rs
@@ -114,7 +114,8 @@
     });
 }
 
-/// Waits for all requests in flight to end, up to the drain limit.
+/// Waits for the server to answer its open requests, up to the drain limit, and then for the
+/// requests whose callers have disconnected. The latter end at their own deadlines.
 async fn drain(
     daemon: &Daemon,
     shutdown: &Shutdown,
