--- a/crates/stairstall-http/src/client.rs
+++ b/crates/stairstall-http/src/client.rs
@@ -26,27 +26,27 @@
 
 /// A whole answer with its status.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JsonAnswer {
+pub struct JsonResponse {
     /// Status.
     pub status: StatusCode,
     /// Body.
     pub body: Bytes,
 }
 
-impl JsonAnswer {
+impl JsonResponse {
     /// Reads the body.
     ///
     /// # Errors
     ///
-    /// Returns [`CallError::Form`] where it is not what was expected.
+    /// Returns [`CallError::InvalidFormat`] where it is not what was expected.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, CallError> {
-        serde_json::from_slice(&self.body).map_err(|e| CallError::Form(e.to_string()))
+        serde_json::from_slice(&self.body).map_err(|e| CallError::InvalidFormat(e.to_string()))
     }
 }
 
 /// One request to a service that speaks JSON.
 #[derive(Debug, Clone)]
-pub struct JsonCall<'a> {
+pub struct JsonRequest<'a> {
     /// Method.
     pub method: Method,
     /// Where the service listens, as `IP:PORT`.
@@ -170,13 +170,15 @@
         path: &str,
         body: Option<&T>,
         timeout: Duration,
-    ) -> Result<JsonAnswer, CallError> {
+    ) -> Result<JsonResponse, CallError> {
         let bytes = match body {
-            Some(body) => serde_json::to_vec(body).map_err(|e| CallError::Form(e.to_string()))?,
+            Some(body) => {
+                serde_json::to_vec(body).map_err(|e| CallError::InvalidFormat(e.to_string()))?
+            }
             None => Vec::new(),
         };
         let address = address.to_string();
-        let call = JsonCall {
+        let call = JsonRequest {
             method,
             address: &address,
             path,
@@ -193,9 +195,9 @@
     /// Returns what went wrong, with its verdict.
     pub async fn exchange(
         &self,
-        call: JsonCall<'_>,
+        call: JsonRequest<'_>,
         timeout: Duration,
-    ) -> Result<JsonAnswer, CallError> {
+    ) -> Result<JsonResponse, CallError> {
         let uri = format!("http://{}{}", call.address, call.path);
         let mut request = Request::builder().method(call.method).uri(uri);
         if !call.body.is_empty() {
@@ -206,12 +208,12 @@
         }
         let request = request
             .body(Body::from(call.body))
-            .map_err(|e| CallError::Form(e.to_string()))?;
+            .map_err(|e| CallError::InvalidFormat(e.to_string()))?;
         let whole = |pool: Pool| async move {
             let response = pool.request(request).await?;
             let status = response.status();
             let body = read_limited(response.into_body(), MAX_JSON_BYTES).await?;
-            Ok(JsonAnswer { status, body })
+            Ok(JsonResponse { status, body })
         };
         self.in_time(call.address, timeout, whole).await
     }
@@ -232,6 +234,6 @@
         .map(http_body_util::Collected::to_bytes)
         .map_err(|error| match error.downcast::<hyper::Error>() {
             Ok(error) => CallError::Truncated(*error),
-            Err(_) => CallError::TooLong(limit),
+            Err(_) => CallError::BodyTooLarge(limit),
         })
 }
--- a/crates/stairstall-http/src/error.rs
+++ b/crates/stairstall-http/src/error.rs
@@ -18,7 +18,7 @@
             source(source)
         }
         /// The connection broke after the request may have left.
-        Broken(source: hyper_util::client::legacy::Error) {
+        ConnectionLost(source: hyper_util::client::legacy::Error) {
             display("connection broke: {}", root_cause(source))
             source(source)
         }
@@ -32,11 +32,11 @@
             display("no answer within {} ms", after.as_millis())
         }
         /// The answer is longer than allowed.
-        TooLong(limit: usize) {
+        BodyTooLarge(limit: usize) {
             display("answer is longer than {limit} bytes")
         }
         /// The request or the answer is not in the agreed form.
-        Form(what: String) {
+        InvalidFormat(what: String) {
             display("unexpected form: {what}")
         }
     }
@@ -73,7 +73,7 @@
         if canceled {
             Self::NotSent(error)
         } else {
-            Self::Broken(error)
+            Self::ConnectionLost(error)
         }
     }
 }
--- a/crates/stairstall-http/src/lib.rs
+++ b/crates/stairstall-http/src/lib.rs
@@ -8,5 +8,5 @@
 mod client;
 mod error;
 
-pub use client::{Body, HttpClient, JsonAnswer, JsonCall};
+pub use client::{Body, HttpClient, JsonRequest, JsonResponse};
 pub use error::CallError;
--- a/crates/stairstall-http/tests/silence.rs
+++ b/crates/stairstall-http/tests/silence.rs
@@ -5,7 +5,7 @@
 use futures::FutureExt;
 use futures::future::join_all;
 use hyper::{Method, StatusCode};
-use stairstall_http::{CallError, HttpClient, JsonCall};
+use stairstall_http::{CallError, HttpClient, JsonRequest};
 use stairstall_standin::server::{Server, json};
 use stairstall_standin::{Link, Silence};
 
@@ -14,7 +14,7 @@
 const TIMEOUT: Duration = Duration::from_millis(300);
 
 async fn call(http: &HttpClient, address: &str) -> Result<(), CallError> {
-    let call = JsonCall {
+    let call = JsonRequest {
         method: Method::GET,
         address,
         path: "/",
--- a/crates/stairstall-ports/src/dialect.rs
+++ b/crates/stairstall-ports/src/dialect.rs
@@ -7,7 +7,7 @@
 quick_error! {
     /// Something that is not in the agreed form.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum FormError {
+    pub enum FormatError {
         /// The text can't be read.
         Unreadable(what: String) {
             display("{what}")
@@ -31,7 +31,7 @@
 
     /// Prefix of the keys that evacuate an availability zone, which each end with its name; the
     /// zone is restored by taking its key away.
-    fn evacuation_prefix(&self) -> &'static str;
+    fn evacuated_zone_prefix(&self) -> &'static str;
 
     /// Prefix of the directory of workers in the store.
     fn directory_prefix(&self) -> &'static str;
@@ -41,21 +41,21 @@
     /// # Errors
     ///
     /// Says what can't be read.
-    fn read_catalog(&self, value: &[u8]) -> Result<Catalog, FormError>;
+    fn read_catalog(&self, value: &[u8]) -> Result<Catalog, FormatError>;
 
     /// Reads an entry of the directory.
     ///
     /// # Errors
     ///
     /// Says what can't be read.
-    fn read_worker(&self, id: WorkerId, value: &[u8]) -> Result<ListedWorker, FormError>;
+    fn read_worker(&self, id: WorkerId, value: &[u8]) -> Result<ListedWorker, FormatError>;
 
     /// Reads a job as its caller describes it; its bounds are not checked.
     ///
     /// # Errors
     ///
     /// Says what can't be read.
-    fn read_job(&self, body: &[u8]) -> Result<BatchSpec, FormError>;
+    fn read_job(&self, body: &[u8]) -> Result<BatchSpec, FormatError>;
 
     /// Writes a job's state for its caller.
     fn write_state(&self, state: CallerState) -> Vec<u8>;
--- a/crates/stairstall-ports/src/lib.rs
+++ b/crates/stairstall-ports/src/lib.rs
@@ -11,9 +11,9 @@
 mod store;
 mod workers;
 
-pub use dialect::{Dialect, FormError};
+pub use dialect::{Dialect, FormatError};
 pub use store::{
-    Change, Commit, Committed, Condition, Item, LeaseId, Page, Put, Revision, SharedStore,
-    StoreFault, Watched,
+    Change, Commit, CommitOutcome, Condition, Item, LeaseId, Page, Put, Revision, SharedStore,
+    StoreFault, WatchBatch,
 };
 pub use workers::{Adviser, WorkerAddress, WorkerCalls, WorkerFault};
--- a/crates/stairstall-ports/src/store.rs
+++ b/crates/stairstall-ports/src/store.rs
@@ -44,7 +44,7 @@
     /// Whether there are more after the last one.
     pub more: bool,
     /// The store's revision.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// One change that a watch brought.
@@ -53,7 +53,7 @@
     /// A key was written.
     Written(Item),
     /// A key is gone.
-    Gone {
+    Deleted {
         /// The key.
         key: String,
         /// When it went.
@@ -63,11 +63,11 @@
 
 /// What a watch brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Watched {
+pub struct WatchBatch {
     /// Changes in order.
     pub changes: Vec<Change>,
     /// Where to go on.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// Holds while the key's last change is `revision`; 0 says that there is no such key.
@@ -144,13 +144,13 @@
 
 /// What became of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Committed {
+pub enum CommitOutcome {
     /// It is done.
     Done(Revision),
     /// A condition does not hold; the keys of the conditions that exist, as they are.
     Conflict(Vec<Item>),
     /// The lease is over.
-    NoLease,
+    LeaseExpired,
 }
 
 quick_error! {
@@ -168,11 +168,11 @@
             display("refused with status {status}")
         }
         /// The history that a watch asked for is gone.
-        HistoryGone {
+        Compacted {
             display("the history is gone")
         }
         /// The lease is over.
-        LeaseOver {
+        LeaseExpired {
             display("the lease is over")
         }
         /// An answer that the store should not give.
@@ -188,14 +188,14 @@
     pub const fn verdict(&self) -> Verdict {
         match self {
             Self::Call(error) => error.verdict(),
-            Self::Refused(_) | Self::HistoryGone | Self::LeaseOver => Verdict::NotRun,
+            Self::Refused(_) | Self::Compacted | Self::LeaseExpired => Verdict::NotRun,
             Self::Unexpected(_) => Verdict::MayHaveRun,
         }
     }
 
     /// Tells whether no answer came in the time that the call was given.
     #[must_use]
-    pub const fn is_time_out(&self) -> bool {
+    pub const fn is_timeout(&self) -> bool {
         matches!(self, Self::Call(CallError::TimedOut(_)))
     }
 
@@ -230,17 +230,17 @@
         prefix: &'a str,
         after: Revision,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<Watched, StoreFault>>;
+    ) -> BoxFuture<'a, Result<WatchBatch, StoreFault>>;
 
     /// Writes under conditions.
-    fn commit(&self, commit: Commit) -> BoxFuture<'_, Result<Committed, StoreFault>>;
+    fn commit(&self, commit: Commit) -> BoxFuture<'_, Result<CommitOutcome, StoreFault>>;
 
     /// Takes a lease; returns its name and how long it lasts.
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<(LeaseId, Duration), StoreFault>>;
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<(LeaseId, Duration), StoreFault>>;
 
-    /// Renews a lease; [`StoreFault::LeaseOver`] where it is over.
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<Duration, StoreFault>>;
+    /// Renews a lease; [`StoreFault::LeaseExpired`] where it is over.
+    fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<Duration, StoreFault>>;
 
     /// Ends a lease; its keys go.
-    fn release(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreFault>>;
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreFault>>;
 }
--- a/crates/stairstall-ports/src/workers.rs
+++ b/crates/stairstall-ports/src/workers.rs
@@ -46,7 +46,7 @@
 /// Orders to workers and their reports.
 pub trait WorkerCalls: fmt::Debug + Send + Sync {
     /// Renews what runs, forgets ends, and asks for a report.
-    fn hold<'a>(
+    fn poll<'a>(
         &'a self,
         worker: &'a WorkerAddress,
         request: ReportRequest,
--- a/crates/stairstall-store/src/client.rs
+++ b/crates/stairstall-store/src/client.rs
@@ -208,7 +208,7 @@
         lease: Option<LeaseId>,
     ) -> Result<Swap, StoreError> {
         let value = serde_json::to_vec(value)
-            .map_err(|e| stairstall_http::CallError::Form(e.to_string()))?;
+            .map_err(|e| stairstall_http::CallError::InvalidFormat(e.to_string()))?;
         if value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::TooLarge(value.len()));
         }
--- a/crates/stairstall-store/src/watch.rs
+++ b/crates/stairstall-store/src/watch.rs
@@ -61,13 +61,13 @@
         let body = serde_json::to_vec(&WatchRequest {
             create_request: create,
         })
-        .map_err(|e| CallError::Form(e.to_string()))?;
+        .map_err(|e| CallError::InvalidFormat(e.to_string()))?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}/v3/watch", store.address()))
             .header(header::CONTENT_TYPE, "application/json")
             .body(Body::from(body))
-            .map_err(|e| CallError::Form(e.to_string()))?;
+            .map_err(|e| CallError::InvalidFormat(e.to_string()))?;
         let response = store.client().send(request, store.timeout()).await?;
         if !response.status().is_success() {
             return Err(StoreError::Status(response.status().as_u16()));
@@ -106,8 +106,8 @@
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
             let line = self.buffer.split_to(end);
             self.buffer.advance(1);
-            let line: WatchLine =
-                serde_json::from_slice(&line).map_err(|e| CallError::Form(e.to_string()))?;
+            let line: WatchLine = serde_json::from_slice(&line)
+                .map_err(|e| CallError::InvalidFormat(e.to_string()))?;
             self.events
                 .extend(line.result.events.into_iter().map(Event::from));
         }
--- a/crates/stairstall/src/client.rs
+++ b/crates/stairstall/src/client.rs
@@ -85,7 +85,7 @@
             .method(method.clone())
             .uri(format!("http://{server}{path}"))
             .body(Body::from(body.to_owned()))
-            .map_err(|e| CallError::Form(e.to_string()))?;
+            .map_err(|e| CallError::InvalidFormat(e.to_string()))?;
         request.headers_mut().extend(headers.clone());
         let response = self.http.send(request, timeout).await?;
         let (head, body) = response.into_parts();
--- a/crates/stairstalld/src/batch/accept.rs
+++ b/crates/stairstalld/src/batch/accept.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use stairstall_core::batch::AcceptedJob;
 use stairstall_core::{CustomerId, JobId, Timestamp, Verdict};
-use stairstall_ports::{Commit, Committed, Item, Revision};
+use stairstall_ports::{Commit, CommitOutcome, Item, Revision};
 
 use super::node::Node;
 use super::rpc::{PeerClient, may_have_run};
@@ -131,8 +131,8 @@
             .when(key.clone(), expected)
             .put(key.clone(), value);
         match node.store_call("accept", node.store.commit(commit)).await {
-            Ok(Committed::Done(_)) => return Acceptance::Accepted,
-            Ok(Committed::Conflict(items)) => match existing_entry(job, items.first()) {
+            Ok(CommitOutcome::Done(_)) => return Acceptance::Accepted,
+            Ok(CommitOutcome::Conflict(items)) => match existing_entry(job, items.first()) {
                 ExistingEntry::Decisive(outcome) => return outcome,
                 ExistingEntry::Known(stored) => {
                     if !stored.is_trimmed() {
@@ -163,7 +163,7 @@
                     continue;
                 }
             },
-            Ok(Committed::NoLease) => return Acceptance::NotKept,
+            Ok(CommitOutcome::LeaseExpired) => return Acceptance::NotKept,
             Err(fault) if fault.verdict() == Verdict::NotRun && !may_be_stored => {
                 return Acceptance::NotKept;
             }
@@ -313,7 +313,7 @@
     }
     let commit = Commit::default().put(keys::cancel(id), Vec::new());
     match node.store_call("cancel", node.store.commit(commit)).await {
-        Ok(Committed::Done(_)) => Some(Cancellation::Cancelled),
+        Ok(CommitOutcome::Done(_)) => Some(Cancellation::Cancelled),
         _ => None,
     }
 }
--- a/crates/stairstalld/src/batch/admission.rs
+++ b/crates/stairstalld/src/batch/admission.rs
@@ -7,7 +7,7 @@
 
 use stairstall_core::batch::{AcceptedJob, Admission, AdmissionRefusal, KnownLoad};
 use stairstall_core::{Lease, Verdict};
-use stairstall_ports::{Commit, Committed, Item, LeaseId, Revision};
+use stairstall_ports::{Commit, CommitOutcome, Item, LeaseId, Revision};
 
 use super::node::Node;
 use super::stored_job::{RefusalRecord, StoredJob};
@@ -70,8 +70,9 @@
                 .when(key.clone(), expected)
                 .put_leased(key.clone(), value, lease);
         match node.store_call("refuse", node.store.commit(commit)).await {
-            Ok(Committed::Done(_)) => return RefusalOutcome::Refused,
-            Ok(Committed::Conflict(items)) => match existing_entry(job, &record, items.first()) {
+            Ok(CommitOutcome::Done(_)) => return RefusalOutcome::Refused,
+            Ok(CommitOutcome::Conflict(items)) => match existing_entry(job, &record, items.first())
+            {
                 ExistingEntry::Decisive(outcome) => return outcome,
                 ExistingEntry::Missing if expected == Revision(0) => {
                     node.back_off(node.settings.policy.acceptance.retry_pause)
@@ -83,7 +84,7 @@
                     expected = revision;
                 }
             },
-            Ok(Committed::NoLease) => {
+            Ok(CommitOutcome::LeaseExpired) => {
                 node.refusals.remove_lease(lease);
                 if std::mem::replace(&mut has_lost_lease, true) {
                     break;
@@ -146,7 +147,7 @@
     }
     let grant = node
         .store
-        .grant(node.settings.policy.admission.max_mark_lifetime);
+        .grant_lease(node.settings.policy.admission.max_mark_lifetime);
     match node.store_call("grant", grant).await {
         Ok((id, ttl)) => node.refusals.set_lease(id, Lease::new(requested_at, ttl)),
         Err(fault) => {
--- a/crates/stairstalld/src/batch/catalog.rs
+++ b/crates/stairstalld/src/batch/catalog.rs
@@ -41,7 +41,7 @@
             None => {}
             Some(Err(fault)) => {
                 log::debug!(target: "config", why:% = fault; "reading the configuration again");
-                read_timeout = if fault.is_time_out() {
+                read_timeout = if fault.is_timeout() {
                     (read_timeout * 2).min(LIST_TIMEOUT)
                 } else {
                     min_timeout
@@ -76,7 +76,7 @@
                 return Ok(());
             }
         };
-        at = watched.at;
+        at = watched.revision;
         for change in &watched.changes {
             if let Change::Written(item) = change {
                 apply_item(node, item, "watch");
--- a/crates/stairstalld/src/batch/directory.rs
+++ b/crates/stairstalld/src/batch/directory.rs
@@ -84,13 +84,13 @@
     loop {
         let watched = node.store.watch(prefix, at, WATCH_TIMEOUT);
         let watched = node.store_call("watch workers", watched).await?;
-        at = watched.at;
+        at = watched.revision;
         for change in &watched.changes {
             match change {
                 Change::Written(item) => {
                     apply_item(node, tenure, item);
                 }
-                Change::Gone { key, .. } => {
+                Change::Deleted { key, .. } => {
                     if let Some(id) = parse_worker_id(node, key) {
                         tenure
                             .with_planner(|planner, now| planner.handle_unlisted_worker(&id, now));
--- a/crates/stairstalld/src/batch/evacuated_zones.rs
+++ b/crates/stairstalld/src/batch/evacuated_zones.rs
@@ -19,7 +19,7 @@
 
 /// Reads which zones are evacuated and passes them to the planner.
 pub(crate) async fn load(node: &Node, tenure: &Tenure) -> Result<(), StoreFault> {
-    let prefix = node.dialect.evacuation_prefix();
+    let prefix = node.dialect.evacuated_zone_prefix();
     let requested_at = node.clock.now();
     let (items, _) = node.read_all("list evacuations", prefix).await?;
     let zones: BTreeSet<ZoneId> = items
--- a/crates/stairstalld/src/batch/job_watch.rs
+++ b/crates/stairstalld/src/batch/job_watch.rs
@@ -166,9 +166,9 @@
             for change in &watched.changes {
                 handle_change(tenure, change);
             }
-            watched.at
+            watched.revision
         }
-        Err(StoreFault::HistoryGone) => reload(node, tenure).await?,
+        Err(StoreFault::Compacted) => reload(node, tenure).await?,
         Err(fault) => return Err(fault),
     };
     tenure.with_planner(|planner, _| planner.confirm_jobs_current(requested_at));
--- a/crates/stairstalld/src/batch/maintenance.rs
+++ b/crates/stairstalld/src/batch/maintenance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairstall_core::batch::{AcceptedJob, LearnedEstimates};
-use stairstall_ports::{Commit, Committed};
+use stairstall_ports::{Commit, CommitOutcome};
 
 use super::node::Node;
 use super::tenure::Tenure;
@@ -96,7 +96,7 @@
     let outcome = node
         .store_call("keep learnt", node.store.commit(commit))
         .await;
-    let is_done = matches!(outcome, Ok(Committed::Done(_)));
+    let is_done = matches!(outcome, Ok(CommitOutcome::Done(_)));
     if is_done {
         *stored = learned;
     }
@@ -115,7 +115,7 @@
         }
     }
     let stored = node.store_call("trim", node.store.commit(commit)).await;
-    let is_done = matches!(stored, Ok(Committed::Done(_)));
+    let is_done = matches!(stored, Ok(CommitOutcome::Done(_)));
     tenure.with_planner(|planner, _| {
         for job in trimmed {
             if is_done {
--- a/crates/stairstalld/src/batch/node.rs
+++ b/crates/stairstalld/src/batch/node.rs
@@ -258,7 +258,7 @@
         let range = self.store.range(key, "", timeout);
         let page = self.store_call(kind, range).await?;
         let item = page.items.into_iter().find(|item| item.key == key);
-        Ok((item, page.at))
+        Ok((item, page.revision))
     }
 
     /// Reads all keys with a prefix, and the store's revision at the first page.
@@ -275,7 +275,7 @@
                 .map_or_else(String::new, |item| item.key.clone());
             let range = self.store.range(prefix, &after, LIST_TIMEOUT);
             let page = self.store_call(kind, range).await?;
-            at.get_or_insert(page.at);
+            at.get_or_insert(page.revision);
             let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
             if is_last {
--- a/crates/stairstalld/src/batch/role.rs
+++ b/crates/stairstalld/src/batch/role.rs
@@ -68,12 +68,12 @@
                 return acquire_from(node, &offer).await;
             }
         };
-        at = watched.at;
+        at = watched.revision;
         for change in watched.changes {
             match change {
                 Change::Written(item) => last = record_role_item(node, &item),
-                Change::Gone { .. } if node.is_leaving() => return Ok(None),
-                Change::Gone { .. } => {
+                Change::Deleted { .. } if node.is_leaving() => return Ok(None),
+                Change::Deleted { .. } => {
                     tokio::time::sleep(acquire_delay(node)).await;
                     return acquire(node, last, None).await;
                 }
@@ -151,7 +151,7 @@
     let token = tenure.token();
     log::info!(target: "role", token, why; "released the planner role");
     if let Err(fault) = node
-        .store_call("release", node.store.release(lease_id))
+        .store_call("release", node.store.revoke_lease(lease_id))
         .await
     {
         log::warn!(target: "role", token, why:% = fault; "could not release the lease; it will expire");
@@ -198,9 +198,9 @@
 async fn renew_once(node: &Node, tenure: &Tenure, lease_id: LeaseId) -> bool {
     let requested_at = node.clock.now();
     let token = tenure.token();
-    match node.store.keep(lease_id).await {
+    match node.store.renew_lease(lease_id).await {
         Ok(ttl) => tenure.extend_lease(Lease::new(requested_at, ttl)),
-        Err(StoreFault::LeaseOver) => return true,
+        Err(StoreFault::LeaseExpired) => return true,
         Err(fault) => {
             log::warn!(target: "role", token, why:% = fault; "could not renew the lease");
         }
--- a/crates/stairstalld/src/batch/role/acquire.rs
+++ b/crates/stairstalld/src/batch/role/acquire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stairstall_core::Lease;
-use stairstall_ports::{Commit, Committed, LeaseId, Revision, StoreFault};
+use stairstall_ports::{Commit, CommitOutcome, LeaseId, Revision, StoreFault};
 
 use super::super::keys;
 use super::super::node::{Node, PlannerRecord};
@@ -75,7 +75,7 @@
         None => read_last_tenure(node).await?,
     };
     let requested_at = node.clock.now();
-    let grant = node.store.grant(node.settings.role_lease);
+    let grant = node.store.grant_lease(node.settings.role_lease);
     let (lease_id, ttl) = node.store_call("grant", grant).await?;
     let record = PlannerRecord {
         vm: node.vm().clone(),
@@ -101,10 +101,10 @@
         .store_call("take role", node.store.commit(commit))
         .await
     {
-        Ok(Committed::Done(revision)) => Ok(Some(acquired(revision))),
-        Ok(Committed::Conflict(_) | Committed::NoLease) => {
+        Ok(CommitOutcome::Done(revision)) => Ok(Some(acquired(revision))),
+        Ok(CommitOutcome::Conflict(_) | CommitOutcome::LeaseExpired) => {
             let _ = node
-                .store_call("release", node.store.release(lease_id))
+                .store_call("release", node.store.revoke_lease(lease_id))
                 .await;
             Ok(None)
         }
--- a/crates/stairstalld/src/batch/worker_links.rs
+++ b/crates/stairstalld/src/batch/worker_links.rs
@@ -177,7 +177,7 @@
     let policy = &node.settings.policy.links;
     let sent_at = node.clock.now();
     let timeout = request.max_wait + policy.report_timeout;
-    let answer = node.workers.hold(worker, request, timeout).await;
+    let answer = node.workers.poll(worker, request, timeout).await;
     if control.is_closed() {
         // The link is closed, but the run ends in the report must still be recorded.
         match answer {
--- a/crates/stairstalld/src/batch/writer.rs
+++ b/crates/stairstalld/src/batch/writer.rs
@@ -9,7 +9,7 @@
 use futures::{FutureExt, StreamExt};
 use stairstall_core::JobId;
 use stairstall_core::batch::{Planner, ProgressWrite};
-use stairstall_ports::{Commit, Committed, Item, Revision, StoreFault};
+use stairstall_ports::{Commit, CommitOutcome, Item, Revision, StoreFault};
 use tokio::time::Instant;
 
 use super::node::Node;
@@ -32,7 +32,7 @@
     writes: Vec<ProgressWrite>,
     /// Total length of the written values, in bytes.
     bytes: usize,
-    outcome: Result<Committed, StoreFault>,
+    outcome: Result<CommitOutcome, StoreFault>,
 }
 
 /// The progress writes of one tenure.
@@ -191,7 +191,7 @@
     /// Handles the outcome of a write; returns whether it was stored.
     fn handle_outcome(&mut self, completed: &CompletedWrite) -> bool {
         match &completed.outcome {
-            Ok(Committed::Done(revision)) => {
+            Ok(CommitOutcome::Done(revision)) => {
                 let revisions = &mut self.revisions;
                 self.tenure.with_planner(|planner, _| {
                     for write in &completed.writes {
@@ -202,11 +202,11 @@
                 self.tenure.write_done.notify_waiters();
                 true
             }
-            Ok(Committed::Conflict(items)) => {
+            Ok(CommitOutcome::Conflict(items)) => {
                 handle_conflict(&self.tenure, &mut self.revisions, &completed.writes, items);
                 false
             }
-            Ok(Committed::NoLease) | Err(_) => false,
+            Ok(CommitOutcome::LeaseExpired) | Err(_) => false,
         }
     }
 }
--- a/crates/stairstalld/tests/batch/admission.rs
+++ b/crates/stairstalld/tests/batch/admission.rs
@@ -6,7 +6,7 @@
 
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
-use stairstall_http::JsonCall;
+use stairstall_http::JsonRequest;
 use stairstall_platform_standin::WriteFault;
 use stairstall_standin::LinkMode;
 
@@ -72,7 +72,7 @@
 /// Returns a daemon's figure of that name and labels.
 async fn figure(cluster: &Cluster, daemon: usize, name: &str) -> f64 {
     let address = cluster.daemons[daemon].metrics.to_string();
-    let call = JsonCall {
+    let call = JsonRequest {
         method: Method::GET,
         address: &address,
         path: "/metrics",
@@ -464,7 +464,7 @@
     let asker = json!({"vm": "vm-9", "zone": "zone-a", "rpc": "127.0.0.1:1", "weakness": 0});
     let ask = async |method: &str, params: Value| {
         let body = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params});
-        let call = JsonCall {
+        let call = JsonRequest {
             method: Method::POST,
             address,
             path: "/",
--- a/crates/stairstalld/tests/batch/cluster.rs
+++ b/crates/stairstalld/tests/batch/cluster.rs
@@ -10,7 +10,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
-use stairstall_http::{HttpClient, JsonAnswer, JsonCall};
+use stairstall_http::{HttpClient, JsonRequest, JsonResponse};
 use stairstall_platform_standin::{StandinStore, StandinWorkers};
 use stairstall_standin::{Link, Silence};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -221,7 +221,7 @@
         method: Method,
         path: &str,
         body: &Value,
-    ) -> Option<JsonAnswer> {
+    ) -> Option<JsonResponse> {
         self.call_as("key-mesa", daemon, method, path, body).await
     }
 
@@ -232,10 +232,10 @@
         method: Method,
         path: &str,
         body: &Value,
-    ) -> Option<JsonAnswer> {
+    ) -> Option<JsonResponse> {
         let address = self.daemons[daemon].address.to_string();
         let key = format!("Bearer {key}");
-        let call = JsonCall {
+        let call = JsonRequest {
             method,
             address: &address,
             path,
@@ -252,7 +252,7 @@
     /// Asks a daemon as the balancer does whether callers should come to it.
     pub async fn health(&self, daemon: &Daemon) -> Option<StatusCode> {
         let address = daemon.health.to_string();
-        let call = JsonCall {
+        let call = JsonRequest {
             method: Method::GET,
             address: &address,
             path: "/v1/readyz",
--- a/crates/stairstalld/tests/batch/explain.rs
+++ b/crates/stairstalld/tests/batch/explain.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Method, StatusCode};
 use stairstall_core::batch::JobExplanation;
-use stairstall_http::JsonCall;
+use stairstall_http::JsonRequest;
 
 use crate::cluster::{CALL_TIMEOUT, Cluster, job};
 
@@ -30,7 +30,7 @@
 async fn ask(cluster: &Cluster, daemon: usize, name: &str) -> (StatusCode, Vec<u8>) {
     let address = cluster.daemons[daemon].metrics.to_string();
     let path = format!("/v1/jobs/{name}/explain");
-    let call = JsonCall {
+    let call = JsonRequest {
         method: Method::GET,
         address: &address,
         path: &path,
--- a/crates/stairstalld/tests/batch/faults.rs
+++ b/crates/stairstalld/tests/batch/faults.rs
@@ -258,7 +258,7 @@
     cluster.submit(0, &path, &job(1, "ms=10")).await;
     cluster.wait_for(&path, "completed").await;
     let address = cluster.daemons[0].metrics.to_string();
-    let call = stairstall_http::JsonCall {
+    let call = stairstall_http::JsonRequest {
         method: Method::GET,
         address: &address,
         path: "/metrics",
--- a/crates/stairstalld/tests/batch/path.rs
+++ b/crates/stairstalld/tests/batch/path.rs
@@ -148,7 +148,7 @@
     let mut cluster = Cluster::start(1, 1).await;
     let id = cluster.new_id();
     let path = format!("/q2/{id}");
-    let status = |answer: Option<stairstall_http::JsonAnswer>| answer.map(|a| a.status);
+    let status = |answer: Option<stairstall_http::JsonResponse>| answer.map(|a| a.status);
     let post = |key: &'static str, path: String, body: Value| {
         let cluster = &cluster;
         async move { status(cluster.call_as(key, 0, Method::POST, &path, &body).await) }
