--- a/crates/stairstall-http/src/client.rs
+++ b/crates/stairstall-http/src/client.rs
@@ -19,72 +19,72 @@
 /// Body of an outgoing request.
 pub type Body = Full<Bytes>;
 
-/// Longest JSON answer that is read, in bytes.
+/// Largest JSON response body that is read, in bytes.
 const MAX_JSON_BYTES: usize = 64 * 1024 * 1024;
-/// How long an unused connection is kept; shorter than servers keep theirs.
+/// Idle time after which a pooled connection is closed; shorter than the idle timeout of servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A whole answer with its status.
+/// A complete HTTP response: status and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JsonResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Body.
+    /// Complete body, without decoding.
     pub body: Bytes,
 }
 
 impl JsonResponse {
-    /// Reads the body.
+    /// Deserializes the JSON body.
     ///
     /// # Errors
     ///
-    /// Returns [`CallError::InvalidFormat`] where it is not what was expected.
+    /// Returns [`CallError::InvalidFormat`] if the body is not valid JSON for `T`.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|e| CallError::InvalidFormat(e.to_string()))
     }
 }
 
-/// One request to a service that speaks JSON.
+/// A request to a service with a JSON interface.
 #[derive(Debug, Clone)]
 pub struct JsonRequest<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Where the service listens, as `IP:PORT`.
+    /// Address of the service, as `IP:PORT`.
     pub address: &'a str,
-    /// Path with query.
+    /// Path and query.
     pub path: &'a str,
-    /// Headers beside the content type.
+    /// Headers in addition to the content type.
     pub headers: &'a [(&'static str, &'a str)],
-    /// Body; empty for none.
+    /// JSON body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
-/// Connections to hosts, kept while they are unused.
+/// Pool of HTTP connections.
 type Pool = Client<HttpConnector, Body>;
 
-/// A client with pooled connections; clones share them.
+/// HTTP client with pooled connections; clones share the pool.
 ///
-/// Connections may go silent without a reset, all of a host at once. After a call without an
-/// answer in time the host's unused connections are closed, so that one call pays for the
-/// silence and not one for each of them.
+/// All connections to a host may stop responding at once without a reset. When a call times out,
+/// later calls to its host use a new pool, so that only this call runs into the timeout and
+/// not one further call for each pooled connection.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     connector: HttpConnector,
     idle_per_host: usize,
     pool: Pool,
-    /// Pools of hosts that lately left a call without an answer, by `IP:PORT`.
-    renewed: Arc<Mutex<HashMap<String, RenewedPool>>>,
+    /// Replacement pools of hosts with a recent timed-out call, by `IP:PORT`.
+    replaced_pools: Arc<Mutex<HashMap<String, ReplacementPool>>>,
 }
 
-/// A pool that took the place of one whose connections may be silent.
+/// Replacement for a pool whose connections may be unresponsive.
 #[derive(Debug, Clone)]
-struct RenewedPool {
+struct ReplacementPool {
     pool: Pool,
     since: Instant,
 }
 
 impl HttpClient {
-    /// Creates a client that keeps up to `idle_per_host` unused connections to each host.
+    /// Creates a client that keeps up to `idle_per_host` idle connections to each host.
     #[must_use]
     pub fn new(connect_timeout: Duration, idle_per_host: usize) -> Self {
         let mut connector = HttpConnector::new();
@@ -94,39 +94,41 @@
             pool: make_pool(connector.clone(), idle_per_host),
             connector,
             idle_per_host,
-            renewed: Arc::default(),
+            replaced_pools: Arc::default(),
         }
     }
 
-    fn renewed(&self) -> MutexGuard<'_, HashMap<String, RenewedPool>> {
-        self.renewed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn replaced_pools(&self) -> MutexGuard<'_, HashMap<String, ReplacementPool>> {
+        self.replaced_pools
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the connections to a host, and since when they were renewed.
+    /// Returns the pool of a host and, if it is a replacement, when it was created.
     fn pool_of(&self, host: &str) -> (Pool, Option<Instant>) {
-        match self.renewed().get(host) {
-            Some(renewed) => (renewed.pool.clone(), Some(renewed.since)),
+        match self.replaced_pools().get(host) {
+            Some(replacement) => (replacement.pool.clone(), Some(replacement.since)),
             None => (self.pool.clone(), None),
         }
     }
 
-    /// Closes the unused connections to a host, unless another call has done so since `used`.
+    /// Replaces the pool of a host, unless another call has done so since `used` was created.
     ///
-    /// A host's entry goes once the connections that it replaced have gone by age.
-    fn renew(&self, host: &str, used: Option<Instant>) {
-        let mut renewed = self.renewed();
+    /// An entry is removed after [`IDLE_TIMEOUT`], when the idle connections that it replaced have
+    /// been closed.
+    fn replace_pool(&self, host: &str, used: Option<Instant>) {
+        let mut pools = self.replaced_pools();
         let now = Instant::now();
-        renewed.retain(|_, entry| now - entry.since < IDLE_TIMEOUT);
-        if renewed.get(host).map(|entry| entry.since) > used {
+        pools.retain(|_, entry| now - entry.since < IDLE_TIMEOUT);
+        if pools.get(host).map(|entry| entry.since) > used {
             return;
         }
         let pool = make_pool(self.connector.clone(), self.idle_per_host);
-        renewed.insert(host.to_owned(), RenewedPool { pool, since: now });
+        pools.insert(host.to_owned(), ReplacementPool { pool, since: now });
     }
 
-    /// Waits for what is done through a host's connections; closes the unused ones where it takes
-    /// too long.
-    async fn in_time<T, F>(
+    /// Runs a call with the pool of a host; replaces the pool if the call times out.
+    async fn with_timeout<T, F>(
         &self,
         host: &str,
         timeout: Duration,
@@ -137,17 +139,17 @@
     {
         let (pool, used) = self.pool_of(host);
         let Ok(result) = tokio::time::timeout(timeout, call(pool)).await else {
-            self.renew(host, used);
+            self.replace_pool(host, used);
             return Err(CallError::TimedOut(timeout));
         };
         result
     }
 
-    /// Sends a request and returns the answer as soon as its head is there.
+    /// Sends a request and returns the response as soon as its head has arrived.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong, with its verdict.
+    /// Returns a [`CallError`], whose verdict says whether the request may have run.
     pub async fn send(
         &self,
         request: Request<Body>,
@@ -155,14 +157,15 @@
     ) -> Result<Response<Incoming>, CallError> {
         let host = request.uri().authority().map(ToString::to_string);
         let call = |pool: Pool| async move { Ok(pool.request(request).await?) };
-        self.in_time(&host.unwrap_or_default(), timeout, call).await
+        self.with_timeout(&host.unwrap_or_default(), timeout, call)
+            .await
     }
 
-    /// Sends a JSON body and reads the whole answer.
+    /// Sends an optional JSON body and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong, with its verdict.
+    /// Returns a [`CallError`], whose verdict says whether the request may have run.
     pub async fn json<T: Serialize + Sync>(
         &self,
         method: Method,
@@ -188,11 +191,11 @@
         self.exchange(call, timeout).await
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong, with its verdict.
+    /// Returns a [`CallError`], whose verdict says whether the request may have run.
     pub async fn exchange(
         &self,
         call: JsonRequest<'_>,
@@ -209,13 +212,13 @@
         let request = request
             .body(Body::from(call.body))
             .map_err(|e| CallError::InvalidFormat(e.to_string()))?;
-        let whole = |pool: Pool| async move {
+        let exchange = |pool: Pool| async move {
             let response = pool.request(request).await?;
             let status = response.status();
             let body = read_limited(response.into_body(), MAX_JSON_BYTES).await?;
             Ok(JsonResponse { status, body })
         };
-        self.in_time(call.address, timeout, whole).await
+        self.with_timeout(call.address, timeout, exchange).await
     }
 }
 
@@ -227,7 +230,7 @@
         .build(connector)
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 async fn read_limited(body: Incoming, limit: usize) -> Result<Bytes, CallError> {
     let collected = Limited::new(body, limit).collect().await;
     collected
--- a/crates/stairstall-http/src/error.rs
+++ b/crates/stairstall-http/src/error.rs
@@ -4,38 +4,38 @@
 use stairstall_core::Verdict;
 
 quick_error! {
-    /// A call that brought no usable answer.
+    /// An HTTP call that failed to return a usable response.
     #[derive(Debug)]
     pub enum CallError {
-        /// No connection was made: nothing was sent.
+        /// The connection could not be established: nothing was sent.
         Connect(source: hyper_util::client::legacy::Error) {
             display("no connection: {}", root_cause(source))
             source(source)
         }
-        /// The connection closed before the request was taken up: nothing was sent.
+        /// A pooled connection closed before the request was written: nothing was sent.
         NotSent(source: hyper_util::client::legacy::Error) {
             display("connection closed before the request was sent: {}", root_cause(source))
             source(source)
         }
-        /// The connection broke after the request may have left.
+        /// The connection was lost after the request may have been sent.
         ConnectionLost(source: hyper_util::client::legacy::Error) {
             display("connection broke: {}", root_cause(source))
             source(source)
         }
-        /// The answer broke off.
+        /// The connection was lost while the response body was read.
         Truncated(source: hyper::Error) {
             display("answer broke off: {source}")
             source(source)
         }
-        /// No answer came in time.
+        /// No complete response arrived within the timeout.
         TimedOut(after: Duration) {
             display("no answer within {} ms", after.as_millis())
         }
-        /// The answer is longer than allowed.
+        /// The response body exceeds the size limit.
         BodyTooLarge(limit: usize) {
             display("answer is longer than {limit} bytes")
         }
-        /// The request or the answer is not in the agreed form.
+        /// The request could not be encoded or the response could not be decoded.
         InvalidFormat(what: String) {
             display("unexpected form: {what}")
         }
@@ -43,7 +43,7 @@
 }
 
 impl CallError {
-    /// Says whether the other side may have carried out the request.
+    /// Returns whether the server may have executed the request.
     #[must_use]
     pub const fn verdict(&self) -> Verdict {
         match self {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns the innermost cause, which says most.
+/// Returns the innermost cause, which is the most specific.
 fn root_cause(error: &dyn std::error::Error) -> String {
     let mut cause = error;
     while let Some(source) = cause.source() {
--- a/crates/stairstall-http/src/lib.rs
+++ b/crates/stairstall-http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP calls whose errors say whether the request may have run.
+//! HTTP client whose errors say whether the request may have run.
 //!
-//! [`HttpClient`] keeps pooled connections through `hyper-util`. An error is
-//! [`Verdict::NotRun`](stairstall_core::Verdict::NotRun) only where no byte of
-//! the request can have reached the other side: the connection was never made,
-//! or a pooled one was closed before the request was taken up.
+//! [`HttpClient`] pools connections with `hyper-util`. The verdict of an error is
+//! [`Verdict::NotRun`](stairstall_core::Verdict::NotRun) only if no byte of the
+//! request can have reached the server: the connection was never established,
+//! or a pooled connection closed before the request was written.
 
 mod client;
 mod error;
