--- a/crates/stairstall-ports/src/dialect.rs
+++ b/crates/stairstall-ports/src/dialect.rs
@@ -5,61 +5,62 @@
 use stairstall_core::batch::{BatchSpec, CallerState, Catalog, ListedWorker};
 
 quick_error! {
-    /// Something that is not in the agreed form.
+    /// A value that is not in the format of the platform.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum FormatError {
-        /// The text can't be read.
+        /// The value could not be parsed; `what` gives the reason.
         Unreadable(what: String) {
             display("{what}")
         }
     }
 }
 
-/// Names and formats of callers, operators and the directory of workers.
+/// The platform's names and formats: HTTP paths and headers, store keys, and the encoding of jobs,
+/// configuration and directory entries.
 pub trait Dialect: fmt::Debug + Send + Sync {
-    /// Path that the balancer asks on the health address.
+    /// Path of the readiness check that the load balancer requests on the health address.
     fn readiness_path(&self) -> &'static str;
 
-    /// Header that says how long a caller waits for an answer, in milliseconds.
+    /// Header with the time that a caller waits for a response, in milliseconds.
     fn deadline_header(&self) -> &'static str;
 
-    /// Scheme of the header that carries a customer's key.
+    /// Authentication scheme of the header with a customer's API key.
     fn key_scheme(&self) -> &'static str;
 
-    /// Key of the operators' configuration in the store.
+    /// Store key of the operators' configuration.
     fn configuration_key(&self) -> &'static str;
 
-    /// Prefix of the keys that evacuate an availability zone, which each end with its name; the
-    /// zone is restored by taking its key away.
+    /// Prefix of the store keys that mark availability zones as evacuated. A key is the prefix
+    /// followed by the zone's name; deleting it restores the zone.
     fn evacuated_zone_prefix(&self) -> &'static str;
 
-    /// Prefix of the directory of workers in the store.
+    /// Prefix of the store keys of the worker directory.
     fn directory_prefix(&self) -> &'static str;
 
-    /// Reads the operators' configuration.
+    /// Parses the operators' configuration.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Returns a [`FormatError`] if the value cannot be parsed.
     fn read_catalog(&self, value: &[u8]) -> Result<Catalog, FormatError>;
 
-    /// Reads an entry of the directory.
+    /// Parses an entry of the worker directory.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Returns a [`FormatError`] if the value cannot be parsed.
     fn read_worker(&self, id: WorkerId, value: &[u8]) -> Result<ListedWorker, FormatError>;
 
-    /// Reads a job as its caller describes it; its bounds are not checked.
+    /// Parses a job specification from a caller; its limits are not checked.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Returns a [`FormatError`] if the value cannot be parsed.
     fn read_job(&self, body: &[u8]) -> Result<BatchSpec, FormatError>;
 
-    /// Writes a job's state for its caller.
+    /// Encodes a job's state for its caller.
     fn write_state(&self, state: CallerState) -> Vec<u8>;
 
-    /// Writes how many jobs of a queue wait.
+    /// Encodes the number of waiting jobs of a queue.
     fn write_pending(&self, pending: u64) -> Vec<u8>;
 }
--- a/crates/stairstall-ports/src/lib.rs
+++ b/crates/stairstall-ports/src/lib.rs
@@ -1,11 +1,12 @@
-//! What the daemon needs of the platform it runs on, as traits.
+//! Traits for the services that the daemon needs from its platform.
 //!
-//! An adapter knows a platform's names, formats and calls. It decides nothing,
-//! has no retry policy and keeps no state but connections.
+//! An adapter implements them with a platform's names, formats and calls. It
+//! makes no decisions, has no retry policy and keeps no state but connections.
 //!
-//! - [`SharedStore`]: what lasts, under conditional writes, with watches and leases.
-//! - [`WorkerCalls`]: orders to workers and their reports.
-//! - [`Dialect`]: names and formats of callers, operators and the directory.
+//! - [`SharedStore`]: durable key-value store with conditional writes, watches and leases.
+//! - [`WorkerCalls`]: sends orders to workers and polls them for reports.
+//! - [`Adviser`]: external service that restricts which workers may run a step.
+//! - [`Dialect`]: names and formats of callers, operators and the worker directory.
 
 mod dialect;
 mod store;
--- a/crates/stairstall-ports/src/store.rs
+++ b/crates/stairstall-ports/src/store.rs
@@ -7,7 +7,7 @@
 use stairstall_core::Verdict;
 use stairstall_http::CallError;
 
-/// Counts the changes of the whole store.
+/// Store-wide revision, which increases with every change.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,85 +19,85 @@
     }
 }
 
-/// Names a lease of the store.
+/// Identifier of a store lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub u64);
 
-/// One key with its value.
+/// A stored key with its value and revisions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// Its last change.
+    /// Revision of the last change.
     pub revision: Revision,
-    /// Its creation.
+    /// Revision at which the key was created.
     pub created: Revision,
 }
 
-/// Keys of a prefix in order, as far as they fit.
+/// One page of a range read, in key order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// The items.
     pub items: Vec<Item>,
-    /// Whether there are more after the last one.
+    /// Whether more keys follow the last item.
     pub more: bool,
-    /// The store's revision.
+    /// Revision of the store at the time of the read.
     pub revision: Revision,
 }
 
-/// One change that a watch brought.
+/// One change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// A key was written.
     Written(Item),
-    /// A key is gone.
+    /// A key was deleted, by a commit or with its lease.
     Deleted {
         /// The key.
         key: String,
-        /// When it went.
+        /// Revision of the deletion.
         revision: Revision,
     },
 }
 
-/// What a watch brought.
+/// Changes returned by one call of [`SharedStore::watch`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchBatch {
-    /// Changes in order.
+    /// Changes in the order of their revisions.
     pub changes: Vec<Change>,
-    /// Where to go on.
+    /// Revision to pass as `after` to the next call.
     pub revision: Revision,
 }
 
-/// Holds while the key's last change is `revision`; 0 says that there is no such key.
+/// Condition of a commit: the key was last changed at `revision`, or does not exist if that is 0.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// Its last change.
+    /// Expected revision of the last change; 0 if the key must not exist.
     pub revision: Revision,
 }
 
-/// Writes a key.
+/// A key to write in a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Put {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease that the key goes with.
+    /// Lease to attach the key to; the key is deleted when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// Does everything, or nothing where a condition does not hold.
+/// An atomic write: all changes are applied, or none if a condition does not hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Commit {
-    /// Conditions.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
     /// Keys to write.
     pub puts: Vec<Put>,
-    /// Keys to remove.
+    /// Keys to delete.
     pub removes: Vec<String>,
 }
 
@@ -123,7 +123,7 @@
         self
     }
 
-    /// Adds a key to write that goes with a lease.
+    /// Adds a key to write that is attached to a lease.
     #[must_use]
     pub fn put_leased(mut self, key: impl Into<String>, value: Vec<u8>, lease: LeaseId) -> Self {
         self.puts.push(Put {
@@ -134,7 +134,7 @@
         self
     }
 
-    /// Adds a key to remove.
+    /// Adds a key to delete.
     #[must_use]
     pub fn remove(mut self, key: impl Into<String>) -> Self {
         self.removes.push(key.into());
@@ -142,40 +142,40 @@
     }
 }
 
-/// What became of a commit.
+/// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It is done.
+    /// The commit was applied at this revision.
     Done(Revision),
-    /// A condition does not hold; the keys of the conditions that exist, as they are.
+    /// A condition does not hold. Contains the current items of those condition keys that exist.
     Conflict(Vec<Item>),
-    /// The lease is over.
+    /// The lease of a put has expired or was revoked.
     LeaseExpired,
 }
 
 quick_error! {
-    /// A call to the store that brought no usable answer.
+    /// A store call that failed to return a usable response.
     #[derive(Debug)]
     pub enum StoreFault {
-        /// The call failed.
+        /// The HTTP call failed.
         Call(source: CallError) {
             display("{source}")
             from()
             source(source)
         }
-        /// The store refused it; nothing was done.
+        /// The store refused the call with this HTTP status and changed nothing.
         Refused(status: u16) {
             display("refused with status {status}")
         }
-        /// The history that a watch asked for is gone.
+        /// The revisions that a watch requested have been compacted.
         Compacted {
             display("the history is gone")
         }
-        /// The lease is over.
+        /// The lease has expired or was revoked.
         LeaseExpired {
             display("the lease is over")
         }
-        /// An answer that the store should not give.
+        /// The store returned a response that its interface does not allow.
         Unexpected(what: String) {
             display("unexpected answer: {what}")
         }
@@ -183,7 +183,7 @@
 }
 
 impl StoreFault {
-    /// Says whether a write may have taken effect, or may still.
+    /// Returns whether a write may have taken effect or may still do so.
     #[must_use]
     pub const fn verdict(&self) -> Verdict {
         match self {
@@ -193,30 +193,31 @@
         }
     }
 
-    /// Tells whether no answer came in the time that the call was given.
+    /// Returns whether the call timed out.
     #[must_use]
     pub const fn is_timeout(&self) -> bool {
         matches!(self, Self::Call(CallError::TimedOut(_)))
     }
 
-    /// Tells whether the store did not serve the call, rather than answering it.
+    /// Returns whether the store failed to serve the call, as opposed to answering it.
     #[must_use]
     pub const fn is_outage(&self) -> bool {
         matches!(self, Self::Call(_) | Self::Refused(_))
     }
 }
 
-/// What lasts.
+/// The platform's durable key-value store.
 pub trait SharedStore: fmt::Debug + Send + Sync {
     /// Reads a key.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Item>, StoreFault>>;
 
-    /// Asks whether the store serves at all, as cheaply as it can be asked; `key` is one that
-    /// should exist.
+    /// Checks at the lowest possible cost whether the store serves calls; `key` should be an
+    /// existing key.
     fn ping<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<(), StoreFault>>;
 
-    /// Reads keys that start with `prefix` and come after `after`, in order, within `timeout`: a
-    /// page may be a megabyte.
+    /// Reads a page of the keys that start with `prefix` and sort after `after`, in key order.
+    ///
+    /// The call has a `timeout` of its own because a page may be as large as a megabyte.
     fn range<'a>(
         &'a self,
         prefix: &'a str,
@@ -232,15 +233,15 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<WatchBatch, StoreFault>>;
 
-    /// Writes under conditions.
+    /// Applies a commit atomically if its conditions hold.
     fn commit(&self, commit: Commit) -> BoxFuture<'_, Result<CommitOutcome, StoreFault>>;
 
-    /// Takes a lease; returns its name and how long it lasts.
+    /// Creates a lease; returns its identifier and time to live.
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<(LeaseId, Duration), StoreFault>>;
 
-    /// Renews a lease; [`StoreFault::LeaseExpired`] where it is over.
+    /// Renews a lease and returns its time to live, or [`StoreFault::LeaseExpired`] if it has ended.
     fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<Duration, StoreFault>>;
 
-    /// Ends a lease; its keys go.
+    /// Revokes a lease, which deletes the keys attached to it.
     fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreFault>>;
 }
--- a/crates/stairstall-ports/src/workers.rs
+++ b/crates/stairstall-ports/src/workers.rs
@@ -9,43 +9,43 @@
 };
 use stairstall_http::CallError;
 
-/// One life of a worker and where it listens.
+/// Address of one incarnation of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerAddress {
-    /// The life that is meant; another one answers so.
+    /// Identifier of the addressed incarnation; another incarnation rejects the call.
     pub id: WorkerId,
-    /// Where it listens, as `IP:PORT`.
+    /// Listen address, as `IP:PORT`.
     pub address: String,
 }
 
 quick_error! {
-    /// A worker that was asked and gave no report.
+    /// A poll of a worker that returned no report.
     #[derive(Debug)]
     pub enum WorkerFault {
-        /// The call failed.
+        /// The HTTP call failed.
         Call(source: CallError) {
             display("{source}")
             from()
             source(source)
         }
-        /// It has seen a higher fencing token.
+        /// The worker has seen a higher fencing token.
         Fenced {
             display("a higher fencing token was seen")
         }
-        /// Another life of the worker answered.
+        /// Another incarnation of the worker replied.
         OtherLife {
             display("another life answered")
         }
-        /// Any other answer.
+        /// The worker returned a reply that its interface does not allow.
         Unexpected(what: String) {
             display("unexpected answer: {what}")
         }
     }
 }
 
-/// Orders to workers and their reports.
+/// Calls to workers: start orders, stop orders and polls.
 pub trait WorkerCalls: fmt::Debug + Send + Sync {
-    /// Renews what runs, forgets ends, and asks for a report.
+    /// Polls a worker: renews the leases of its runs, acknowledges run ends and returns its report.
     fn poll<'a>(
         &'a self,
         worker: &'a WorkerAddress,
@@ -53,7 +53,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<WorkerReport, WorkerFault>>;
 
-    /// Starts a run; `order` must be a start.
+    /// Starts a run; `order` must be a start order.
     fn start<'a>(
         &'a self,
         worker: &'a WorkerAddress,
@@ -61,7 +61,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, StartOutcome>;
 
-    /// Stops a run, or bars it where it is not there.
+    /// Stops a run, or prevents a later start of it if it is not on the worker.
     fn stop<'a>(
         &'a self,
         worker: &'a WorkerAddress,
@@ -70,9 +70,9 @@
     ) -> BoxFuture<'a, StopOutcome>;
 }
 
-/// An outside service that lets only some workers run a step.
+/// External service that restricts which workers may run a step.
 pub trait Adviser: fmt::Debug + Send + Sync {
-    /// Returns the workers that may run the step, each with its ticket.
+    /// Returns the workers that may run the step, each with the ticket that permits it.
     fn advise<'a>(
         &'a self,
         request: &'a AdviceRequest,
--- a/crates/stairstall-store/src/client.rs
+++ b/crates/stairstall-store/src/client.rs
@@ -14,12 +14,12 @@
 };
 use crate::{StoreError, Watch};
 
-/// Largest value that the store takes, in bytes.
+/// Largest value that the store accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
-/// Keys that one call of a listing returns.
-const PAGE: u64 = 500;
+/// Maximum number of keys per page of a listing.
+const PAGE_SIZE: u64 = 500;
 
-/// Names a lease of the store.
+/// Identifier of a store lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub u64);
 
@@ -35,7 +35,7 @@
 }
 
 impl Entry {
-    /// Reads the value as JSON; none where it is not in the expected form.
+    /// Deserializes the JSON value; returns `None` if it is not valid JSON for `T`.
     #[must_use]
     pub fn read<T: DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.value).ok()
@@ -50,21 +50,21 @@
     }
 }
 
-/// All keys of a prefix at about one time.
+/// All keys with a prefix, read page by page and so not from one snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
     /// The entries.
     pub entries: Vec<Entry>,
-    /// The store's revision before the first page: a watch from the next one misses nothing.
+    /// Revision of the store at the first page. A watch from the next revision misses no change.
     pub revision: u64,
 }
 
-/// What a compare-and-swap expects to find.
+/// State of the key that a compare-and-swap expects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
-    /// No such key.
+    /// The key does not exist.
     Absent,
-    /// The key as last changed at this revision.
+    /// The key was last changed at this revision.
     Revision(u64),
 }
 
@@ -80,13 +80,13 @@
 /// Outcome of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Swap {
-    /// It took effect at this revision.
+    /// The change was applied at this revision.
     Applied(u64),
-    /// It did not; this stands there instead.
+    /// The expectation did not hold. Contains the current entry, if the key exists.
     Conflict(Option<Entry>),
 }
 
-/// The platform's store; clones share connections and counts.
+/// Client of the platform's store; clones share connections and the call counter.
 #[derive(Debug, Clone)]
 pub struct Store {
     client: HttpClient,
@@ -96,7 +96,7 @@
 }
 
 impl Store {
-    /// Creates a client of the store at `address`; each call takes at most `timeout`.
+    /// Creates a client of the store at `address`; each call times out after `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = HttpClient::new(timeout, 8);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns how many calls were made, each watch counted as one.
+    /// Returns the number of calls made; a watch counts as one call.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a [`StoreError`] if the call fails.
     pub async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         let request = RangeRequest {
             key: key.into(),
@@ -160,11 +160,11 @@
         Ok(answer.kvs.into_iter().next().map(Entry::from_wire))
     }
 
-    /// Reads all keys that start with `prefix`, some hundred with each call.
+    /// Reads all keys that start with `prefix`, in pages of a few hundred keys.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a [`StoreError`] if the call fails.
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut listing = Listing {
             entries: Vec::new(),
@@ -175,7 +175,7 @@
             let request = RangeRequest {
                 key: from,
                 range_end: prefix_end(prefix),
-                limit: Long(PAGE),
+                limit: Long(PAGE_SIZE),
             };
             let answer: RangeResponse = self.call("/v3/kv/range", &request).await?;
             if listing.revision == 0 {
@@ -194,12 +194,12 @@
         }
     }
 
-    /// Writes a key if it is as expected.
+    /// Writes a key if its state is as expected.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; its verdict says whether the write may
-    /// have taken effect.
+    /// Returns a [`StoreError`], whose verdict says whether the write may have
+    /// taken effect.
     pub async fn swap<T: Serialize + Sync>(
         &self,
         key: &str,
@@ -225,11 +225,11 @@
         self.transact(key, expect, op).await
     }
 
-    /// Deletes a key if it is as expected.
+    /// Deletes a key if its state is as expected.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a [`StoreError`] if the call fails.
     pub async fn delete(&self, key: &str, expect: Expect) -> Result<Swap, StoreError> {
         let delete = DeleteRequest { key: key.into() };
         let op = RequestOp {
@@ -268,11 +268,11 @@
         Ok(Swap::Conflict(found.map(Entry::from_wire)))
     }
 
-    /// Takes a lease that the store keeps for `ttl`, in whole seconds.
+    /// Creates a lease with a time to live of `ttl`, rounded down to whole seconds.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a [`StoreError`] if the call fails.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         let request = LeaseMessage {
             ttl: Long(ttl.as_secs()),
@@ -282,11 +282,11 @@
         Ok(LeaseId(answer.id.0))
     }
 
-    /// Renews a lease; false where the store no longer has it.
+    /// Renews a lease; returns `false` if it has expired.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a [`StoreError`] if the call fails.
     pub async fn keep_alive(&self, lease: LeaseId) -> Result<bool, StoreError> {
         let request = LeaseMessage {
             id: Long(lease.0),
@@ -296,11 +296,11 @@
         Ok(answer.result.ttl.0 > 0)
     }
 
-    /// Gives a lease up; the keys under it go with it.
+    /// Revokes a lease, which deletes the keys attached to it.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a [`StoreError`] if the call fails.
     pub async fn revoke(&self, lease: LeaseId) -> Result<(), StoreError> {
         let request = LeaseMessage {
             id: Long(lease.0),
@@ -310,11 +310,12 @@
         Ok(())
     }
 
-    /// Watches a key, or all keys that start with it, from a revision on.
+    /// Watches a key, or all keys that start with it if `whole_prefix` is set, from
+    /// `start_revision` on.
     ///
     /// # Errors
     ///
-    /// Returns why the watch was not taken up.
+    /// Returns a [`StoreError`] if the watch cannot be opened.
     pub async fn watch(
         &self,
         prefix: &str,
--- a/crates/stairstall-store/src/error.rs
+++ b/crates/stairstall-store/src/error.rs
@@ -3,24 +3,24 @@
 use stairstall_http::CallError;
 
 quick_error! {
-    /// A call to the store that brought no usable answer.
+    /// A store call that failed to return a usable response.
     #[derive(Debug)]
     pub enum StoreError {
-        /// The call failed.
+        /// The HTTP call failed.
         Call(source: CallError) {
             display("store: {source}")
             from()
             source(source)
         }
-        /// The store refused the call or could not carry it out.
+        /// The store refused the call or failed to execute it.
         Status(status: u16) {
             display("store answered with status {status}")
         }
-        /// The value is larger than the store takes.
+        /// The value exceeds the size limit of the store.
         TooLarge(bytes: usize) {
             display("a value of {bytes} bytes is larger than the store takes")
         }
-        /// The watch ended; start again from a listing.
+        /// The watch ended; list the keys again and open a new watch.
         WatchEnded {
             display("the watch ended")
         }
@@ -28,7 +28,7 @@
 }
 
 impl StoreError {
-    /// Says whether a write may have taken effect.
+    /// Returns whether a write may have taken effect.
     #[must_use]
     pub const fn verdict(&self) -> Verdict {
         match self {
--- a/crates/stairstall-store/src/lib.rs
+++ b/crates/stairstall-store/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value store.
 //!
-//! It speaks the JSON form of the etcd v3 interface (`/v3/kv/range`,
-//! `/v3/kv/txn`, `/v3/lease/…`, `/v3/watch`), of which it uses
-//! compare-and-swap on single keys, leases and watches. Every error says
+//! It uses the JSON gateway of the etcd v3 interface (`/v3/kv/range`,
+//! `/v3/kv/txn`, `/v3/lease/…`, `/v3/watch`), restricted
+//! to compare-and-swap on single keys, leases and watches. Every error says
 //! whether a write may have taken effect.
 
 mod client;
--- a/crates/stairstall-store/src/watch.rs
+++ b/crates/stairstall-store/src/watch.rs
@@ -10,12 +10,12 @@
 use crate::wire::{EventType, Long, WatchCreate, WatchEvent, WatchLine, WatchRequest, prefix_end};
 use crate::{Entry, Store, StoreError};
 
-/// One change that a watch tells.
+/// One change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The key was written.
     Put(Entry),
-    /// The key was deleted, or its lease ended.
+    /// The key was deleted or its lease ended.
     Delete(String),
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A waiting watch; the store counts it as one call.
+/// An open watch, which counts as one call to the store.
 #[derive(Debug)]
 pub struct Watch {
     body: Incoming,
@@ -37,7 +37,7 @@
     events: VecDeque<Event>,
 }
 
-/// Longest line that is buffered, in bytes.
+/// Largest incomplete line that is buffered, in bytes.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 impl Watch {
@@ -79,17 +79,18 @@
         })
     }
 
-    /// Waits for the next change; none where `patience` ends first.
+    /// Waits for the next change; returns `None` after `timeout` without data.
     ///
     /// # Errors
     ///
-    /// Returns that the watch ended; open another from the last revision seen.
-    pub async fn next(&mut self, patience: Duration) -> Result<Option<Event>, StoreError> {
+    /// Returns [`StoreError::WatchEnded`] if the watch ended; open another one after the last
+    /// revision seen. Returns [`StoreError::Call`] if a line cannot be decoded.
+    pub async fn next(&mut self, timeout: Duration) -> Result<Option<Event>, StoreError> {
         loop {
             if let Some(event) = self.events.pop_front() {
                 return Ok(Some(event));
             }
-            let Ok(frame) = tokio::time::timeout(patience, self.body.frame()).await else {
+            let Ok(frame) = tokio::time::timeout(timeout, self.body.frame()).await else {
                 return Ok(None);
             };
             let frame = frame
@@ -97,12 +98,12 @@
                 .map_err(|_| StoreError::WatchEnded)?;
             if let Ok(data) = frame.into_data() {
                 self.buffer.extend_from_slice(&data);
-                self.take_lines()?;
+                self.decode_lines()?;
             }
         }
     }
 
-    fn take_lines(&mut self) -> Result<(), StoreError> {
+    fn decode_lines(&mut self) -> Result<(), StoreError> {
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
             let line = self.buffer.split_to(end);
             self.buffer.advance(1);
--- a/crates/stairstall-store/src/wire.rs
+++ b/crates/stairstall-store/src/wire.rs
@@ -1,13 +1,13 @@
-//! Messages of the etcd v3 interface in JSON, as far as they are used.
+//! JSON messages of the etcd v3 interface, restricted to the fields in use.
 //!
-//! Field names are those of the published interface: keys and values are
-//! base64, 64-bit numbers are strings.
+//! Field names and encodings are those of the published interface: keys and
+//! values are base64, 64-bit numbers are strings.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Serialize};
 
-/// Bytes as base64.
+/// Bytes, encoded as base64.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Blob(pub Vec<u8>);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A 64-bit number as a string; a bare number is taken too.
+/// A 64-bit number, encoded as a string; a JSON number is accepted too.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Long(pub u64);
 
@@ -47,18 +47,18 @@
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Form {
+        enum Encoding {
             Text(String),
             Number(u64),
         }
-        match Form::deserialize(deserializer)? {
-            Form::Text(text) => text.parse().map(Self).map_err(serde::de::Error::custom),
-            Form::Number(number) => Ok(Self(number)),
+        match Encoding::deserialize(deserializer)? {
+            Encoding::Text(text) => text.parse().map(Self).map_err(serde::de::Error::custom),
+            Encoding::Number(number) => Ok(Self(number)),
         }
     }
 }
 
-/// Head of each answer.
+/// Header of every response.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
@@ -76,33 +76,33 @@
     pub value: Blob,
     /// Revision of the last change.
     pub mod_revision: Long,
-    /// Revision of the creation.
+    /// Revision at which the key was created.
     pub create_revision: Long,
-    /// Lease, zero for none.
+    /// Lease that the key is attached to; zero for none.
     pub lease: Long,
 }
 
-/// `/v3/kv/range`.
+/// Request of `/v3/kv/range`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
     /// First key.
     pub key: Blob,
-    /// End of the range; empty for one key.
+    /// End of the range, exclusive; empty for a single key.
     pub range_end: Blob,
-    /// Most keys to return; zero for all.
+    /// Maximum number of keys to return; zero for no limit.
     pub limit: Long,
 }
 
-/// Answer of `/v3/kv/range`.
+/// Response of `/v3/kv/range`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
-    /// Head.
+    /// Response header.
     pub header: Header,
     /// Keys and values.
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit cut the range.
+    /// Whether the limit truncated the range.
     pub more: bool,
 }
 
@@ -116,11 +116,11 @@
     pub target: String,
     /// Key.
     pub key: Blob,
-    /// Revision; zero where the key must not exist.
+    /// Expected revision; zero if the key must not exist.
     pub mod_revision: Long,
 }
 
-/// Writes a key.
+/// Write of a key in a transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
@@ -128,11 +128,11 @@
     pub key: Blob,
     /// Value.
     pub value: Blob,
-    /// Lease, zero for none.
+    /// Lease that the key is attached to; zero for none.
     pub lease: Long,
 }
 
-/// Deletes a key.
+/// Deletion of a key in a transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRequest {
@@ -140,7 +140,7 @@
     pub key: Blob,
 }
 
-/// One step of a transaction; exactly one field is set.
+/// One operation of a transaction; exactly one field is set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestOp {
@@ -155,19 +155,19 @@
     pub request_range: Option<RangeRequest>,
 }
 
-/// `/v3/kv/txn`.
+/// Request of `/v3/kv/txn`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
     /// Conditions.
     pub compare: Vec<Compare>,
-    /// Done where all conditions hold.
+    /// Operations that run if all conditions hold.
     pub success: Vec<RequestOp>,
-    /// Done otherwise.
+    /// Operations that run otherwise.
     pub failure: Vec<RequestOp>,
 }
 
-/// Outcome of one step; only reads carry one that is used.
+/// Outcome of one operation; only that of a read is used.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseOp {
@@ -176,19 +176,20 @@
     pub response_range: Option<RangeResponse>,
 }
 
-/// Answer of `/v3/kv/txn`.
+/// Response of `/v3/kv/txn`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
-    /// Head.
+    /// Response header.
     pub header: Header,
     /// Whether all conditions held.
     pub succeeded: bool,
-    /// Outcome of each step.
+    /// Outcome of each operation.
     pub responses: Vec<ResponseOp>,
 }
 
-/// `/v3/lease/grant`, `/v3/lease/keepalive`, `/v3/lease/revoke` and their answers.
+/// `/v3/lease/grant`, `/v3/lease/keepalive`, `/v3/lease/revoke`:
+/// requests, and the response of `/v3/lease/grant`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseMessage {
@@ -200,42 +201,42 @@
     pub ttl: Long,
 }
 
-/// Answer of `/v3/lease/keepalive`.
+/// Response of `/v3/lease/keepalive`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KeepAliveResponse {
-    /// The lease; a time to live of zero says that it is gone.
+    /// The lease; a time to live of zero means that it has expired.
     pub result: LeaseMessage,
 }
 
-/// `/v3/watch`.
+/// Request of `/v3/watch`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Range and start of the watch.
     pub create_request: WatchCreate,
 }
 
-/// What to watch, and from when.
+/// Range and start revision of a watch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
     /// First key.
     pub key: Blob,
-    /// End of the range; empty for one key.
+    /// End of the range, exclusive; empty for a single key.
     pub range_end: Blob,
-    /// First revision to tell.
+    /// First revision to report.
     pub start_revision: Long,
 }
 
-/// Kind of event; writes carry no name in the interface's JSON.
+/// Type of an event; the interface's JSON omits it for writes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EventType {
-    /// Written.
+    /// The key was written.
     #[default]
     #[serde(rename = "PUT")]
     Put,
-    /// Deleted or expired.
+    /// The key was deleted or its lease expired.
     #[serde(rename = "DELETE")]
     Delete,
 }
@@ -244,34 +245,34 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchEvent {
-    /// Kind.
+    /// Type of the event.
     #[serde(rename = "type")]
     pub kind: EventType,
     /// The key after the event.
     pub kv: KeyValue,
 }
 
-/// One line of a watch's answer.
+/// One line of the streamed response of `/v3/watch`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchLine {
-    /// What it brings.
+    /// Content of the line.
     pub result: WatchResult,
 }
 
-/// Content of one line.
+/// Content of a line of a watch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResult {
-    /// Head.
+    /// Response header.
     pub header: Header,
-    /// Whether this line says that the watch stands.
+    /// Whether this line confirms that the watch was created.
     pub created: bool,
     /// Events in order.
     pub events: Vec<WatchEvent>,
 }
 
-/// Returns the end of the range of all keys that start with `prefix`.
+/// Returns the exclusive end of the range of all keys that start with `prefix`.
 #[must_use]
 pub fn prefix_end(prefix: &str) -> Blob {
     let mut end = prefix.as_bytes().to_vec();
