--- a/crates/stairstalld/src/call/claims.rs
+++ b/crates/stairstalld/src/call/claims.rs
@@ -6,7 +6,9 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use http_body_util::Full;
-use stairstall_core::claim::{ClaimAttempt, ClaimRecord, ClaimStep, ClaimWriteResult, Mark, StoredResponse};
+use stairstall_core::claim::{
+    ClaimAttempt, ClaimRecord, ClaimStep, ClaimWriteResult, Mark, StoredResponse,
+};
 use stairstall_core::protocol::header;
 use stairstall_core::{Timestamp, Verdict};
 use stairstall_store::{Entry, Expect, LeaseId, Store, StoreError, Swap};
