--- a/crates/stairstall-http/src/client.rs
+++ b/crates/stairstall-http/src/client.rs
@@ -29,7 +29,7 @@
 pub struct JsonResponse {
     /// HTTP status code.
     pub status: StatusCode,
-    /// Complete body, without decoding.
+    /// Complete body, not decoded.
     pub body: Bytes,
 }
 
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone)]
 struct ReplacementPool {
     pool: Pool,
-    since: Instant,
+    created: Instant,
 }
 
 impl HttpClient {
@@ -107,24 +107,25 @@
     /// Returns the pool of a host and, if it is a replacement, when it was created.
     fn pool_of(&self, host: &str) -> (Pool, Option<Instant>) {
         match self.replaced_pools().get(host) {
-            Some(replacement) => (replacement.pool.clone(), Some(replacement.since)),
+            Some(replacement) => (replacement.pool.clone(), Some(replacement.created)),
             None => (self.pool.clone(), None),
         }
     }
 
-    /// Replaces the pool of a host, unless another call has done so since `used` was created.
+    /// Replaces the pool of a host, unless another call has replaced it since `pool_created`.
     ///
-    /// An entry is removed after [`IDLE_TIMEOUT`], when the idle connections that it replaced have
-    /// been closed.
-    fn replace_pool(&self, host: &str, used: Option<Instant>) {
+    /// `pool_created` is when the pool of the timed-out call was created, or `None` for the
+    /// original pool. Also removes the entries older than [`IDLE_TIMEOUT`], since the idle
+    /// connections that they replaced have been closed.
+    fn replace_pool(&self, host: &str, pool_created: Option<Instant>) {
         let mut pools = self.replaced_pools();
         let now = Instant::now();
-        pools.retain(|_, entry| now - entry.since < IDLE_TIMEOUT);
-        if pools.get(host).map(|entry| entry.since) > used {
+        pools.retain(|_, entry| now - entry.created < IDLE_TIMEOUT);
+        if pools.get(host).map(|entry| entry.created) > pool_created {
             return;
         }
         let pool = make_pool(self.connector.clone(), self.idle_per_host);
-        pools.insert(host.to_owned(), ReplacementPool { pool, since: now });
+        pools.insert(host.to_owned(), ReplacementPool { pool, created: now });
     }
 
     /// Runs a call with the pool of a host; replaces the pool if the call times out.
@@ -137,9 +138,9 @@
     where
         F: Future<Output = Result<T, CallError>>,
     {
-        let (pool, used) = self.pool_of(host);
+        let (pool, pool_created) = self.pool_of(host);
         let Ok(result) = tokio::time::timeout(timeout, call(pool)).await else {
-            self.replace_pool(host, used);
+            self.replace_pool(host, pool_created);
             return Err(CallError::TimedOut(timeout));
         };
         result
--- a/crates/stairstall-http/tests/silence.rs
+++ b/crates/stairstall-http/tests/silence.rs
@@ -26,8 +26,8 @@
     http.exchange(call, TIMEOUT).await.map(|_| ())
 }
 
-/// Fills the pool with connections and stops all responses on them.
-async fn silenced(silence: Silence) -> (Server, Link, HttpClient, String) {
+/// Starts a server behind a link, fills the pool with connections and silences them.
+async fn silence_pooled_connections(silence: Silence) -> (Server, Link, HttpClient, String) {
     let server = Server::start(|_| {
         async {
             tokio::time::sleep(Duration::from_millis(30)).await;
@@ -55,7 +55,7 @@
 #[tokio::test]
 async fn one_timeout_replaces_all_unresponsive_connections_to_a_host() {
     for silence in [Silence::Both, Silence::Answers] {
-        let (_server, link, http, address) = silenced(silence).await;
+        let (_server, link, http, address) = silence_pooled_connections(silence).await;
         let first = call(&http, &address).await;
         assert!(matches!(first, Err(CallError::TimedOut(_))), "{first:?}");
         call(&http, &address).await.expect("a new connection");
@@ -70,7 +70,7 @@
 
 #[tokio::test]
 async fn concurrent_timeouts_replace_the_pool_once() {
-    let (_server, link, http, address) = silenced(Silence::Both).await;
+    let (_server, link, http, address) = silence_pooled_connections(Silence::Both).await;
     let calls = (0..POOL_SIZE).map(|_| call(&http, &address));
     assert!(join_all(calls).await.iter().all(Result::is_err));
     let calls = (0..POOL_SIZE).map(|_| call(&http, &address));
@@ -80,8 +80,8 @@
 
 #[tokio::test]
 async fn connections_to_other_hosts_are_kept() {
-    let (_server, _link, http, address) = silenced(Silence::Both).await;
-    let (_other_server, other, _, other_address) = silenced(Silence::Both).await;
+    let (_server, _link, http, address) = silence_pooled_connections(Silence::Both).await;
+    let (_other_server, other, _, other_address) = silence_pooled_connections(Silence::Both).await;
     call(&http, &other_address).await.expect("a response");
     let before = other.opened();
     assert!(call(&http, &address).await.is_err());
--- a/crates/stairstall-ports/src/dialect.rs
+++ b/crates/stairstall-ports/src/dialect.rs
@@ -51,7 +51,7 @@
     /// Returns a [`FormatError`] if the value cannot be parsed.
     fn read_worker(&self, id: WorkerId, value: &[u8]) -> Result<ListedWorker, FormatError>;
 
-    /// Parses a job specification from a caller; its limits are not checked.
+    /// Parses a job specification from a caller, without checking it against the limits.
     ///
     /// # Errors
     ///
--- a/crates/stairstall-ports/src/store.rs
+++ b/crates/stairstall-ports/src/store.rs
@@ -199,7 +199,8 @@
         matches!(self, Self::Call(CallError::TimedOut(_)))
     }
 
-    /// Returns whether the store failed to serve the call, as opposed to answering it.
+    /// Returns whether the HTTP call failed or the store refused it, so that the store may be
+    /// unavailable.
     #[must_use]
     pub const fn is_outage(&self) -> bool {
         matches!(self, Self::Call(_) | Self::Refused(_))
@@ -225,7 +226,8 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Page, StoreFault>>;
 
-    /// Waits for changes after `after` under a prefix, for at most `wait`.
+    /// Waits for at most `wait` for changes of keys that start with `prefix`, made after revision
+    /// `after`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
--- a/crates/stairstall-store/src/client.rs
+++ b/crates/stairstall-store/src/client.rs
@@ -18,6 +18,8 @@
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 /// Maximum number of keys per page of a listing.
 const PAGE_SIZE: u64 = 500;
+/// Maximum number of idle connections to the store.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// Identifier of a store lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -99,7 +101,7 @@
     /// Creates a client of the store at `address`; each call times out after `timeout`.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        let client = HttpClient::new(timeout, 8);
+        let client = HttpClient::new(timeout, MAX_IDLE_CONNECTIONS);
         Self {
             client,
             address,
@@ -136,14 +138,14 @@
         A: DeserializeOwned,
     {
         self.count_call();
-        let answer = self
+        let response = self
             .client
             .json(Method::POST, self.address, path, Some(body), self.timeout)
             .await?;
-        if !answer.status.is_success() {
-            return Err(StoreError::Status(answer.status.as_u16()));
+        if !response.status.is_success() {
+            return Err(StoreError::Status(response.status.as_u16()));
         }
-        Ok(answer.read()?)
+        Ok(response.read()?)
     }
 
     /// Reads one key.
@@ -156,11 +158,11 @@
             key: key.into(),
             ..RangeRequest::default()
         };
-        let answer: RangeResponse = self.call("/v3/kv/range", &request).await?;
-        Ok(answer.kvs.into_iter().next().map(Entry::from_wire))
+        let response: RangeResponse = self.call("/v3/kv/range", &request).await?;
+        Ok(response.kvs.into_iter().next().map(Entry::from_wire))
     }
 
-    /// Reads all keys that start with `prefix`, in pages of a few hundred keys.
+    /// Reads all keys that start with `prefix`, page by page.
     ///
     /// # Errors
     ///
@@ -177,18 +179,18 @@
                 range_end: prefix_end(prefix),
                 limit: Long(PAGE_SIZE),
             };
-            let answer: RangeResponse = self.call("/v3/kv/range", &request).await?;
+            let response: RangeResponse = self.call("/v3/kv/range", &request).await?;
             if listing.revision == 0 {
-                listing.revision = answer.header.revision.0;
+                listing.revision = response.header.revision.0;
             }
-            from = match answer.kvs.last() {
+            from = match response.kvs.last() {
                 Some(last) => Blob([last.key.0.as_slice(), &[0]].concat()),
                 None => return Ok(listing),
             };
             listing
                 .entries
-                .extend(answer.kvs.into_iter().map(Entry::from_wire));
-            if !answer.more {
+                .extend(response.kvs.into_iter().map(Entry::from_wire));
+            if !response.more {
                 return Ok(listing);
             }
         }
@@ -259,11 +261,14 @@
             success: vec![op],
             failure: vec![read],
         };
-        let answer: TxnResponse = self.call("/v3/kv/txn", &request).await?;
-        if answer.succeeded {
-            return Ok(Swap::Applied(answer.header.revision.0));
+        let response: TxnResponse = self.call("/v3/kv/txn", &request).await?;
+        if response.succeeded {
+            return Ok(Swap::Applied(response.header.revision.0));
         }
-        let found = answer.responses.into_iter().find_map(|r| r.response_range);
+        let found = response
+            .responses
+            .into_iter()
+            .find_map(|r| r.response_range);
         let found = found.and_then(|range| range.kvs.into_iter().next());
         Ok(Swap::Conflict(found.map(Entry::from_wire)))
     }
@@ -278,8 +283,8 @@
             ttl: Long(ttl.as_secs()),
             ..LeaseMessage::default()
         };
-        let answer: LeaseMessage = self.call("/v3/lease/grant", &request).await?;
-        Ok(LeaseId(answer.id.0))
+        let response: LeaseMessage = self.call("/v3/lease/grant", &request).await?;
+        Ok(LeaseId(response.id.0))
     }
 
     /// Renews a lease; returns `false` if it has expired.
@@ -292,8 +297,8 @@
             id: Long(lease.0),
             ..LeaseMessage::default()
         };
-        let answer: KeepAliveResponse = self.call("/v3/lease/keepalive", &request).await?;
-        Ok(answer.result.ttl.0 > 0)
+        let response: KeepAliveResponse = self.call("/v3/lease/keepalive", &request).await?;
+        Ok(response.result.ttl.0 > 0)
     }
 
     /// Revokes a lease, which deletes the keys attached to it.
@@ -310,7 +315,7 @@
         Ok(())
     }
 
-    /// Watches a key, or all keys that start with it if `whole_prefix` is set, from
+    /// Watches `key`, or all keys that start with it if `whole_prefix` is set, from
     /// `start_revision` on.
     ///
     /// # Errors
@@ -318,10 +323,10 @@
     /// Returns a [`StoreError`] if the watch cannot be opened.
     pub async fn watch(
         &self,
-        prefix: &str,
+        key: &str,
         whole_prefix: bool,
         start_revision: u64,
     ) -> Result<Watch, StoreError> {
-        Watch::open(self, prefix, whole_prefix, start_revision).await
+        Watch::open(self, key, whole_prefix, start_revision).await
     }
 }
--- a/crates/stairstall-store/src/watch.rs
+++ b/crates/stairstall-store/src/watch.rs
@@ -43,18 +43,18 @@
 impl Watch {
     pub(crate) async fn open(
         store: &Store,
-        prefix: &str,
+        key: &str,
         whole_prefix: bool,
         start_revision: u64,
     ) -> Result<Self, StoreError> {
         store.count_call();
         let range_end = if whole_prefix {
-            prefix_end(prefix)
+            prefix_end(key)
         } else {
             "".into()
         };
         let create = WatchCreate {
-            key: prefix.into(),
+            key: key.into(),
             range_end,
             start_revision: Long(start_revision),
         };
@@ -83,8 +83,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::WatchEnded`] if the watch ended; open another one after the last
-    /// revision seen. Returns [`StoreError::Call`] if a line cannot be decoded.
+    /// Returns [`StoreError::WatchEnded`] if the watch ended or a line exceeds the size limit, and
+    /// [`StoreError::Call`] if a line cannot be decoded.
     pub async fn next(&mut self, timeout: Duration) -> Result<Option<Event>, StoreError> {
         loop {
             if let Some(event) = self.events.pop_front() {
--- a/crates/stairstall-store/src/wire.rs
+++ b/crates/stairstall-store/src/wire.rs
@@ -188,8 +188,8 @@
     pub responses: Vec<ResponseOp>,
 }
 
-/// `/v3/lease/grant`, `/v3/lease/keepalive`, `/v3/lease/revoke`:
-/// requests, and the response of `/v3/lease/grant`.
+/// Request of `/v3/lease/grant`, `/v3/lease/keepalive` and `/v3/lease/revoke`, and response of
+/// `/v3/lease/grant`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseMessage {
@@ -248,7 +248,7 @@
     /// Type of the event.
     #[serde(rename = "type")]
     pub kind: EventType,
-    /// The key after the event.
+    /// The key and its value after the event.
     pub kv: KeyValue,
 }
 
@@ -272,7 +272,8 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// Returns the exclusive end of the range of all keys that start with `prefix`.
+/// Returns the exclusive end of the range of all keys that start with `prefix`; a single zero
+/// byte, which stands for no end, if no key sorts after all of them.
 #[must_use]
 pub fn prefix_end(prefix: &str) -> Blob {
     let mut end = prefix.as_bytes().to_vec();
